--- a/crates/balancing/benches/choice.rs
+++ b/crates/balancing/benches/choice.rs
@@ -15,7 +15,7 @@
 use ploverlift_balancing::prefix_holders::PrefixHolders;
 use ploverlift_balancing::round_trips::RoundTrips;
 use ploverlift_balancing::selection::choose;
-use ploverlift_balancing::unseen_reading::RecentReading;
+use ploverlift_balancing::unreported_load::RecentPrefill;
 use ploverlift_policy::ids::ZoneName;
 use ploverlift_routing::configuration::ServiceName;
 use ploverlift_routing::prompt::{ChainKey, PromptPart};
@@ -46,7 +46,7 @@
         let catalogue = catalogue(&records(engines));
         let (topology, round_trips) = (Topology::default(), RoundTrips::default());
         let (loads, holders) = (PeerLoads::default(), PrefixHolders::default());
-        let (caches, reading) = (EngineCaches::default(), RecentReading::default());
+        let (caches, reading) = (EngineCaches::default(), RecentPrefill::default());
         let moves = MovesUnderWay::default();
         let (service, zone) = (ServiceName::from("llm"), ZoneName::from("z0"));
         let shared = [PromptPart {
@@ -64,7 +64,7 @@
                     peer_loads: &loads,
                     holders: &holders,
                     caches: &caches,
-                    recent_reading: &reading,
+                    recent_prefill: &reading,
                     moves: &moves,
                     cache_stores: Vec::new(),
                 };
@@ -79,10 +79,10 @@
                         shared: &shared,
                         move_tokens_per_ms: 1_000.0,
                         required_weights: 0,
-                        place: 0.5,
+                        arrival_fraction: 0.5,
                     }),
                     software: SoftwareRule::default(),
-                    draw: key,
+                    sample_seed: key,
                     excluded: &[],
                     leaving_grace_ms: 0,
                     avoids_limited: false,
--- a/crates/balancing/src/attempts.rs
+++ b/crates/balancing/src/attempts.rs
@@ -87,7 +87,7 @@
 
     /// Takes in how an attempt at an engine ended; tells whether another one
     /// may be made.
-    pub fn note(&mut self, instance: InstanceId, outcome: AttemptOutcome) -> bool {
+    pub fn record_outcome(&mut self, instance: InstanceId, outcome: AttemptOutcome) -> bool {
         match outcome {
             AttemptOutcome::Unreachable => {
                 self.unreachable += 1;
@@ -111,7 +111,7 @@
 
     /// The request was sent to an engine and lost on the way, and is sent to the same
     /// engine once more within one attempt: it may have run, whatever becomes of that.
-    pub fn note_lost_sending(&mut self, instance: &InstanceId) {
+    pub fn record_lost_send(&mut self, instance: &InstanceId) {
         self.run_state = self.run_state.join(RunState::Unknown);
         self.note_sent(instance.clone());
     }
--- a/crates/balancing/src/cache_stores.rs
+++ b/crates/balancing/src/cache_stores.rs
@@ -5,7 +5,7 @@
 //! a prompt that another store, which was used while this one was lost, keeps whole.
 
 use crate::cache_contents::{CacheContents, KeyShare};
-use crate::store_room::StoreFill;
+use crate::store_admission::StoreFill;
 use ploverlift_policy::ids::{Millis, ZoneName};
 use ploverlift_routing::configuration::CacheStore;
 use ploverlift_routing::prompt::{ChainKey, PartKey, PromptPart};
--- a/crates/balancing/src/candidates.rs
+++ b/crates/balancing/src/candidates.rs
@@ -19,7 +19,7 @@
 
 /// Engines of a service up to which a choice looks at all: such a choice takes half a
 /// millisecond of a whole core.
-const MAX_ALL: usize = 512;
+const MAX_FULL_SCAN: usize = 512;
 /// Engines of each zone that a prompt's own order names: as many as one prompt that is
 /// asked for by everyone spreads over in a zone.
 const HOMES_PER_ZONE: usize = 6;
@@ -27,14 +27,14 @@
 const MAX_HOLDERS: usize = 24;
 /// Engines of this node's zone that are drawn at random: two of four are nearly always
 /// without work where half of the engines are.
-const DRAWN_NEAR: usize = 8;
+const RANDOM_SAME_ZONE: usize = 8;
 /// Engines of each other zone that are drawn at random.
-const DRAWN_FAR: usize = 1;
+const RANDOM_OTHER_ZONE: usize = 1;
 /// Time for which an engine that said that it leaves is a source of KV cache, in
 /// milliseconds: some end then, and a move from one that has ended costs tenths of a second.
 const SOURCE_AFTER_NOTICE_MS: u64 = 2_000;
 /// Steps between the points of a ring that are drawn: any odd number spreads them.
-const POINT_SEED: u64 = 0x9e37_79b9_7f4a_7c15;
+const POINT_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The engines that a choice looks at.
 pub(crate) struct Candidates<'a> {
@@ -44,7 +44,7 @@
     /// as they leave or were tried.
     pub(crate) sources: Vec<&'a Engine>,
     /// Engines of the service for each one that is looked at.
-    pub(crate) thinning: f64,
+    pub(crate) engines_per_candidate: f64,
 }
 
 /// The engines of the service that may serve the request, all of them or a bounded set.
@@ -59,20 +59,20 @@
     let index = view.catalogue.service_index(criteria.service);
     let index = index.ok_or(NoChoice::NoEngine)?;
     let rooms = &view.catalogue.rooms;
-    if index.len() > MAX_ALL {
-        let few = few(view, index, criteria, now);
-        match eligible(few.clone(), view.catalogue, criteria, now) {
+    if index.len() > MAX_FULL_SCAN {
+        let sample = sample(view, index, criteria, now);
+        match eligible(sample.clone(), view.catalogue, criteria, now) {
             Ok(engines) => {
-                let thinning = index.len() as f64 / engines.len() as f64;
+                let engines_per_candidate = index.len() as f64 / engines.len() as f64;
                 return Ok(Candidates {
                     engines,
-                    sources: sources(few, view.catalogue, now),
-                    thinning,
+                    sources: sources(sample, view.catalogue, now),
+                    engines_per_candidate,
                 });
             }
             // Whoever counts for the limited engines knows better than a look at all.
-            Err(NoChoice::NoRoom) if rooms.len() > index.len() / 2 => {
-                return Err(NoChoice::NoRoom);
+            Err(NoChoice::RateLimited) if rooms.len() > index.len() / 2 => {
+                return Err(NoChoice::RateLimited);
             }
             // Looking at all of them for each rejected request would cost too much.
             Err(NoChoice::BackingOff) if view.catalogue.notices.len() > index.len() / 2 => {
@@ -87,7 +87,7 @@
     Ok(Candidates {
         engines: ranked(engines, criteria.prompt.as_ref()),
         sources: sources(all, view.catalogue, now),
-        thinning: 1.0,
+        engines_per_candidate: 1.0,
     })
 }
 
@@ -107,7 +107,7 @@
 }
 
 /// A bounded set of a large service's engines.
-fn few<'a>(
+fn sample<'a>(
     view: &FleetView<'a>,
     index: &'a ServiceIndex,
     criteria: &Criteria<'_>,
@@ -116,7 +116,7 @@
     let prompt = criteria.prompt.as_ref();
     let homes = prompt.map_or_else(Vec::new, |prompt| homes(view.catalogue, index, prompt));
     let homes = ranked(homes, prompt);
-    let mut others = drawn(view.catalogue, index, criteria);
+    let mut others = random_engines(view.catalogue, index, criteria);
     if let Some(prompt) = prompt {
         let known = homes.iter().chain(&others);
         let versions: BTreeSet<u64> = known
@@ -145,20 +145,20 @@
 }
 
 /// Engines drawn at random, more of this node's zone.
-fn drawn<'a>(
+fn random_engines<'a>(
     catalogue: &'a EngineCatalogue,
     index: &'a ServiceIndex,
     criteria: &Criteria<'_>,
 ) -> Vec<&'a Engine> {
-    let mut point = criteria.draw;
+    let mut point = criteria.sample_seed;
     let mut engines = Vec::new();
     for zone in index.zones() {
         let count = match zone == criteria.zone {
-            true => DRAWN_NEAR,
-            false => DRAWN_FAR,
+            true => RANDOM_SAME_ZONE,
+            false => RANDOM_OTHER_ZONE,
         };
         for _ in 0..count {
-            point = point.wrapping_mul(POINT_SEED).wrapping_add(POINT_SEED);
+            point = point.wrapping_mul(POINT_STEP).wrapping_add(POINT_STEP);
             let instance = index.from_point(zone, point).next();
             engines.extend(instance.and_then(|instance| catalogue.get(instance)));
         }
--- a/crates/balancing/src/catalogue.rs
+++ b/crates/balancing/src/catalogue.rs
@@ -306,7 +306,7 @@
     /// The engine takes no connection; requests go elsewhere until then.
     pub fn put_aside(&mut self, instance: &InstanceId, until: Millis) {
         if let Some(engine) = self.engines.get_mut(instance) {
-            engine.health.put_aside(until);
+            engine.health.eject_until(until);
         }
     }
 
--- a/crates/balancing/src/cost.rs
+++ b/crates/balancing/src/cost.rs
@@ -51,7 +51,7 @@
     /// Waiting behind prompts that are being read.
     pub queue_ms: f64,
     /// Waiting behind prompts that other nodes have sent since their loads were told.
-    pub unseen_ms: f64,
+    pub unreported_ms: f64,
     /// Moving shared parts that the engine lacks from another one or the store.
     pub transfer_ms: f64,
     /// Reading again what gives way to shared parts that the engine lacks.
@@ -79,13 +79,13 @@
 
 impl Cost {
     /// What the engine costs any prompt: all nodes see this alike.
-    pub(crate) fn for_everyone_ms(&self) -> f64 {
+    pub(crate) fn prompt_independent_ms(&self) -> f64 {
         self.queue_ms + self.slots_ms + self.stale_version_ms + self.failure_ms + self.scarcity_ms
     }
 
     /// The sum of all terms.
     pub fn total_ms(&self) -> f64 {
-        let waiting_ms = self.queue_ms + self.unseen_ms + self.slots_ms;
+        let waiting_ms = self.queue_ms + self.unreported_ms + self.slots_ms;
         let prompt_ms = self.transfer_ms + self.eviction_ms + self.prefill_ms + self.reread_ms;
         waiting_ms
             + prompt_ms
--- a/crates/balancing/src/eligibility.rs
+++ b/crates/balancing/src/eligibility.rs
@@ -20,7 +20,7 @@
     /// Every engine that was not tried asked this node to back off.
     BackingOff,
     /// Every engine that was not tried has given out all that it takes for now.
-    NoRoom,
+    RateLimited,
 }
 
 /// Those of a service's engines that may serve the request, in their order.
@@ -30,10 +30,10 @@
     criteria: &Criteria<'_>,
     now: Millis,
 ) -> Result<Vec<&'a Engine>, NoChoice> {
-    let is_there = |engine: &&Engine| !engine.record.is_leaving && !engine.is_misdirected(now);
-    keep(&mut engines, is_there, NoChoice::NoEngine)?;
+    let is_available = |engine: &&Engine| !engine.record.is_leaving && !engine.is_misdirected(now);
+    keep(&mut engines, is_available, NoChoice::NoEngine)?;
     if !catalogue.notices.is_empty() {
-        keep_staying(&mut engines, catalogue, criteria, now)?;
+        drop_leaving(&mut engines, catalogue, criteria, now)?;
     }
     let has_software = |engine: &&Engine| criteria.software.allows(&engine.record.software);
     keep(&mut engines, has_software, NoChoice::SoftwareHeldBack)?;
@@ -51,14 +51,14 @@
             let is_avoided = criteria.avoids_limited && rooms.is_limited(engine.tag);
             !is_avoided && rooms.has_room(engine.tag, now)
         };
-        keep(&mut engines, has_room, NoChoice::NoRoom)?;
+        keep(&mut engines, has_room, NoChoice::RateLimited)?;
     }
     Ok(engines)
 }
 
 /// Leaves out engines that said in answers that they leave. Where all did, those that said
 /// so a moment ago serve on.
-fn keep_staying(
+fn drop_leaving(
     engines: &mut Vec<&Engine>,
     catalogue: &EngineCatalogue,
     criteria: &Criteria<'_>,
--- a/crates/balancing/src/fleet.rs
+++ b/crates/balancing/src/fleet.rs
@@ -8,7 +8,7 @@
 use crate::peer_loads::PeerLoads;
 use crate::prefix_holders::PrefixHolders;
 use crate::round_trips::RoundTrips;
-use crate::unseen_reading::RecentReading;
+use crate::unreported_load::RecentPrefill;
 use ploverlift_policy::ids::ZoneName;
 use ploverlift_routing::configuration::ServiceName;
 use ploverlift_routing::prompt::{ChainKey, PromptPart};
@@ -32,7 +32,7 @@
     /// What the engines whose events are followed keep.
     pub caches: &'a EngineCaches,
     /// What this node gave engines to read lately.
-    pub recent_reading: &'a RecentReading,
+    pub recent_prefill: &'a RecentPrefill,
     /// Moves of KV cache that this node's requests have begun.
     pub moves: &'a MovesUnderWay,
     /// The KV cache stores that are in use.
@@ -67,7 +67,7 @@
     pub software: SoftwareRule,
     /// A random number, by which engines are drawn where there are too many to look at
     /// all.
-    pub draw: u64,
+    pub sample_seed: u64,
     /// Engines that were tried already.
     pub excluded: &'a [InstanceId],
     /// Time for which engines that say that they leave may serve the request where no
@@ -95,7 +95,7 @@
     pub required_weights: u64,
     /// The request's place among those that other nodes send unseen, in 0 to 1; drawn
     /// at random.
-    pub place: f64,
+    pub arrival_fraction: f64,
 }
 
 impl PromptCriteria<'_> {
--- a/crates/balancing/src/health.rs
+++ b/crates/balancing/src/health.rs
@@ -8,9 +8,9 @@
 use ploverlift_policy::ids::Millis;
 
 /// First time for which an unreachable engine is ejected, in milliseconds.
-const FIRST_SUSPENSION_MS: u64 = 400;
+const FIRST_EJECTION_MS: u64 = 400;
 /// Longest time for which it is ejected, in milliseconds.
-const LONGEST_SUSPENSION_MS: u64 = 3_000;
+const MAX_EJECTION_MS: u64 = 3_000;
 /// Weight of the newest outcome in the failure rate.
 const NEWEST_WEIGHT: f64 = 0.15;
 /// Time without an outcome in which a failure rate halves, in milliseconds. An
@@ -39,7 +39,7 @@
     last_outcome: Millis,
     outcomes: u32,
     failures_in_a_row: u32,
-    suspended_until: Option<Millis>,
+    ejected_until: Option<Millis>,
     trial_since: Option<Millis>,
 }
 
@@ -62,7 +62,7 @@
     /// Whether the engine may be chosen: it is not ejected, and where it was,
     /// no other request is trying it.
     pub fn may_be_chosen(&self, now: Millis) -> bool {
-        if self.suspended_until.is_some_and(|until| now < until) {
+        if self.ejected_until.is_some_and(|until| now < until) {
             return false;
         }
         let on_trial = self.trial_since;
@@ -71,12 +71,12 @@
 
     /// Whether the engine was ejected and has not answered since.
     pub fn is_suspected(&self) -> bool {
-        self.suspended_until.is_some()
+        self.ejected_until.is_some()
     }
 
     /// A request is about to be sent.
     pub fn on_begin(&mut self, now: Millis) {
-        if self.suspended_until.is_some() {
+        if self.ejected_until.is_some() {
             self.trial_since = Some(now);
         }
     }
@@ -93,10 +93,10 @@
         self.last_outcome = now;
         self.failure_rate += NEWEST_WEIGHT * (newest - self.failure_rate);
         match outcome {
-            Outcome::Answered | Outcome::Refused | Outcome::Failed => self.reached(),
-            Outcome::Unreachable => self.suspend(now),
+            Outcome::Answered | Outcome::Refused | Outcome::Failed => self.clear_ejection(),
+            Outcome::Unreachable => self.eject(now),
             // One broken answer may be chance; two in a row are a pattern.
-            Outcome::Broken if self.failures_in_a_row > 0 => self.suspend(now),
+            Outcome::Broken if self.failures_in_a_row > 0 => self.eject(now),
             Outcome::Broken => {
                 self.failures_in_a_row += 1;
                 self.trial_since = None;
@@ -104,32 +104,32 @@
         }
     }
 
-    fn reached(&mut self) {
+    fn clear_ejection(&mut self) {
         self.failures_in_a_row = 0;
-        self.suspended_until = None;
+        self.ejected_until = None;
         self.trial_since = None;
     }
 
     /// Puts the engine aside until then, or longer where it is already.
-    pub fn put_aside(&mut self, until: Millis) {
-        self.suspended_until = self.suspended_until.max(Some(until));
+    pub fn eject_until(&mut self, until: Millis) {
+        self.ejected_until = self.ejected_until.max(Some(until));
         self.trial_since = None;
     }
 
     /// The engine was put aside and takes connections again: one request may try it.
     pub fn allow_trial(&mut self, now: Millis) {
-        if self.suspended_until.is_some() {
-            self.suspended_until = Some(now);
+        if self.ejected_until.is_some() {
+            self.ejected_until = Some(now);
             self.trial_since = None;
         }
     }
 
     /// Puts the engine aside, longer each time in a row.
-    pub fn suspend(&mut self, now: Millis) {
+    pub fn eject(&mut self, now: Millis) {
         let doublings = self.failures_in_a_row.min(4);
-        let duration = (FIRST_SUSPENSION_MS << doublings).min(LONGEST_SUSPENSION_MS);
+        let duration = (FIRST_EJECTION_MS << doublings).min(MAX_EJECTION_MS);
         self.failures_in_a_row = self.failures_in_a_row.saturating_add(1);
-        self.suspended_until = Some(now.plus(duration));
+        self.ejected_until = Some(now.plus(duration));
         self.trial_since = None;
     }
 }
--- a/crates/balancing/src/lib.rs
+++ b/crates/balancing/src/lib.rs
@@ -39,9 +39,9 @@
 //! | [`load_schedule`] | when engines load new weights, and how many at once |
 //! | [`load_width`] | how many of them load at once without slowing each other |
 //! | [`overload`] | when engines are overloaded, and which part of the requests to refuse |
-//! | [`store_room`] | which prompts are worth their room in the KV cache store |
-//! | [`supply`] | from where an engine can have what it lacks of a prompt |
-//! | [`unseen_reading`] | what other nodes sent since their loads were told |
+//! | [`store_admission`] | which prompts are worth their room in the KV cache store |
+//! | [`transfer_sources`] | from where an engine can have what it lacks of a prompt |
+//! | [`unreported_load`] | what other nodes sent since their loads were told |
 //! | [`weights`] | which versions of weights a request may begin on |
 
 pub mod attempts;
@@ -78,7 +78,7 @@
 pub mod round_trips;
 pub mod selection;
 pub mod service_index;
-pub mod store_room;
-pub mod supply;
-pub mod unseen_reading;
+pub mod store_admission;
+pub mod transfer_sources;
+pub mod unreported_load;
 pub mod weights;
--- a/crates/balancing/src/load_width.rs
+++ b/crates/balancing/src/load_width.rs
@@ -8,21 +8,21 @@
 //! usual time and shrinks with each that took longer.
 
 /// Growth of the width with each load at full width that took the usual time.
-const GROWTH: f64 = 0.15;
+const GROWTH_STEP: f64 = 0.15;
 /// Shrinking with each that took longer: more than one growth, or the width settles
 /// where nearly half of the loads are slowed.
-const SHRINKING: f64 = 0.5;
+const SHRINK_STEP: f64 = 0.5;
 /// Furthest from what was allowed at once that the loads of one wave move the width.
 /// They all show the same, and where something else holds the width down, nothing shows
 /// what lies far above it.
-const FURTHEST_STEP: f64 = 1.0;
+const MAX_STEP: f64 = 1.0;
 /// A load is slowed when it takes longer than this multiple of the usual time. Reports
 /// are some tenths of a second apart, and loads take half a second.
 const SLOWED_MULTIPLE: f64 = 1.3;
 /// Part of the width from which on a load shows anything about it.
 const FULL_SHARE: f64 = 0.75;
 /// Narrowest width.
-const NARROWEST: f64 = 1.0;
+const MIN_WIDTH: f64 = 1.0;
 /// Weight of the newest load in the usual time, where it took longer.
 const SLOWER_WEIGHT: f64 = 0.05;
 /// The same where it took less.
@@ -73,7 +73,7 @@
         // they go no narrower.
         let weight = match load.took_ms < usual_ms {
             true => FASTER_WEIGHT,
-            false if !is_full || self.width <= NARROWEST => SLOWER_WEIGHT,
+            false if !is_full || self.width <= MIN_WIDTH => SLOWER_WEIGHT,
             false => 0.0,
         };
         self.usual_ms = Some(usual_ms + weight * (load.took_ms - usual_ms));
@@ -83,12 +83,12 @@
         let width = self.width.max(at_once as f64);
         self.width = match is_slowed {
             true => {
-                let lowest = (at_once as f64 - FURTHEST_STEP).max(NARROWEST);
-                (self.width - SHRINKING).max(lowest.min(self.width))
+                let lowest = (at_once as f64 - MAX_STEP).max(MIN_WIDTH);
+                (self.width - SHRINK_STEP).max(lowest.min(self.width))
             }
             false => {
-                let highest = at_once as f64 + FURTHEST_STEP;
-                (width + GROWTH).min(highest.max(width))
+                let highest = at_once as f64 + MAX_STEP;
+                (width + GROWTH_STEP).min(highest.max(width))
             }
         };
     }
--- a/crates/balancing/src/overload.rs
+++ b/crates/balancing/src/overload.rs
@@ -23,20 +23,20 @@
 const URGENT_SHARE: f64 = 0.75;
 /// Time in which the reading that was asked for counts half, in milliseconds: some
 /// dozens of requests of a node, so that a change of the mix shows within seconds.
-const ASKED_HALF_LIFE_MS: f64 = 2_000.0;
+const DEMAND_HALF_LIFE_MS: f64 = 2_000.0;
 /// Time for which the objective of the more urgent requests counts after one was asked
 /// for, in milliseconds.
-const URGENT_SEEN_MS: u64 = 2_000;
+const URGENT_OBJECTIVE_TTL_MS: u64 = 2_000;
 /// Part of the reading that the least urgent requests ask for, where none was asked for
 /// yet.
-const UNKNOWN_LEAST_PART: f64 = 0.5;
+const DEFAULT_LEAST_PART: f64 = 0.5;
 /// Requests without a first byte from which on their ages count.
 const MIN_WAITING: usize = 4;
 /// What requests will have waited in the end, as a multiple of the median age of those
 /// that still wait: they began at even distances.
 const AGE_MULTIPLE: f64 = 2.0;
 /// A service has room while less than this part of its places is taken.
-const ROOM_SHARE: f64 = 0.5;
+const SPARE_SLOTS_SHARE: f64 = 0.5;
 
 /// When to refuse.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -49,17 +49,17 @@
 
 /// Requests and places of the engines that may serve a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Places {
+pub struct SlotOccupancy {
     /// Requests there, of all nodes.
     pub requests: u64,
     /// Requests that they work on at once.
     pub slots: u64,
 }
 
-impl Places {
+impl SlotOccupancy {
     /// Whether there is room: then nothing is refused, whatever answers show.
-    pub fn have_room(&self) -> bool {
-        (self.requests as f64) < self.slots as f64 * ROOM_SHARE
+    pub fn has_spare_slots(&self) -> bool {
+        (self.requests as f64) < self.slots as f64 * SPARE_SLOTS_SHARE
     }
 }
 
@@ -75,7 +75,7 @@
 /// The reading that requests of each urgency asked for lately, in milliseconds of an
 /// engine's time; those that were refused count too.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct AskedReading {
+struct PrefillDemand {
     least_ms: f64,
     higher_ms: f64,
     updated: Millis,
@@ -83,12 +83,12 @@
     urgent_objective: Option<(u64, Millis)>,
 }
 
-impl AskedReading {
+impl PrefillDemand {
     fn add(&mut self, urgency: Urgency, own_ms: f64, objective_ms: u64, now: Millis) {
         let age = now.since(self.updated) as f64;
-        let fading = 0.5_f64.powf(age / ASKED_HALF_LIFE_MS);
-        self.least_ms *= fading;
-        self.higher_ms *= fading;
+        let decay = 0.5_f64.powf(age / DEMAND_HALF_LIFE_MS);
+        self.least_ms *= decay;
+        self.higher_ms *= decay;
         self.updated = now;
         match urgency {
             Urgency::Least => self.least_ms += own_ms.max(0.0),
@@ -104,7 +104,7 @@
     /// urgent requests that wait in the same queues.
     fn objective_ms(&self, own_ms: u64, now: Millis) -> u64 {
         let urgent = self.urgent_objective;
-        let recent = urgent.filter(|(_, at)| now.since(*at) < URGENT_SEEN_MS);
+        let recent = urgent.filter(|(_, at)| now.since(*at) < URGENT_OBJECTIVE_TTL_MS);
         recent.map_or(own_ms, |(shortest_ms, _)| shortest_ms.min(own_ms))
     }
 
@@ -113,7 +113,7 @@
         let all_ms = self.least_ms + self.higher_ms;
         match all_ms > 0.0 {
             true => self.least_ms / all_ms,
-            false => UNKNOWN_LEAST_PART,
+            false => DEFAULT_LEAST_PART,
         }
     }
 }
@@ -133,15 +133,15 @@
 pub struct Overload {
     answered_objectives: f64,
     updated: Millis,
-    asked: AskedReading,
+    demand: PrefillDemand,
     waiting: Vec<Waiting>,
     next_number: u64,
 }
 
 impl Overload {
     /// A request came whose own reading takes so long, whether it is refused or not.
-    pub fn note_asked(&mut self, urgency: Urgency, own_ms: f64, objective_ms: u64, now: Millis) {
-        self.asked.add(urgency, own_ms, objective_ms, now);
+    pub fn record_demand(&mut self, urgency: Urgency, own_ms: f64, objective_ms: u64, now: Millis) {
+        self.demand.add(urgency, own_ms, objective_ms, now);
     }
 
     /// A request was sent that needs so long for its own reading; gives its number.
@@ -151,7 +151,7 @@
         self.waiting.push(Waiting {
             number,
             since: now.plus(own_ms.max(0.0) as u64),
-            objective_ms: self.asked.objective_ms(objective_ms, now),
+            objective_ms: self.demand.objective_ms(objective_ms, now),
         });
         number
     }
@@ -163,7 +163,7 @@
 
     /// A request waited so long at its engine, beyond the time for its own reading.
     pub fn observe(&mut self, waited_ms: f64, objective_ms: u64, now: Millis) {
-        let objective_ms = self.asked.objective_ms(objective_ms, now);
+        let objective_ms = self.demand.objective_ms(objective_ms, now);
         let newest = waited_ms.max(0.0) / objective_ms.max(1) as f64;
         let known = self.answered_objectives(now);
         self.answered_objectives = known + NEWEST_WEIGHT * (newest - known);
@@ -198,19 +198,19 @@
     /// The part of the requests of an urgency that should be refused now.
     pub fn refused_share(&self, urgency: Urgency, limits: &OverloadLimits, now: Millis) -> f64 {
         let beyond = self.waiting_objectives(now) - limits.bearable_objectives;
-        let missing = (beyond * GAIN).clamp(0.0, limits.most_refused);
-        let least_part = self.asked.least_part();
-        let least = match missing < least_part * limits.most_refused {
-            true => missing / least_part,
-            false if missing > 0.0 => limits.most_refused,
+        let shed_share = (beyond * GAIN).clamp(0.0, limits.most_refused);
+        let least_part = self.demand.least_part();
+        let least = match shed_share < least_part * limits.most_refused {
+            true => shed_share / least_part,
+            false if shed_share > 0.0 => limits.most_refused,
             false => 0.0,
         };
         match urgency {
             Urgency::Least => least,
             Urgency::Higher => {
-                let still_missing = (missing - least * least_part).max(0.0);
+                let remaining_share = (shed_share - least * least_part).max(0.0);
                 let higher_part = 1.0 - least_part;
-                let needed = still_missing / higher_part.max(f64::EPSILON);
+                let needed = remaining_share / higher_part.max(f64::EPSILON);
                 needed.min(least * URGENT_SHARE)
             }
         }
--- a/crates/balancing/src/prefill_rate.rs
+++ b/crates/balancing/src/prefill_rate.rs
@@ -6,7 +6,7 @@
 //! takes time (the network, the first step) goes into its start.
 
 /// Weight of all earlier pairs when a new one comes.
-const KEPT_WEIGHT: f64 = 0.99;
+const DECAY: f64 = 0.99;
 /// Weight of pairs before the line means anything.
 const MIN_WEIGHT: f64 = 20.0;
 /// Spread of the tokens of a pair, as a standard deviation, before the line means
@@ -60,7 +60,7 @@
         }
         self.outliers = 0;
         let sums = &mut self.sums;
-        let add = |sum: &mut f64, value: f64| *sum = *sum * KEPT_WEIGHT + value;
+        let add = |sum: &mut f64, value: f64| *sum = *sum * DECAY + value;
         add(&mut sums.weight, 1.0);
         add(&mut sums.tokens, tokens);
         add(&mut sums.ms, ms);
@@ -68,16 +68,16 @@
         add(&mut sums.tokens_ms, tokens * ms);
     }
 
-    /// Tokens that an engine reads in a millisecond: `usual` until enough was seen.
-    pub fn tokens_per_ms(&self, usual: f64) -> f64 {
+    /// Tokens that an engine reads in a millisecond: `configured` until enough was seen.
+    pub fn tokens_per_ms(&self, configured: f64) -> f64 {
         let (low, high) = FACTOR_BOUNDS;
         match self.line() {
             Some(line) if line.ms_per_token > 0.0 => {
-                (1.0 / line.ms_per_token).clamp(usual * low, usual * high)
+                (1.0 / line.ms_per_token).clamp(configured * low, configured * high)
             }
             // Reading takes too little time to be seen.
-            Some(_) => usual * high,
-            None => usual,
+            Some(_) => configured * high,
+            None => configured,
         }
     }
 
--- a/crates/balancing/src/selection.rs
+++ b/crates/balancing/src/selection.rs
@@ -7,8 +7,8 @@
 use crate::fleet::{Criteria, FleetView, PromptCriteria};
 use crate::names::InstanceId;
 use crate::prefix_reach::PrefixReach;
-use crate::supply::{CacheSource, KnownOffers, Offering, Supply};
-use crate::unseen_reading::filled_level;
+use crate::transfer_sources::{CacheSource, OfferCache, OfferContext, TransferPlan};
+use crate::unreported_load::filled_level;
 use ploverlift_policy::ids::{Millis, ZoneName};
 use ploverlift_routing::topology::{Distance, RegionName};
 use std::collections::{BTreeMap, HashMap};
@@ -24,9 +24,9 @@
     /// dropped.
     pub source: Option<CacheSource>,
     /// Tokens of the shared parts that it keeps itself.
-    pub held_tokens: u64,
+    pub local_tokens: u64,
     /// Tokens of the shared parts that need not be read.
-    pub kept_tokens: u64,
+    pub reusable_tokens: u64,
     /// Time of the move from the source, in milliseconds.
     pub move_ms: f64,
     /// How far the engine is from this node.
@@ -53,7 +53,7 @@
 /// what they differ by under overload. There prompts go where they are cached, not where
 /// it is cheapest for everyone, and without this bound true queues do not count
 /// (scale-1 of the shifted site: 0.292 without, 0.334 with 120, 0.338 with 50).
-const MAX_UNSEEN_MS: f64 = 120.0;
+const MAX_UNREPORTED_MS: f64 = 120.0;
 /// Highest cost of reading again what is kept elsewhere, in milliseconds: half of what
 /// an engine costs that fails every request, so that a prompt leaves a home that fails.
 const MAX_REREAD_MS: f64 = 1_000.0;
@@ -74,49 +74,49 @@
     let Candidates {
         engines: ranked,
         sources,
-        thinning,
+        engines_per_candidate,
     } = candidates(view, criteria, now)?;
     let reach = match &criteria.prompt {
         Some(prompt) => PrefixReach::of(view, &sources, prompt, now),
         None => PrefixReach::default(),
     };
-    let estimate = Estimate {
+    let estimator = CostEstimator {
         view,
         criteria,
         rates,
         reach: &reach,
-        places: places(view, criteria, rates, &ranked, now),
+        zone_views: zone_views(view, criteria, rates, &ranked, now),
         homes: homes(view, &ranked),
         home_region: ranked
             .first()
             .and_then(|home| view.topology.region_of(&home.record.zone)),
         typical_failures: typical_failure_rate(&ranked, now),
         newest_weights: newest_weights(&ranked, criteria),
-        thinning,
+        engines_per_candidate,
         now,
     };
     let mut ranks: BTreeMap<Option<&RegionName>, usize> = BTreeMap::new();
-    let mut offers = KnownOffers::default();
-    let mut estimated: Vec<(&Engine, Cost, Supply)> = Vec::with_capacity(ranked.len());
+    let mut offers = OfferCache::default();
+    let mut estimated: Vec<(&Engine, Cost, TransferPlan)> = Vec::with_capacity(ranked.len());
     for engine in &ranked {
-        let region = estimate.place(engine).region;
+        let region = estimator.zone_view(engine).region;
         let rank = ranks.entry(region).or_default();
-        let (cost, supply) = estimate.cost(engine, *rank, &mut offers);
-        estimated.push((engine, cost, supply));
+        let (cost, plan) = estimator.cost(engine, *rank, &mut offers);
+        estimated.push((engine, cost, plan));
         *rank += 1;
     }
-    estimate.add_unseen(&mut estimated);
+    estimator.add_unreported_load(&mut estimated);
     let cheapest = estimated
         .into_iter()
         .min_by(|(_, a, _), (_, b, _)| a.total_ms().total_cmp(&b.total_ms()));
-    let (engine, cost, supply) = cheapest.ok_or(NoChoice::NoEngine)?;
+    let (engine, cost, plan) = cheapest.ok_or(NoChoice::NoEngine)?;
     Ok(Choice {
         instance: engine.record.instance.clone(),
-        move_ms: supply.move_ms,
+        move_ms: plan.move_ms,
         distance: view.topology.distance(criteria.zone, &engine.record.zone),
-        source: supply.source,
-        held_tokens: supply.held_tokens,
-        kept_tokens: supply.kept_tokens,
+        source: plan.source,
+        local_tokens: plan.local_tokens,
+        reusable_tokens: plan.reusable_tokens,
         cost,
         candidates: ranked.len(),
     })
@@ -124,24 +124,24 @@
 
 /// A zone as it looks from this node.
 #[derive(Clone, Copy, Debug)]
-struct Place<'a> {
+struct ZoneView<'a> {
     region: Option<&'a RegionName>,
     distance: Distance,
     region_ms: f64,
 }
 
 /// The zones of the candidates.
-fn places<'a>(
+fn zone_views<'a>(
     view: &FleetView<'a>,
     criteria: &Criteria<'_>,
     rates: &CostRates,
     ranked: &[&'a Engine],
     now: Millis,
-) -> HashMap<&'a ZoneName, Place<'a>> {
-    let mut places = HashMap::new();
+) -> HashMap<&'a ZoneName, ZoneView<'a>> {
+    let mut zone_views = HashMap::new();
     for engine in ranked {
         let zone = &engine.record.zone;
-        places.entry(zone).or_insert_with(|| {
+        zone_views.entry(zone).or_insert_with(|| {
             let distance = view.topology.distance(criteria.zone, zone);
             let round_trip_ms = view.round_trips.to_ms(zone, now);
             let region_ms = match distance {
@@ -150,14 +150,14 @@
                 }
                 _ => 0.0,
             };
-            Place {
+            ZoneView {
                 region: view.topology.region_of(zone),
                 distance,
                 region_ms,
             }
         });
     }
-    places
+    zone_views
 }
 
 /// The engine that each region's requests for the prompt go to first.
@@ -198,27 +198,27 @@
 }
 
 /// What the costs of all candidates have in common.
-struct Estimate<'a> {
+struct CostEstimator<'a> {
     view: &'a FleetView<'a>,
     criteria: &'a Criteria<'a>,
     rates: &'a CostRates,
     reach: &'a PrefixReach<'a>,
-    places: HashMap<&'a ZoneName, Place<'a>>,
+    zone_views: HashMap<&'a ZoneName, ZoneView<'a>>,
     homes: BTreeMap<Option<&'a RegionName>, &'a Engine>,
     /// The region that is asked for the prompt by those who know of no other.
     home_region: Option<&'a RegionName>,
     typical_failures: f64,
     newest_weights: u64,
     /// Engines of the service for each candidate.
-    thinning: f64,
+    engines_per_candidate: f64,
     now: Millis,
 }
 
-impl<'a> Estimate<'a> {
+impl<'a> CostEstimator<'a> {
     /// Where an engine is. All candidates' zones are known.
-    fn place(&self, engine: &Engine) -> Place<'a> {
-        let known = self.places.get(&engine.record.zone).copied();
-        known.unwrap_or(Place {
+    fn zone_view(&self, engine: &Engine) -> ZoneView<'a> {
+        let known = self.zone_views.get(&engine.record.zone).copied();
+        known.unwrap_or(ZoneView {
             region: None,
             distance: Distance::SameZone,
             region_ms: 0.0,
@@ -229,19 +229,19 @@
         &self,
         engine: &'a Engine,
         rank: usize,
-        offers: &mut KnownOffers<'a>,
-    ) -> (Cost, Supply) {
+        offers: &mut OfferCache<'a>,
+    ) -> (Cost, TransferPlan) {
         let rates = self.rates;
         let mut cost = Cost {
             failure_ms: self.failure_ms(engine),
             scarcity_ms: self.view.catalogue.rooms.scarcity_ms(engine.tag, self.now),
             ..Cost::default()
         };
-        let place = self.place(engine);
-        if place.distance != Distance::SameZone {
+        let zone_view = self.zone_view(engine);
+        if zone_view.distance != Distance::SameZone {
             cost.zone_ms = rates.zone_ms;
         }
-        cost.region_ms = place.region_ms;
+        cost.region_ms = zone_view.region_ms;
         let peers = self.view.peer_loads.at(engine.tag);
         let requests = match self.view.peer_loads.peer_count() {
             0 => f64::from(engine.in_flight) * rates.senders,
@@ -250,57 +250,57 @@
         let occupied = requests / f64::from(engine.record.slots.max(1));
         cost.slots_ms = occupied * rates.slot_ms;
         let Some(prompt) = &self.criteria.prompt else {
-            return (cost, Supply::default());
+            return (cost, TransferPlan::default());
         };
         let waiting_tokens = engine.waiting_tokens + peers.waiting_tokens;
         cost.queue_ms = waiting_tokens as f64 / rates.prefill_tokens_per_ms;
-        let supply = self.supply(engine, prompt, rank, &mut cost, offers);
+        let plan = self.plan_transfer(engine, prompt, rank, &mut cost, offers);
         cost.transfer_ms += RANK_MS * rank as f64;
         if engine.weights_of(prompt.model) < self.newest_weights {
-            let to_read = prompt.shared_tokens().saturating_sub(supply.kept_tokens);
+            let to_read = prompt.shared_tokens().saturating_sub(plan.reusable_tokens);
             cost.stale_version_ms = rates.stale_version_ms;
             cost.stale_reading_ms = to_read as f64 / rates.prefill_tokens_per_ms;
         }
-        (cost, supply)
+        (cost, plan)
     }
 
     /// Adds what other nodes have sent unseen. It fills the engines that look cheapest
     /// to everyone; what an engine costs for this prompt alone does not count in that.
     /// This request has a random place among those that are sent in the same time.
-    fn add_unseen(&self, estimated: &mut [(&Engine, Cost, Supply)]) {
+    fn add_unreported_load(&self, estimated: &mut [(&Engine, Cost, TransferPlan)]) {
         let Some(prompt) = &self.criteria.prompt else {
             return;
         };
         let Some(age_ms) = self.view.peer_loads.age_ms(self.now) else {
             return;
         };
-        let own_tokens = self.view.recent_reading.per_ms(self.now);
+        let own_tokens = self.view.recent_prefill.per_ms(self.now);
         let other_nodes = self.view.peer_loads.peer_count() as f64;
-        let unseen_ms = age_ms as f64 + REPORT_WAIT_MS;
-        let tokens = own_tokens * other_nodes * unseen_ms;
+        let unreported_ms = age_ms as f64 + REPORT_WAIT_MS;
+        let tokens = own_tokens * other_nodes * unreported_ms;
         // Others send to all engines of the service, of which these are a part.
-        let volume_ms = tokens / self.rates.prefill_tokens_per_ms / self.thinning;
-        let shared: Vec<f64> = estimated
+        let volume_ms = tokens / self.rates.prefill_tokens_per_ms / self.engines_per_candidate;
+        let base_ms: Vec<f64> = estimated
             .iter()
-            .map(|(_, cost, _)| cost.for_everyone_ms())
+            .map(|(_, cost, _)| cost.prompt_independent_ms())
             .collect();
-        let level = filled_level(&shared, volume_ms * prompt.place);
-        let lowest = shared.iter().copied().fold(f64::MAX, f64::min);
-        let level = level.min(lowest + MAX_UNSEEN_MS);
-        for ((_, cost, _), shared) in estimated.iter_mut().zip(&shared) {
-            cost.unseen_ms = (level - shared).max(0.0);
+        let level = filled_level(&base_ms, volume_ms * prompt.arrival_fraction);
+        let lowest = base_ms.iter().copied().fold(f64::MAX, f64::min);
+        let level = level.min(lowest + MAX_UNREPORTED_MS);
+        for ((_, cost, _), base_ms) in estimated.iter_mut().zip(&base_ms) {
+            cost.unreported_ms = (level - base_ms).max(0.0);
         }
     }
 
     /// Finds the cheapest way by which an engine can have the shared parts.
-    fn supply(
+    fn plan_transfer(
         &self,
         engine: &'a Engine,
         prompt: &PromptCriteria<'_>,
         rank: usize,
         cost: &mut Cost,
-        offers: &mut KnownOffers<'a>,
-    ) -> Supply {
+        offers: &mut OfferCache<'a>,
+    ) -> TransferPlan {
         let prefill_ms = |tokens: u64| tokens as f64 / self.rates.prefill_tokens_per_ms;
         let shared = prompt.shared_tokens();
         cost.reread_ms = self.reread_ms(engine, prompt, 0);
@@ -309,27 +309,27 @@
             if rank > 0 {
                 cost.eviction_ms = prefill_ms(shared) * self.rates.eviction_share;
             }
-            let region = self.place(engine).region;
+            let region = self.zone_view(engine).region;
             let home = self.homes.get(&region).filter(|home| {
                 let same_weights = home.weights_of(prompt.model) == engine.weights_of(prompt.model);
                 let is_unknown = self.view.caches.of(home.tag).is_none();
                 rank > 0 && same_weights && is_unknown && !home.health.is_suspected()
             });
             let instance = |home: &&Engine| CacheSource::Engine(home.record.instance.clone());
-            return Supply {
+            return TransferPlan {
                 source: home.map(instance),
-                ..Supply::default()
+                ..TransferPlan::default()
             };
         }
         let held = self.reach.held(engine);
-        let offering = Offering {
+        let context = OfferContext {
             view: self.view,
             reach: self.reach,
             prompt,
             prefill_tokens_per_ms: self.rates.prefill_tokens_per_ms,
             now: self.now,
         };
-        let offer = offers.best(&offering, engine, held);
+        let offer = offers.best(&context, engine, held);
         let offered = offer.as_ref().map_or(0, |offer| offer.kept_tokens);
         let kept = held.max(offered);
         let mut move_ms = 0.0;
@@ -340,10 +340,10 @@
         cost.eviction_ms = prefill_ms(shared - held) * self.rates.eviction_share;
         cost.prefill_ms = prefill_ms(shared.saturating_sub(kept));
         cost.reread_ms = self.reread_ms(engine, prompt, kept);
-        Supply {
+        TransferPlan {
             source: offer.map(|offer| offer.source()),
-            held_tokens: held,
-            kept_tokens: kept,
+            local_tokens: held,
+            reusable_tokens: kept,
             move_ms,
         }
     }
@@ -351,7 +351,7 @@
     /// Cost of reading again what others keep, when the engine has or is moved so many
     /// tokens. What nobody is known to keep may be kept in the prompt's home region.
     fn reread_ms(&self, engine: &Engine, prompt: &PromptCriteria<'_>, kept: u64) -> f64 {
-        let kept_elsewhere = match self.place(engine).region == self.home_region {
+        let kept_elsewhere = match self.zone_view(engine).region == self.home_region {
             true => self.reach.most_kept(engine.weights_of(prompt.model)),
             false => prompt.shared_tokens(),
         };
--- a/crates/balancing/src/service_index.rs
+++ b/crates/balancing/src/service_index.rs
@@ -24,14 +24,14 @@
     pub fn insert(&mut self, record: &EngineRecord) {
         self.instances.insert(record.instance.clone());
         let ring = self.rings.entry(record.zone.clone()).or_default();
-        ring.insert(place(&record.instance));
+        ring.insert(ring_entry(&record.instance));
     }
 
     /// Takes an engine out.
     pub fn remove(&mut self, record: &EngineRecord) {
         self.instances.remove(&record.instance);
         if let Some(ring) = self.rings.get_mut(&record.zone) {
-            ring.remove(&place(&record.instance));
+            ring.remove(&ring_entry(&record.instance));
         }
         self.rings.retain(|_, ring| !ring.is_empty());
     }
@@ -75,6 +75,6 @@
     }
 }
 
-fn place(instance: &InstanceId) -> (u64, InstanceId) {
+fn ring_entry(instance: &InstanceId) -> (u64, InstanceId) {
     (xxh3_64(instance.0.as_bytes()), instance.clone())
 }
--- a/crates/balancing/src/store_room.rs
+++ b/crates/balancing/src/store_admission.rs
@@ -8,9 +8,9 @@
 /// is saved.
 const LARGEST_OWN_SHARE: f64 = 0.4;
 /// The same while the store has room.
-const LARGEST_OWN_SHARE_WITH_ROOM: f64 = 1.5;
+const LARGEST_OWN_SHARE_WITH_FREE_CAPACITY: f64 = 1.5;
 /// Part of the store that is filled, up to which it counts as having room.
-const ROOMY_FILL: f64 = 0.7;
+const MAX_FREE_CAPACITY_FILL: f64 = 0.7;
 
 /// A prompt beside what the store keeps, in tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,8 +33,8 @@
 }
 
 /// Whether the store has room for copies of what is kept elsewhere.
-pub fn has_room(fill: StoreFill) -> bool {
-    fill.kept_tokens as f64 / (fill.capacity_tokens.max(1) as f64) < ROOMY_FILL
+pub fn has_free_capacity(fill: StoreFill) -> bool {
+    fill.kept_tokens as f64 / (fill.capacity_tokens.max(1) as f64) < MAX_FREE_CAPACITY_FILL
 }
 
 /// Whether the shared parts that the store lacks outweigh the prompt's own part.
@@ -45,8 +45,8 @@
     if lacking_tokens == 0 {
         return false;
     }
-    let largest_share = match has_room(fill) {
-        true => LARGEST_OWN_SHARE_WITH_ROOM,
+    let largest_share = match has_free_capacity(fill) {
+        true => LARGEST_OWN_SHARE_WITH_FREE_CAPACITY,
         false => LARGEST_OWN_SHARE,
     };
     candidate.own_tokens as f64 <= lacking_tokens as f64 * largest_share
--- a/crates/balancing/src/supply.rs
+++ b/crates/balancing/src/transfer_sources.rs
@@ -22,13 +22,13 @@
 
 /// How an engine can have the shared parts of a prompt.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Supply {
+pub(crate) struct TransferPlan {
     /// Where it can have what it lacks.
     pub(crate) source: Option<CacheSource>,
     /// Tokens that it keeps itself.
-    pub(crate) held_tokens: u64,
+    pub(crate) local_tokens: u64,
     /// Tokens that need not be read.
-    pub(crate) kept_tokens: u64,
+    pub(crate) reusable_tokens: u64,
     /// Time of the move, in milliseconds.
     pub(crate) move_ms: f64,
 }
@@ -36,7 +36,7 @@
 /// What a source keeps of a prompt, and the time to move what an engine lacks.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Offer<'a> {
-    source: SourceName<'a>,
+    source: SourceId<'a>,
     /// Tokens of the shared parts that it keeps.
     pub(crate) kept_tokens: u64,
     /// Time until the move begins, in milliseconds.
@@ -49,7 +49,7 @@
 
 /// Which source it is.
 #[derive(Clone, Copy, Debug)]
-enum SourceName<'a> {
+enum SourceId<'a> {
     Engine(&'a InstanceId),
     Store(SocketAddr),
 }
@@ -58,14 +58,14 @@
     /// The source.
     pub(crate) fn source(&self) -> CacheSource {
         match self.source {
-            SourceName::Engine(instance) => CacheSource::Engine(instance.clone()),
-            SourceName::Store(address) => CacheSource::Store(address),
+            SourceId::Engine(instance) => CacheSource::Engine(instance.clone()),
+            SourceId::Store(address) => CacheSource::Store(address),
         }
     }
 }
 
 /// What the offers of all sources for one prompt follow from.
-pub(crate) struct Offering<'b, 'a> {
+pub(crate) struct OfferContext<'b, 'a> {
     /// What is known of the fleet.
     pub(crate) view: &'b FleetView<'a>,
     /// Who keeps the prompt's shared parts.
@@ -83,13 +83,13 @@
     zone: &'a ZoneName,
     kept_tokens: u64,
     tokens_per_ms: f64,
-    name: SourceName<'a>,
+    name: SourceId<'a>,
 }
 
 /// Engines that have the same offers: those of a zone with the same weights, as much of
 /// the prompt and the same wait, none of them a source itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Alike<'a> {
+struct OfferKey<'a> {
     zone: &'a ZoneName,
     weights: u64,
     held: u64,
@@ -99,54 +99,54 @@
 /// The best offers that were found for a prompt: a fleet has far more engines than
 /// kinds of them.
 #[derive(Debug, Default)]
-pub(crate) struct KnownOffers<'a> {
-    found: HashMap<Alike<'a>, Option<Offer<'a>>>,
+pub(crate) struct OfferCache<'a> {
+    found: HashMap<OfferKey<'a>, Option<Offer<'a>>>,
 }
 
-impl<'a> KnownOffers<'a> {
+impl<'a> OfferCache<'a> {
     /// The best offer for an engine. Nothing when no source has any part, or when a move
     /// to the engine would not be begun.
     pub(crate) fn best(
         &mut self,
-        offering: &Offering<'_, 'a>,
+        context: &OfferContext<'_, 'a>,
         engine: &'a Engine,
         held: u64,
     ) -> Option<Offer<'a>> {
-        let wait_ms = offering.view.moves.wait_ms(engine.tag, offering.now);
+        let wait_ms = context.view.moves.wait_ms(engine.tag, context.now);
         if wait_ms > LONGEST_WAIT_MS {
             return None;
         }
-        let find = || best_offer(offering, engine, held, wait_ms);
-        if offering.reach.is_source(engine, offering.prompt.model) {
+        let find = || best_offer(context, engine, held, wait_ms);
+        if context.reach.is_source(engine, context.prompt.model) {
             return find();
         }
-        let alike = Alike {
+        let key = OfferKey {
             zone: &engine.record.zone,
-            weights: engine.weights_of(offering.prompt.model),
+            weights: engine.weights_of(context.prompt.model),
             held,
             wait_ms: wait_ms as u64,
         };
-        *self.found.entry(alike).or_insert_with(find)
+        *self.found.entry(key).or_insert_with(find)
     }
 }
 
 /// The source by which the engine has the shared parts soonest: the move, and reading
 /// what the source lacks. Of sources that differ in nothing, the nearest.
 fn best_offer<'a>(
-    offering: &Offering<'_, 'a>,
+    context: &OfferContext<'_, 'a>,
     engine: &Engine,
     held: u64,
     wait_ms: f64,
 ) -> Option<Offer<'a>> {
-    let Offering { reach, prompt, .. } = offering;
+    let OfferContext { reach, prompt, .. } = context;
     let engines = reach.sources(engine, prompt.model);
     let engines = engines.map(|(source, kept_tokens)| Source {
         zone: &source.record.zone,
         kept_tokens,
         tokens_per_ms: prompt.move_tokens_per_ms,
-        name: SourceName::Engine(&source.record.instance),
+        name: SourceId::Engine(&source.record.instance),
     });
-    let topology = offering.view.topology;
+    let topology = context.view.topology;
     let is_near = |store: &StoreView<'_>| {
         topology.distance(store.zone, &engine.record.zone) != Distance::OtherRegion
     };
@@ -156,12 +156,12 @@
         zone: store.zone,
         kept_tokens: *kept_tokens,
         tokens_per_ms: store.tokens_per_ms,
-        name: SourceName::Store(store.address),
+        name: SourceId::Store(store.address),
     });
     let offers = engines.chain(stores);
-    let offers = offers.map(|source| offer(offering, engine, held, wait_ms, source));
+    let offers = offers.map(|source| offer(context, engine, held, wait_ms, source));
     offers.min_by(|a, b| {
-        let by_time = soonest_ms(offering, held, a).total_cmp(&soonest_ms(offering, held, b));
+        let by_time = completion_ms(context, held, a).total_cmp(&completion_ms(context, held, b));
         by_time
             .then(a.distance.cmp(&b.distance))
             .then(b.kept_tokens.cmp(&a.kept_tokens))
@@ -169,13 +169,13 @@
 }
 
 fn offer<'a>(
-    offering: &Offering<'_, '_>,
+    context: &OfferContext<'_, '_>,
     engine: &Engine,
     held: u64,
     wait_ms: f64,
     source: Source<'a>,
 ) -> Offer<'a> {
-    let topology = offering.view.topology;
+    let topology = context.view.topology;
     let distance = topology.distance(source.zone, &engine.record.zone);
     let moved = source.kept_tokens.saturating_sub(held) as f64;
     Offer {
@@ -188,8 +188,8 @@
 }
 
 /// Time after which the engine has all shared parts by an offer, in milliseconds.
-fn soonest_ms(offering: &Offering<'_, '_>, held: u64, offer: &Offer<'_>) -> f64 {
-    let shared = offering.prompt.shared_tokens();
+fn completion_ms(context: &OfferContext<'_, '_>, held: u64, offer: &Offer<'_>) -> f64 {
+    let shared = context.prompt.shared_tokens();
     let to_read = shared.saturating_sub(offer.kept_tokens.max(held));
-    offer.move_ms + to_read as f64 / offering.prefill_tokens_per_ms
+    offer.move_ms + to_read as f64 / context.prefill_tokens_per_ms
 }
--- a/crates/balancing/src/unseen_reading.rs
+++ b/crates/balancing/src/unreported_load.rs
@@ -13,22 +13,22 @@
 const DECAY_MS: u64 = 3_000;
 
 /// Prompt tokens that this node gave engines to read lately.
-pub type RecentReading = DecayingSum<DECAY_MS>;
+pub type RecentPrefill = DecayingSum<DECAY_MS>;
 
 /// The level up to which a volume fills engines of these costs, cheapest first. Costs
 /// and volume in milliseconds; without engines or volume it is the lowest cost.
 pub fn filled_level(costs: &[f64], volume_ms: f64) -> f64 {
     let mut sorted = costs.to_vec();
     sorted.sort_by(f64::total_cmp);
-    let mut poured = 0.0;
+    let mut used_ms = 0.0;
     let mut level = sorted.first().copied().unwrap_or(0.0);
     for (filled, cost) in sorted.iter().enumerate().skip(1) {
         let needed = (cost - level) * filled as f64;
-        if poured + needed >= volume_ms {
-            return level + (volume_ms - poured) / filled as f64;
+        if used_ms + needed >= volume_ms {
+            return level + (volume_ms - used_ms) / filled as f64;
         }
-        poured += needed;
+        used_ms += needed;
         level = *cost;
     }
-    level + (volume_ms - poured) / sorted.len().max(1) as f64
+    level + (volume_ms - used_ms) / sorted.len().max(1) as f64
 }
--- a/crates/balancing/tests/attempts.rs
+++ b/crates/balancing/tests/attempts.rs
@@ -44,7 +44,7 @@
             if matches!(outcome, AttemptOutcome::Failed | AttemptOutcome::Broken) {
                 may_have_run += 1;
             }
-            let goes_on = ledger.note(instance, outcome);
+            let goes_on = ledger.record_outcome(instance, outcome);
             prop_assert!(sent_to.len() as u32 <= max_engines.max(1));
             prop_assert!(is_repeatable || may_have_run <= 1);
             prop_assert_eq!(ledger.run_state() == RunState::NotRun, may_have_run == 0);
@@ -66,10 +66,10 @@
 fn an_engine_with_other_weights_is_asked_once_more_and_only_once() {
     let mut ledger = ledger(false, 1);
     let engine = InstanceId("e".to_owned());
-    assert!(ledger.note(engine.clone(), AttemptOutcome::OtherWeights));
+    assert!(ledger.record_outcome(engine.clone(), AttemptOutcome::OtherWeights));
     assert!(ledger.tried().is_empty());
     assert!(ledger.next_is_repeat());
-    assert!(!ledger.note(engine, AttemptOutcome::OtherWeights));
+    assert!(!ledger.record_outcome(engine, AttemptOutcome::OtherWeights));
     assert_eq!(ledger.run_state(), RunState::NotRun);
 }
 
@@ -78,9 +78,9 @@
     for outcome in [AttemptOutcome::Unreachable, AttemptOutcome::Refused] {
         let mut ledger = ledger(true, 2);
         let engine = InstanceId("e".to_owned());
-        ledger.note_lost_sending(&engine);
+        ledger.record_lost_send(&engine);
         assert!(ledger.next_is_repeat());
-        assert!(ledger.note(engine, outcome));
+        assert!(ledger.record_outcome(engine, outcome));
         assert_eq!(ledger.run_state(), RunState::Unknown, "{outcome:?}");
     }
 }
@@ -88,11 +88,11 @@
 #[test]
 fn unreachable_engines_do_not_count_as_sent_to_but_end_some_time() {
     let mut ledger = ledger(false, 1);
-    let note = |ledger: &mut AttemptLedger, number: u32| {
+    let fail = |ledger: &mut AttemptLedger, number: u32| {
         let engine = InstanceId(format!("e{number}"));
-        ledger.note(engine, AttemptOutcome::Unreachable)
+        ledger.record_outcome(engine, AttemptOutcome::Unreachable)
     };
-    assert!(note(&mut ledger, 0) && note(&mut ledger, 1) && note(&mut ledger, 2));
+    assert!(fail(&mut ledger, 0) && fail(&mut ledger, 1) && fail(&mut ledger, 2));
     assert!(!ledger.next_is_repeat());
-    assert!(!note(&mut ledger, 3));
+    assert!(!fail(&mut ledger, 3));
 }
--- a/crates/balancing/tests/candidates.rs
+++ b/crates/balancing/tests/candidates.rs
@@ -19,7 +19,7 @@
 use ploverlift_balancing::prefix_holders::PrefixHolders;
 use ploverlift_balancing::round_trips::RoundTrips;
 use ploverlift_balancing::selection::{choose, Choice, NoChoice};
-use ploverlift_balancing::unseen_reading::RecentReading;
+use ploverlift_balancing::unreported_load::RecentPrefill;
 use ploverlift_policy::ids::ZoneName;
 use ploverlift_routing::configuration::ServiceName;
 use ploverlift_routing::prompt::{cache_salt, part_keys, ChainKey, PromptPart};
@@ -29,7 +29,7 @@
 
 const ZONES: [&str; 5] = ["a", "b", "c", "d", "e"];
 /// Engines that one choice looks at, at most, however many there are.
-const MOST_CANDIDATES: usize = 72;
+const MAX_CANDIDATES: usize = 72;
 /// What a choice may cost more than an engine without work, in milliseconds.
 const BOUND_MS: f64 = 20.0;
 
@@ -40,7 +40,7 @@
     topology: Topology,
     round_trips: RoundTrips,
     caches: EngineCaches,
-    reading: RecentReading,
+    reading: RecentPrefill,
     moves: MovesUnderWay,
 }
 
@@ -49,7 +49,7 @@
 struct Request<'a> {
     zone: &'a str,
     key: u64,
-    draw: u64,
+    sample_seed: u64,
     excluded: &'a [InstanceId],
 }
 
@@ -69,7 +69,7 @@
             topology: Topology::default(),
             round_trips: RoundTrips::default(),
             caches: EngineCaches::default(),
-            reading: RecentReading::default(),
+            reading: RecentPrefill::default(),
             moves: MovesUnderWay::default(),
         }
     }
@@ -82,7 +82,7 @@
             peer_loads: &self.loads,
             holders: &self.holders,
             caches: &self.caches,
-            recent_reading: &self.reading,
+            recent_prefill: &self.reading,
             moves: &self.moves,
             cache_stores: Vec::new(),
         };
@@ -97,10 +97,10 @@
                 shared: &parts(request.key),
                 move_tokens_per_ms: 1_000.0,
                 required_weights: 0,
-                place: 0.5,
+                arrival_fraction: 0.5,
             }),
             software: SoftwareRule::default(),
-            draw: request.draw,
+            sample_seed: request.sample_seed,
             excluded: request.excluded,
             leaving_grace_ms: 0,
             avoids_limited: false,
@@ -120,7 +120,7 @@
     Request {
         zone: "a",
         key,
-        draw: key.wrapping_mul(77),
+        sample_seed: key.wrapping_mul(77),
         excluded: &[],
     }
 }
@@ -130,7 +130,7 @@
     for engines in [3_000, 10_000] {
         let fleet = Fleet::new(engines);
         let choice = fleet.choose(request(5)).expect("a choice");
-        assert!(choice.candidates <= MOST_CANDIDATES, "{choice:?}");
+        assert!(choice.candidates <= MAX_CANDIDATES, "{choice:?}");
     }
 }
 
@@ -141,7 +141,7 @@
         let chosen = ZONES.map(|zone| {
             let here = Request {
                 zone,
-                draw: key + zone.len() as u64,
+                sample_seed: key + zone.len() as u64,
                 ..request(key)
             };
             let choice = fleet.choose(here).expect("a choice");
@@ -150,7 +150,7 @@
         let engines: BTreeSet<_> = chosen.iter().collect();
         assert!(engines.len() <= ZONES.len(), "{engines:?}");
         let again = Request {
-            draw: 99_999 + key,
+            sample_seed: 99_999 + key,
             ..request(key)
         };
         assert_eq!(fleet.choose(again).expect("a choice").instance, chosen[0]);
@@ -176,7 +176,7 @@
         let keys = part_keys(&cache_salt("m", 1, ""), &parts(key));
         fleet.holders.note_own(&keys, keeper, NOW);
         let choice = fleet.choose(request(key)).expect("a choice");
-        assert!(choice.kept_tokens == 6_300, "{choice:?}");
+        assert!(choice.reusable_tokens == 6_300, "{choice:?}");
     }
 }
 
--- a/crates/balancing/tests/choices/cache_moves.rs
+++ b/crates/balancing/tests/choices/cache_moves.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::{instance, tag, NOW};
 use crate::site::{address, Known, ZONES};
-use ploverlift_balancing::supply::CacheSource;
+use ploverlift_balancing::transfer_sources::CacheSource;
 use ploverlift_policy::ids::ZoneName;
 use ploverlift_routing::topology::Distance;
 
@@ -38,7 +38,7 @@
     }
     let choice = known.choice("w1", 0);
     assert_ne!(choice.distance, Distance::OtherRegion);
-    assert_eq!((choice.source, choice.kept_tokens), (None, 0));
+    assert_eq!((choice.source, choice.reusable_tokens), (None, 0));
     assert!(choice.cost.reread_ms > 0.0);
 }
 
@@ -63,6 +63,6 @@
     assert!((choice.cost.transfer_ms - 804.0).abs() < 1.0);
     known.moves.begin(tag(0), 1_300.0, NOW);
     let choice = known.choice("w1", 0);
-    assert_eq!((choice.source, choice.kept_tokens), (None, 0));
+    assert_eq!((choice.source, choice.reusable_tokens), (None, 0));
     assert_eq!(known.moves.wait_ms(tag(0), NOW.plus(2_200)), 0.0);
 }
--- a/crates/balancing/tests/choices/main.rs
+++ b/crates/balancing/tests/choices/main.rs
@@ -11,4 +11,4 @@
 mod round_trips;
 mod shared_knowledge;
 mod site;
-mod unseen_reading;
+mod unreported_load;
--- a/crates/balancing/tests/choices/one_node.rs
+++ b/crates/balancing/tests/choices/one_node.rs
@@ -10,7 +10,7 @@
 use ploverlift_balancing::prefix_holders::PrefixHolders;
 use ploverlift_balancing::round_trips::RoundTrips;
 use ploverlift_balancing::selection::{choose, NoChoice};
-use ploverlift_balancing::unseen_reading::RecentReading;
+use ploverlift_balancing::unreported_load::RecentPrefill;
 use ploverlift_policy::ids::{Millis, ZoneName};
 use ploverlift_routing::configuration::ServiceName;
 use ploverlift_routing::prompt::{ChainKey, PromptPart};
@@ -54,7 +54,7 @@
         }],
         move_tokens_per_ms: f64::INFINITY,
         required_weights,
-        place: 0.0,
+        arrival_fraction: 0.0,
     };
     let view = FleetView {
         topology: &Topology::default(),
@@ -64,7 +64,7 @@
         peer_loads: &PeerLoads::default(),
         holders: &PrefixHolders::default(),
         caches: &EngineCaches::default(),
-        recent_reading: &RecentReading::default(),
+        recent_prefill: &RecentPrefill::default(),
         cache_stores: Vec::new(),
     };
     let criteria = Criteria {
@@ -73,7 +73,7 @@
         request_bytes: 0,
         prompt: Some(prompt),
         software: SoftwareRule::Any,
-        draw: 1,
+        sample_seed: 1,
         excluded,
         leaving_grace_ms: 0,
         avoids_limited: false,
--- a/crates/balancing/tests/choices/reports.rs
+++ b/crates/balancing/tests/choices/reports.rs
@@ -12,7 +12,7 @@
 use ploverlift_balancing::prefix_holders::PrefixHolders;
 use ploverlift_balancing::round_trips::RoundTrips;
 use ploverlift_balancing::selection::{choose, Choice};
-use ploverlift_balancing::unseen_reading::RecentReading;
+use ploverlift_balancing::unreported_load::RecentPrefill;
 use ploverlift_policy::ids::{Millis, ZoneName};
 use ploverlift_routing::configuration::ServiceName;
 use ploverlift_routing::prompt::{cache_salt, part_keys, ChainKey, PromptPart};
@@ -87,7 +87,7 @@
         peer_loads: loads,
         holders,
         caches,
-        recent_reading: &RecentReading::default(),
+        recent_prefill: &RecentPrefill::default(),
         cache_stores: Vec::new(),
     };
     chosen_in(&view, &parts(), 0.0, now)
@@ -95,9 +95,14 @@
 
 /// The choice for a prompt with these shared parts and this place among those that are
 /// sent unseen.
-pub fn chosen_in(view: &FleetView<'_>, shared: &[PromptPart], place: f64, now: Millis) -> Choice {
+pub fn chosen_in(
+    view: &FleetView<'_>,
+    shared: &[PromptPart],
+    arrival_fraction: f64,
+    now: Millis,
+) -> Choice {
     let prompt = PromptCriteria {
-        place,
+        arrival_fraction,
         ..criteria_of(shared)
     };
     chosen_for(view, prompt, now)
@@ -112,7 +117,7 @@
         shared,
         move_tokens_per_ms: f64::INFINITY,
         required_weights: 0,
-        place: 0.0,
+        arrival_fraction: 0.0,
     }
 }
 
@@ -124,7 +129,7 @@
         request_bytes: 0,
         prompt: Some(prompt),
         software: SoftwareRule::Any,
-        draw: 1,
+        sample_seed: 1,
         excluded: &[],
         leaving_grace_ms: 0,
         avoids_limited: false,
--- a/crates/balancing/tests/choices/shared_knowledge.rs
+++ b/crates/balancing/tests/choices/shared_knowledge.rs
@@ -11,8 +11,8 @@
 use ploverlift_balancing::peer_loads::{EngineTag, PeerId, PeerLoads};
 use ploverlift_balancing::prefix_holders::PrefixHolders;
 use ploverlift_balancing::round_trips::RoundTrips;
-use ploverlift_balancing::supply::CacheSource;
-use ploverlift_balancing::unseen_reading::RecentReading;
+use ploverlift_balancing::transfer_sources::CacheSource;
+use ploverlift_balancing::unreported_load::RecentPrefill;
 use ploverlift_policy::ids::{Millis, ZoneName};
 use ploverlift_routing::prompt::{cache_salt, part_keys};
 use ploverlift_routing::topology::Topology;
@@ -56,7 +56,7 @@
     let holders = kept_by(&[other], 1, 2);
     let choice = chosen(&catalogue, &PeerLoads::default(), &holders);
     assert_eq!(choice.instance, instance(other));
-    assert_eq!((choice.source, choice.kept_tokens), (None, 6_000));
+    assert_eq!((choice.source, choice.reusable_tokens), (None, 6_000));
 }
 
 #[test]
@@ -71,7 +71,10 @@
     let choice = chosen(&catalogue, &PeerLoads::default(), &holders);
     assert_eq!(choice.instance, instance(1));
     assert_eq!(choice.source, Some(CacheSource::Engine(instance(0))));
-    assert_eq!((choice.held_tokens, choice.kept_tokens), (2_000, 6_000));
+    assert_eq!(
+        (choice.local_tokens, choice.reusable_tokens),
+        (2_000, 6_000)
+    );
     assert!(choice.cost.eviction_ms > 0.0 && choice.cost.prefill_ms == 0.0);
 }
 
@@ -92,7 +95,10 @@
     let later = Millis(NOW.0 + 5_000);
     let loads = PeerLoads::default();
     let choice = chosen_at(&catalogue, &loads, &holders, &caches, later);
-    assert_eq!((choice.instance, choice.kept_tokens), (instance(2), 6_000));
+    assert_eq!(
+        (choice.instance, choice.reusable_tokens),
+        (instance(2), 6_000)
+    );
     // Without events the placement is all that is known.
     let choice = chosen_at(
         &catalogue,
@@ -139,7 +145,7 @@
             peer_loads: &PeerLoads::default(),
             holders,
             caches: &EngineCaches::default(),
-            recent_reading: &RecentReading::default(),
+            recent_prefill: &RecentPrefill::default(),
             cache_stores: vec![StoreView {
                 address: SocketAddr::from(([127, 0, 0, 1], 1)),
                 contents: &contents,
@@ -153,13 +159,13 @@
     let choice = choice_with(300.0, &PrefixHolders::default());
     let store = SocketAddr::from(([127, 0, 0, 1], 1));
     assert_eq!(choice.source, Some(CacheSource::Store(store)));
-    assert_eq!((choice.held_tokens, choice.kept_tokens), (0, 6_000));
+    assert_eq!((choice.local_tokens, choice.reusable_tokens), (0, 6_000));
     assert_eq!(choice.cost.prefill_ms, 0.0);
     assert!((choice.cost.transfer_ms - 40.0).abs() < 1.5);
     // An engine that keeps the prompt itself needs no move.
     let holders = kept_by(&[0], 1, 2);
     let choice = choice_with(300.0, &holders);
-    assert_eq!((choice.instance, choice.held_tokens), (instance(0), 6_000));
+    assert_eq!((choice.instance, choice.local_tokens), (instance(0), 6_000));
 }
 
 #[test]
@@ -170,7 +176,7 @@
     loads.apply(&report(1, 1, &[(tag(1), load(1, 90_000))]), NOW);
     let choice = chosen(&catalogue, &loads, &holders);
     assert_eq!(choice.instance, instance(0));
-    assert_eq!((choice.source, choice.kept_tokens), (None, 0));
+    assert_eq!((choice.source, choice.reusable_tokens), (None, 0));
 }
 
 #[test]
--- a/crates/balancing/tests/choices/site.rs
+++ b/crates/balancing/tests/choices/site.rs
@@ -11,7 +11,7 @@
 use ploverlift_balancing::prefix_holders::PrefixHolders;
 use ploverlift_balancing::round_trips::RoundTrips;
 use ploverlift_balancing::selection::{choose, Choice};
-use ploverlift_balancing::unseen_reading::RecentReading;
+use ploverlift_balancing::unreported_load::RecentPrefill;
 use ploverlift_policy::ids::ZoneName;
 use ploverlift_routing::configuration::ServiceName;
 use ploverlift_routing::prompt::{cache_salt, part_keys, ChainKey, PromptPart};
@@ -151,7 +151,7 @@
             peer_loads: &self.loads,
             holders: &self.holders,
             caches: &EngineCaches::default(),
-            recent_reading: &RecentReading::default(),
+            recent_prefill: &RecentPrefill::default(),
             moves: &self.moves,
             cache_stores: stores.collect(),
         };
@@ -166,10 +166,10 @@
                 shared: &self.shared,
                 move_tokens_per_ms: MOVE_RATE,
                 required_weights: 0,
-                place: 0.0,
+                arrival_fraction: 0.0,
             }),
             software: SoftwareRule::Any,
-            draw: 1,
+            sample_seed: 1,
             excluded: &[],
             leaving_grace_ms: 0,
             avoids_limited: false,
--- a/crates/balancing/tests/choices/unseen_reading.rs
+++ b/crates/balancing/tests/choices/unreported_load.rs
@@ -9,7 +9,7 @@
 use ploverlift_balancing::peer_loads::PeerLoads;
 use ploverlift_balancing::round_trips::RoundTrips;
 use ploverlift_balancing::selection::Choice;
-use ploverlift_balancing::unseen_reading::{filled_level, RecentReading};
+use ploverlift_balancing::unreported_load::{filled_level, RecentPrefill};
 use ploverlift_policy::ids::Millis;
 use ploverlift_routing::prompt::PromptPart;
 use ploverlift_routing::topology::Topology;
@@ -17,13 +17,13 @@
 /// The choice of a node among ten others that heard of their loads 200 ms ago and has
 /// itself given engines `tokens` to read just now; the request has this place among
 /// those that are sent unseen.
-fn chosen_after_sending(catalogue: &EngineCatalogue, tokens: u64, place: f64) -> Choice {
+fn chosen_after_sending(catalogue: &EngineCatalogue, tokens: u64, arrival_fraction: f64) -> Choice {
     let mut loads = PeerLoads::default();
     for peer in 1..=10 {
         loads.apply(&report(peer, 1, &[]), Millis(NOW.0 - 200));
     }
-    let mut recent_reading = RecentReading::default();
-    recent_reading.note(tokens as f64, NOW);
+    let mut recent_prefill = RecentPrefill::default();
+    recent_prefill.note(tokens as f64, NOW);
     let shared = [PromptPart { id: 1, tokens: 100 }];
     let view = FleetView {
         topology: &Topology::default(),
@@ -33,10 +33,10 @@
         peer_loads: &loads,
         holders: &kept_by(&(0..20).collect::<Vec<_>>(), 1, 1),
         caches: &EngineCaches::default(),
-        recent_reading: &recent_reading,
+        recent_prefill: &recent_prefill,
         cache_stores: Vec::new(),
     };
-    chosen_in(&view, &shared, place, NOW)
+    chosen_in(&view, &shared, arrival_fraction, NOW)
 }
 
 /// An engine that has just loaded a new version looks best to every node at the same
@@ -46,7 +46,9 @@
     let mut weights = [1_u64; 20];
     weights[3] = 2;
     let catalogue = catalogue(&weights);
-    let chosen = |tokens, place| chosen_after_sending(&catalogue, tokens, place).instance;
+    let chosen = |tokens, arrival_fraction| {
+        chosen_after_sending(&catalogue, tokens, arrival_fraction).instance
+    };
     assert_eq!(chosen(0, 1.0), instance(3));
     assert_eq!(chosen(30_000, 0.0), instance(3));
     let elsewhere = (0..20).filter(|step| chosen(30_000, f64::from(*step) / 20.0) != instance(3));
@@ -58,9 +60,9 @@
 fn a_prompt_keeps_its_home_under_load() {
     let catalogue = catalogue(&[1; 20]);
     let home = chosen_after_sending(&catalogue, 0, 0.0).instance;
-    for place in [0.0, 0.3, 1.0] {
+    for arrival_fraction in [0.0, 0.3, 1.0] {
         assert_eq!(
-            chosen_after_sending(&catalogue, 60_000, place).instance,
+            chosen_after_sending(&catalogue, 60_000, arrival_fraction).instance,
             home
         );
     }
@@ -78,7 +80,7 @@
 
 #[test]
 fn reading_that_this_node_gave_engines_is_forgotten_within_seconds() {
-    let mut reading = RecentReading::default();
+    let mut reading = RecentPrefill::default();
     reading.note(30_000.0, NOW);
     assert!((reading.per_ms(NOW) - 10.0).abs() < 0.01);
     assert!(reading.per_ms(NOW.plus(9_000)) < 0.6);
--- a/crates/balancing/tests/overload.rs
+++ b/crates/balancing/tests/overload.rs
@@ -1,6 +1,6 @@
 //! Which part of the requests is refused while engines are overloaded.
 
-use ploverlift_balancing::overload::{Overload, OverloadLimits, Places, Urgency};
+use ploverlift_balancing::overload::{Overload, OverloadLimits, SlotOccupancy, Urgency};
 use ploverlift_policy::ids::Millis;
 
 const LIMITS: OverloadLimits = OverloadLimits {
@@ -56,12 +56,12 @@
 
 #[test]
 fn there_is_room_while_less_than_half_of_the_places_is_taken() {
-    let places = |requests| Places {
+    let occupancy = |requests| SlotOccupancy {
         requests,
         slots: 100,
     };
-    assert!(places(49).have_room());
-    assert!(!places(50).have_room());
+    assert!(occupancy(49).has_spare_slots());
+    assert!(!occupancy(50).has_spare_slots());
 }
 
 #[test]
@@ -99,9 +99,9 @@
 fn a_doubled_long_kind_beside_a_dark_quarter_costs_the_short_kind_nothing() {
     let mut overload = after_waits(360.0, 100);
     for _ in 0..50 {
-        overload.note_asked(Urgency::Least, 9_000.0 / 40.0, 400, NOW);
-        overload.note_asked(Urgency::Higher, 830.0 / 40.0, 400, NOW);
-        overload.note_asked(Urgency::Higher, 830.0 / 40.0, 400, NOW);
+        overload.record_demand(Urgency::Least, 9_000.0 / 40.0, 400, NOW);
+        overload.record_demand(Urgency::Higher, 830.0 / 40.0, 400, NOW);
+        overload.record_demand(Urgency::Higher, 830.0 / 40.0, 400, NOW);
     }
     let missing = 0.4;
     let least = overload.refused_share(Urgency::Least, &LIMITS, NOW);
@@ -114,8 +114,8 @@
 fn the_urgent_give_what_the_least_urgent_cannot() {
     let mut overload = after_waits(380.0, 100);
     for _ in 0..50 {
-        overload.note_asked(Urgency::Least, 20.0, 400, NOW);
-        overload.note_asked(Urgency::Higher, 180.0, 400, NOW);
+        overload.record_demand(Urgency::Least, 20.0, 400, NOW);
+        overload.record_demand(Urgency::Higher, 180.0, 400, NOW);
     }
     let least = overload.refused_share(Urgency::Least, &LIMITS, NOW);
     let higher = overload.refused_share(Urgency::Higher, &LIMITS, NOW);
@@ -126,9 +126,9 @@
 #[test]
 fn the_mix_that_was_asked_for_fades() {
     let mut overload = after_waits(360.0, 100);
-    overload.note_asked(Urgency::Higher, 1_000.0, 400, NOW);
+    overload.record_demand(Urgency::Higher, 1_000.0, 400, NOW);
     let later = NOW.plus(20_000);
-    overload.note_asked(Urgency::Least, 100.0, 400, later);
+    overload.record_demand(Urgency::Least, 100.0, 400, later);
     for _ in 0..100 {
         overload.observe(300.0, 400, later);
     }
@@ -142,7 +142,7 @@
     let waited = |urgent_is_asked: bool| {
         let mut overload = Overload::default();
         if urgent_is_asked {
-            overload.note_asked(Urgency::Higher, 20.0, 500, NOW);
+            overload.record_demand(Urgency::Higher, 20.0, 500, NOW);
         }
         for _ in 0..100 {
             overload.observe(600.0, 1_500, NOW);
--- a/crates/balancing/tests/prefill_rate.rs
+++ b/crates/balancing/tests/prefill_rate.rs
@@ -3,7 +3,7 @@
 use ploverlift_balancing::prefill_rate::PrefillRate;
 
 /// The rate in the settings, in tokens a millisecond.
-const USUAL: f64 = 40.0;
+const CONFIGURED: f64 = 40.0;
 
 /// A fleet as its answers show it.
 struct Fleet {
@@ -25,7 +25,7 @@
         let ms = fleet.start_ms + tokens as f64 / fleet.tokens_per_ms + noise_ms + stall_ms;
         rate.observe(tokens, ms as u64);
     }
-    rate.tokens_per_ms(USUAL)
+    rate.tokens_per_ms(CONFIGURED)
 }
 
 #[test]
@@ -66,11 +66,11 @@
     for _ in 0..10 {
         rate.observe(4_000, 900);
     }
-    assert_eq!(rate.tokens_per_ms(USUAL), USUAL);
+    assert_eq!(rate.tokens_per_ms(CONFIGURED), CONFIGURED);
     for _ in 0..500 {
         rate.observe(4_000, 900);
     }
-    assert_eq!(rate.tokens_per_ms(USUAL), USUAL);
+    assert_eq!(rate.tokens_per_ms(CONFIGURED), CONFIGURED);
 }
 
 #[test]
@@ -79,7 +79,7 @@
     for number in 0..200 {
         rate.observe(number * 50, number * 5_000);
     }
-    assert_eq!(rate.tokens_per_ms(USUAL), USUAL * 0.1);
+    assert_eq!(rate.tokens_per_ms(CONFIGURED), CONFIGURED * 0.1);
 }
 
 #[test]
@@ -91,6 +91,6 @@
     for tokens in (0..200).map(|number| number * 40) {
         rate.observe(tokens, 20 + tokens / 10);
     }
-    let learned = rate.tokens_per_ms(USUAL);
+    let learned = rate.tokens_per_ms(CONFIGURED);
     assert!((9.0..=12.0).contains(&learned), "{learned}");
 }
--- a/crates/balancing/tests/store_room.rs
+++ b/crates/balancing/tests/store_admission.rs
@@ -1,6 +1,6 @@
 //! Which prompts are saved to the KV cache store.
 
-use ploverlift_balancing::store_room::{is_worth_saving, SaveCandidate, StoreFill};
+use ploverlift_balancing::store_admission::{is_worth_saving, SaveCandidate, StoreFill};
 
 fn is_saved(shared_tokens: u64, own_tokens: u64, stored_tokens: u64, kept_tokens: u64) -> bool {
     let candidate = SaveCandidate {
--- a/crates/gateway/src/beliefs.rs
+++ b/crates/gateway/src/beliefs.rs
@@ -24,7 +24,7 @@
 use ploverlift_balancing::prefix_holders::{Placement, PrefixHolders};
 use ploverlift_balancing::retry_budget::{RetryBudget, RetryLimits};
 use ploverlift_balancing::round_trips::RoundTrips;
-use ploverlift_balancing::unseen_reading::RecentReading;
+use ploverlift_balancing::unreported_load::RecentPrefill;
 use ploverlift_balancing::weights::NamedWeights;
 use ploverlift_enginelimit::limits::EngineLimits;
 use ploverlift_policy::ids::Millis;
@@ -125,7 +125,7 @@
     /// What the engines whose events are followed keep.
     pub engine_caches: EngineCaches,
     /// What this node gave engines to read lately.
-    pub recent_reading: RecentReading,
+    pub recent_reading: RecentPrefill,
     /// Engines that load weights by this node's order.
     pub loading: Vec<InstanceId>,
     /// Engines that loaded weights by this node's order, and when.
@@ -167,7 +167,7 @@
             peer_loads: &self.peer_loads,
             holders: &self.holders,
             caches: &self.engine_caches,
-            recent_reading: &self.recent_reading,
+            recent_prefill: &self.recent_reading,
         }
     }
 
--- a/crates/gateway/src/forward/choice.rs
+++ b/crates/gateway/src/forward/choice.rs
@@ -15,8 +15,8 @@
 use ploverlift_balancing::fleet::{Criteria, PromptCriteria, StoreView};
 use ploverlift_balancing::peer_loads::EngineTag;
 use ploverlift_balancing::selection::{choose, Choice, NoChoice};
-use ploverlift_balancing::store_room::{has_room, is_worth_saving, SaveCandidate};
-use ploverlift_balancing::supply::CacheSource;
+use ploverlift_balancing::store_admission::{has_free_capacity, is_worth_saving, SaveCandidate};
+use ploverlift_balancing::transfer_sources::CacheSource;
 use ploverlift_policy::ids::Millis;
 use ploverlift_rollout::share::GateReason;
 use ploverlift_routing::configuration::CacheStore;
@@ -151,7 +151,7 @@
             request_bytes: self.received.body.len() as u64,
             prompt: self.prompt_criteria(beliefs, now)?,
             software: software.rule.clone(),
-            draw: fastrand::u64(..),
+            sample_seed: fastrand::u64(..),
             excluded: &not_spared,
             leaving_grace_ms: self.leaving_grace_ms(),
             avoids_limited: self.avoids_limited(),
@@ -191,7 +191,7 @@
             key: prompt.shared_key(scope),
             shared: prompt.shared_parts(),
             move_tokens_per_ms: self.move_tokens_per_ms(self.engine_link_mbps()),
-            place: fastrand::f64(),
+            arrival_fraction: fastrand::f64(),
             required_weights: required.ok_or(NoChoice::WeightsNotProven)?,
         }))
     }
@@ -255,7 +255,7 @@
             may_begin_ms: None,
             cache: None,
             tokens_to_read: 0,
-            held_tokens: choice.held_tokens,
+            held_tokens: choice.local_tokens,
             cost: choice.cost,
             move_ms: choice.move_ms,
             distance: choice.distance,
@@ -272,7 +272,7 @@
                 weights: engine.weights_of(&prompt.model),
                 engine,
                 source: choice.source.as_ref(),
-                kept_tokens: choice.kept_tokens,
+                kept_tokens: choice.reusable_tokens,
             };
             chosen.weights = Some(placed.weights).filter(|weights| *weights > 0);
             let bounds = self.gateway.weights_bounds(0);
@@ -283,7 +283,7 @@
                     .left_ms(&prompt.model, weights, &bounds, now)
             };
             chosen.may_begin_ms = chosen.weights.map(left_ms);
-            chosen.tokens_to_read = prompt.tokens().saturating_sub(choice.kept_tokens);
+            chosen.tokens_to_read = prompt.tokens().saturating_sub(choice.reusable_tokens);
             chosen.cache = Some(self.transfer(beliefs, placed));
         }
         chosen
@@ -336,7 +336,7 @@
 ) -> bool {
     let fill = fill(store, belief);
     let shared = prompt.shared_parts();
-    if !has_room(fill) && is_kept_elsewhere(stores, store.address, salt, shared) {
+    if !has_free_capacity(fill) && is_kept_elsewhere(stores, store.address, salt, shared) {
         return false;
     }
     let shared_tokens = prompt.shared_tokens();
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -168,7 +168,7 @@
             }
             let chosen = match self.choose() {
                 Ok(chosen) => chosen,
-                Err(NoChoice::NoRoom) if self.token.is_none() => {
+                Err(NoChoice::RateLimited) if self.token.is_none() => {
                     if let Err(unservable) = self.acquire_any_token().await {
                         self.note_unservable(unservable);
                         return self.give_up().await;
@@ -239,7 +239,7 @@
             NoChoice::WeightsTooOld => "no engine has the new weights yet",
             NoChoice::WeightsNotProven => "it is not proven which weights are the newest",
             NoChoice::BackingOff => "this node backs off from all engines",
-            NoChoice::NoRoom => "the engine that takes a request may not serve it",
+            NoChoice::RateLimited => "the engine that takes a request may not serve it",
             NoChoice::AllTried => return,
         };
         reason.clone_into(&mut self.progress.reason);
@@ -278,7 +278,7 @@
                 AttemptOutcome::Broken
             }
         };
-        progress.attempts.note(instance, outcome) && self.has_time()
+        progress.attempts.record_outcome(instance, outcome) && self.has_time()
     }
 
     /// Whether the caller's key may still be accepted: the request may have waited here
--- a/crates/gateway/src/forward/prospects.rs
+++ b/crates/gateway/src/forward/prospects.rs
@@ -10,7 +10,7 @@
 use crate::beliefs::Beliefs;
 use crate::state::Gateway;
 use ploverlift_balancing::catalogue::Engine;
-use ploverlift_balancing::overload::{OverloadLimits, Places, Urgency};
+use ploverlift_balancing::overload::{OverloadLimits, SlotOccupancy, Urgency};
 use ploverlift_routing::configuration::{Route, ServiceName};
 use std::fmt::Write;
 use std::sync::Arc;
@@ -39,10 +39,10 @@
         self.note_asked(chosen);
         let mut unservable = self.hopeless(chosen).or_else(|| self.overloaded())?;
         let places = self.places();
-        if places.have_room() {
+        if places.has_spare_slots() {
             return None;
         }
-        let Places { requests, slots } = places;
+        let SlotOccupancy { requests, slots } = places;
         let _ = write!(unservable.reason, "; {requests} requests at {slots} places");
         Some(unservable)
     }
@@ -54,12 +54,12 @@
         let now = self.gateway.clock.now();
         let mut beliefs = self.gateway.beliefs();
         let overload = beliefs.overloads.entry(service).or_default();
-        overload.note_asked(urgency, chosen.cost.prefill_ms, objective_ms, now);
+        overload.record_demand(urgency, chosen.cost.prefill_ms, objective_ms, now);
     }
 
     fn hopeless(&self, chosen: &ChosenEngine) -> Option<Unservable> {
         let cost = &chosen.cost;
-        let expected_ms = cost.queue_ms + cost.unseen_ms + cost.transfer_ms + cost.prefill_ms;
+        let expected_ms = cost.queue_ms + cost.unreported_ms + cost.transfer_ms + cost.prefill_ms;
         let left_ms = self.received.limits.left_ms(self.gateway.clock.now());
         let is_hopeless = expected_ms * CERTAIN_SHARE > left_ms as f64;
         is_hopeless.then(|| Unservable {
@@ -115,7 +115,7 @@
     }
 
     /// Requests and places of the engines of the service that are up.
-    fn places(&self) -> Places {
+    fn places(&self) -> SlotOccupancy {
         let now = self.gateway.clock.now();
         let beliefs = self.gateway.beliefs();
         let engines = beliefs.engines.of_service(&self.received.admission.service);
@@ -126,7 +126,7 @@
         });
         let rooms = &beliefs.engines.rooms;
         let up = up.filter(|engine| rooms.has_room(engine.tag, now));
-        let mut places = Places::default();
+        let mut places = SlotOccupancy::default();
         for engine in up {
             places.requests += requests_at(&beliefs, engine);
             places.slots += u64::from(engine.record.slots);
--- a/crates/gateway/src/forward/record.rs
+++ b/crates/gateway/src/forward/record.rs
@@ -97,7 +97,7 @@
             chosen.held_tokens,
             chosen.tokens_to_read,
             cost.queue_ms,
-            cost.unseen_ms,
+            cost.unreported_ms,
             cost.transfer_ms,
             cost.eviction_ms,
             cost.prefill_ms,
--- a/crates/gateway/src/forward/sending.rs
+++ b/crates/gateway/src/forward/sending.rs
@@ -160,7 +160,7 @@
     /// What was sent and lost may have run: no later refusal of this request may say
     /// that it has not, and it stays counted against its tenant's limit.
     fn note_lost_sending(&mut self, chosen: &ChosenEngine) {
-        self.progress.attempts.note_lost_sending(&chosen.instance);
+        self.progress.attempts.record_lost_send(&chosen.instance);
         if let Some(reservation) = &mut self.received.admission.reservation {
             reservation.spend();
         }
