--- a/crates/balancing/examples/backoff_telling.rs
+++ b/crates/balancing/examples/backoff_telling.rs
@@ -15,7 +15,7 @@
 const SECONDS: u64 = 60;
 const BACKOFF_MS: u64 = 1_000;
 /// Time until all nodes know what one was told, in milliseconds.
-const TOLD_AFTER_MS: u64 = 20;
+const BROADCAST_DELAY_MS: u64 = 20;
 const LIFE: EngineLife = EngineLife {
     engine: EngineTag(1),
     born_ms: 0,
@@ -27,10 +27,10 @@
 }
 
 /// Plays requests at random moments; the engine takes so many a second.
-fn play(capacity: usize, tells_all: bool) -> Outcome {
+fn simulate(capacity: usize, is_broadcast: bool) -> Outcome {
     let mut random = fastrand::Rng::with_seed(1);
     let mut nodes = vec![EngineNotices::default(); NODES];
-    let mut told: Vec<(Millis, u64)> = Vec::new();
+    let mut pending_broadcasts: Vec<(Millis, u64)> = Vec::new();
     let mut taken = 0;
     let mut outcome = Outcome {
         served: 0,
@@ -41,7 +41,7 @@
         if at_ms % 1_000 == 0 {
             taken = 0;
         }
-        told.retain(|(due_at, left_ms)| {
+        pending_broadcasts.retain(|(due_at, left_ms)| {
             if *due_at <= now {
                 for node in &mut nodes {
                     node.note_backoff(LIFE, *left_ms, random.u64(..), now);
@@ -50,22 +50,25 @@
             *due_at > now
         });
         for node in &mut nodes {
-            let asks = random.u64(..1_000) == 0;
+            let sends_request = random.u64(..1_000) == 0;
             let heartbeat = Heartbeat::default();
-            if !asks || node.backoff(LIFE.engine, heartbeat, now).is_some() {
+            if !sends_request || node.backoff(LIFE.engine, heartbeat, now).is_some() {
                 continue;
             }
             // Its slots are free again at an even pace.
-            let room = capacity * (at_ms % 1_000 + 1) as usize / 1_000;
-            if taken < room {
+            let available = capacity * (at_ms % 1_000 + 1) as usize / 1_000;
+            if taken < available {
                 taken += 1;
                 outcome.served += 1;
                 continue;
             }
             outcome.turned_away += 1;
             node.note_backoff(LIFE, BACKOFF_MS, random.u64(..), now);
-            if tells_all {
-                told.push((now.plus(TOLD_AFTER_MS), BACKOFF_MS - TOLD_AFTER_MS));
+            if is_broadcast {
+                pending_broadcasts.push((
+                    now.plus(BROADCAST_DELAY_MS),
+                    BACKOFF_MS - BROADCAST_DELAY_MS,
+                ));
             }
         }
     }
@@ -75,11 +78,11 @@
 fn main() {
     println!("capacity/s  told    served/s  turned away/s");
     for capacity in [0, 200, 500, 900] {
-        for tells_all in [false, true] {
-            let outcome = play(capacity, tells_all);
+        for is_broadcast in [false, true] {
+            let outcome = simulate(capacity, is_broadcast);
             let per_second = |count: usize| count as f64 / SECONDS as f64;
             println!(
-                "{capacity:10}  {tells_all:5}  {:9.1}  {:13.1}",
+                "{capacity:10}  {is_broadcast:5}  {:9.1}  {:13.1}",
                 per_second(outcome.served),
                 per_second(outcome.turned_away)
             );
--- a/crates/balancing/tests/attempts.rs
+++ b/crates/balancing/tests/attempts.rs
@@ -22,7 +22,7 @@
     /// For any outcomes: at most one run of a request that may not be repeated,
     /// no more engines than allowed, "not run" only when it is true.
     #[test]
-    fn promises_hold_for_any_attempts(
+    fn run_state_and_limits_hold_for_any_attempts(
         is_repeatable: bool,
         max_engines in 0u32..4,
         outcomes in prop::collection::vec(outcome(), 1..12),
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn an_engine_with_other_weights_is_asked_once_more_and_only_once() {
+fn an_engine_with_other_weights_is_tried_once_more_and_only_once() {
     let mut ledger = ledger(false, 1);
     let engine = InstanceId("e".to_owned());
     assert!(ledger.record_outcome(engine.clone(), AttemptOutcome::OtherWeights));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_lost_sending_may_have_run_whatever_becomes_of_the_next_one() {
+fn a_lost_send_leaves_the_run_state_unknown_whatever_the_next_outcome() {
     for outcome in [AttemptOutcome::Unreachable, AttemptOutcome::Refused] {
         let mut ledger = ledger(true, 2);
         let engine = InstanceId("e".to_owned());
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn unreachable_engines_do_not_count_as_sent_to_but_end_some_time() {
+fn unreachable_engines_do_not_count_as_sent_to_but_are_limited() {
     let mut ledger = ledger(false, 1);
     let fail = |ledger: &mut AttemptLedger, number: u32| {
         let engine = InstanceId(format!("e{number}"));
--- a/crates/balancing/tests/candidates.rs
+++ b/crates/balancing/tests/candidates.rs
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_choice_looks_at_as_many_engines_however_large_the_fleet() {
+fn the_number_of_candidates_is_bounded_for_any_fleet_size() {
     for engines in [3_000, 10_000] {
         let fleet = Fleet::new(engines);
         let choice = fleet.choose(request(5)).expect("a choice");
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn an_engine_that_keeps_the_prompt_is_looked_at_wherever_it_is() {
+fn an_engine_that_keeps_the_prompt_is_a_candidate_in_any_zone() {
     let mut fleet = Fleet::new(3_000);
     for key in 0..20 {
         let keeper = tag(1_234 + key as usize * 5);
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn where_no_candidate_may_serve_all_engines_are_looked_at() {
+fn all_engines_are_examined_where_no_candidate_may_serve() {
     let fleet = Fleet::new(600);
     let all = (0..600).map(|index| record(index).instance);
     let but_one: Vec<InstanceId> = all
--- a/crates/balancing/tests/choices/cache_stores.rs
+++ b/crates/balancing/tests/choices/cache_stores.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn what_a_lost_or_emptied_store_held_is_not_believed() {
+fn contents_of_a_lost_or_emptied_store_are_not_relied_on() {
     let part = parts().remove(0);
     let configured = [store(1, "w1")];
     let mut stores = CacheStores::default();
@@ -57,7 +57,7 @@
         let mut in_use = in_use.iter();
         in_use.any(|(_, belief)| belief.contents().has("s", &part))
     };
-    let hear = |stores: &mut CacheStores, epoch| {
+    let follow = |stores: &mut CacheStores, epoch| {
         let belief = stores.of_mut(address(1));
         belief.note_state(CacheStoreState::Followed);
         belief.contents_mut().apply(&CacheEvents {
@@ -65,7 +65,7 @@
             ..CacheEvents::default()
         });
     };
-    hear(&mut stores, 1);
+    follow(&mut stores, 1);
     let keep = |stores: &mut CacheStores| {
         let contents = stores.of_mut(address(1)).contents_mut();
         contents.note_kept("s", &part);
@@ -75,11 +75,11 @@
     // A call failed: nothing is believed until the store answers in the same life.
     stores.of_mut(address(1)).note_state(CacheStoreState::Lost);
     assert!(!believed(&stores));
-    hear(&mut stores, 1);
+    follow(&mut stores, 1);
     assert!(believed(&stores));
     // Another life of it began empty.
     stores.of_mut(address(1)).note_state(CacheStoreState::Lost);
-    hear(&mut stores, 2);
+    follow(&mut stores, 2);
     assert!(!believed(&stores));
     // Where it answers and tells nothing, its life is not known.
     keep(&mut stores);
--- a/crates/balancing/tests/choices/one_node.rs
+++ b/crates/balancing/tests/choices/one_node.rs
@@ -105,7 +105,7 @@
 
     /// Engines with weights that are too old, leaving or tried are never chosen.
     #[test]
-    fn no_engine_is_chosen_against_a_bar(
+    fn ineligible_engines_are_never_chosen(
         key: u64,
         old in prop::collection::vec(any::<bool>(), 6),
         leaving in prop::collection::vec(any::<bool>(), 6),
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn older_news_of_an_engine_is_ignored_also_after_it_is_gone() {
+fn older_records_of_an_engine_are_ignored_even_after_its_removal() {
     let mut catalogue = EngineCatalogue::default();
     let at = |revision: u64, is_leaving: bool| EngineRecord {
         revision,
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn an_engine_at_whose_address_another_answered_is_asked_again_later() {
+fn a_misdirected_engine_may_be_chosen_again_later() {
     let mut catalogue = catalogue(1);
     catalogue.note_misdirected(&instance(0), NOW);
     let choice = |catalogue: &EngineCatalogue, now| chosen(catalogue, "z0", 1, 0, &[], now);
--- a/crates/balancing/tests/choices/peer_loads.rs
+++ b/crates/balancing/tests/choices/peer_loads.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_silent_node_no_longer_counts() {
+fn loads_of_a_node_that_stops_reporting_expire() {
     let mut loads = PeerLoads::default();
     loads.apply(&report(1, 1, &[(tag(0), load(3, 900))]), NOW);
     loads.apply(&report(2, 1, &[(tag(0), load(1, 50))]), NOW.plus(1_500));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn engines_that_another_node_loads_are_known_until_it_says_otherwise() {
+fn engines_loading_for_another_node_are_known_until_its_next_report() {
     let mut loads = PeerLoads::default();
     let mut loading = report(1, 1, &[]);
     loading.loading = vec![tag(2)];
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn nodes_that_hear_of_each_other_agree_on_their_order() {
+fn nodes_that_receive_each_others_reports_agree_on_their_ranks() {
     let nodes = [7, 3, 9];
     let ranks = nodes.map(|own| {
         let mut loads = PeerLoads::default();
--- a/crates/balancing/tests/choices/prefix_holders.rs
+++ b/crates/balancing/tests/choices/prefix_holders.rs
@@ -6,7 +6,7 @@
 use ploverlift_routing::prompt::{cache_salt, part_keys, PartKey};
 
 #[test]
-fn a_dropped_part_is_told_once_and_no_longer_relied_on() {
+fn a_dropped_part_is_announced_once_and_no_longer_relied_on() {
     let part = PartKey(9);
     let mut follower = PrefixHolders::default();
     let mut other = PrefixHolders::default();
--- a/crates/balancing/tests/choices/regions.rs
+++ b/crates/balancing/tests/choices/regions.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn what_is_kept_elsewhere_costs_more_to_read_than_its_time() {
+fn reading_a_prompt_that_is_kept_elsewhere_costs_more_than_its_time() {
     let mut known = Known::new(3);
     known.keep(2);
     // The engine that keeps it has 60 ms of waiting and the way to it.
@@ -97,7 +97,7 @@
 
 /// Another region is worth it only when the wait here is longer than the way there.
 #[test]
-fn a_measured_round_trip_and_the_request_s_length_decide_how_far_another_region_is() {
+fn the_measured_round_trip_and_the_request_length_set_the_cost_of_another_region() {
     let mut known = Known::new(4);
     for engine in 0..4 {
         known.keep(engine);
--- a/crates/balancing/tests/choices/round_trips.rs
+++ b/crates/balancing/tests/choices/round_trips.rs
@@ -6,7 +6,7 @@
 use ploverlift_policy::ids::ZoneName;
 
 #[test]
-fn a_longer_way_is_noticed_after_two_windows() {
+fn a_longer_round_trip_is_noticed_after_two_windows() {
     let zone = ZoneName::from("e1");
     let mut round_trips = RoundTrips::default();
     assert_eq!(round_trips.to_ms(&zone, NOW), None);
--- a/crates/balancing/tests/choices/shared_knowledge.rs
+++ b/crates/balancing/tests/choices/shared_knowledge.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_prompt_in_front_counts_whoever_sent_it() {
+fn a_queued_prompt_counts_whichever_node_sent_it() {
     let catalogue = catalogue(&[1; 4]);
     let holders = kept_by(&[0, 1], 1, 2);
     let mut loads = PeerLoads::default();
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn an_engine_whose_events_tell_what_it_keeps_is_believed_over_old_placements() {
+fn cache_events_take_precedence_over_old_placements() {
     let catalogue = catalogue(&[1, 1, 1]);
     // Long ago the prompt was sent to the first engine; the events of all are
     // followed, and only the last one's tell of its parts.
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn each_engine_is_followed_by_as_many_nodes_as_it_has_room_for() {
+fn each_engine_is_followed_by_as_many_nodes_as_its_limit_allows() {
     let nodes: Vec<PeerId> = (1..=69).map(PeerId).collect();
     for engine in 0..90 {
         let followers = nodes.iter().filter(|own| {
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn what_the_store_keeps_need_not_be_read_and_its_move_takes_its_time() {
+fn parts_kept_by_a_store_are_not_read_again_and_their_move_takes_time() {
     let catalogue = catalogue(&[1, 1]);
     let salt = cache_salt("m", 1, "");
     let mut contents = CacheContents::default();
--- a/crates/balancing/tests/choices/unreported_load.rs
+++ b/crates/balancing/tests/choices/unreported_load.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn reading_that_this_node_gave_engines_is_forgotten_within_seconds() {
+fn recent_prefill_decays_within_seconds() {
     let mut reading = RecentPrefill::default();
     reading.note(30_000.0, NOW);
     assert!((reading.per_ms(NOW) - 10.0).abs() < 0.01);
--- a/crates/balancing/tests/load_width.rs
+++ b/crates/balancing/tests/load_width.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_width_settles_near_what_engines_bear() {
+fn the_width_settles_near_the_capacity() {
     for capacity in [8, 12, 28] {
         let mut width = LoadWidth::default();
         for _ in 0..12 {
@@ -85,13 +85,13 @@
 }
 
 #[test]
-fn the_bound_on_time_goes_before_what_can_be_spared() {
+fn the_time_bound_takes_precedence_over_the_engines_that_can_be_spared() {
     let width = LoadWidth::default();
     assert_eq!(width.width(9, 4), 9);
 }
 
 #[test]
-fn a_width_that_something_else_holds_down_does_not_grow_on() {
+fn a_width_that_is_not_the_actual_limit_stops_growing() {
     let mut width = LoadWidth::default();
     let load = |took_ms| FinishedLoad { took_ms, peak: 18 };
     for _ in 0..2_000 {
--- a/crates/balancing/tests/overload.rs
+++ b/crates/balancing/tests/overload.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn one_slow_answer_refuses_nobody() {
+fn one_slow_answer_causes_no_refusals() {
     let overload = after_waits(900.0, 1);
     assert_eq!(overload.refused_share(Urgency::Least, &LIMITS, NOW), 0.0);
 }
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_answers_showed_fades_while_there_are_none() {
+fn the_measured_wait_decays_while_there_are_no_answers() {
     let overload = after_waits(800.0, 100);
     assert!(overload.refused_share(Urgency::Least, &LIMITS, NOW) > 0.0);
     let later = NOW.plus(2_000);
@@ -48,14 +48,14 @@
 }
 
 #[test]
-fn callers_are_told_when_the_queue_is_expected_to_be_bearable() {
+fn the_expected_drain_time_is_the_wait_beyond_the_bearable_part() {
     let overload = after_waits(1_000.0, 200);
-    let told_ms = overload.drained_after_ms(400, &LIMITS, NOW);
-    assert!((795..=800).contains(&told_ms), "{told_ms}");
+    let drain_ms = overload.drained_after_ms(400, &LIMITS, NOW);
+    assert!((795..=800).contains(&drain_ms), "{drain_ms}");
 }
 
 #[test]
-fn there_is_room_while_less_than_half_of_the_places_is_taken() {
+fn slots_are_spare_while_less_than_half_of_them_are_occupied() {
     let occupancy = |requests| SlotOccupancy {
         requests,
         slots: 100,
@@ -96,7 +96,7 @@
 /// as often. Long ones ask for five sixths of the reading, so what is missing is freed
 /// by refusing long ones alone.
 #[test]
-fn a_doubled_long_kind_beside_a_dark_quarter_costs_the_short_kind_nothing() {
+fn twice_as_many_long_prompts_on_three_quarters_of_the_engines_refuse_no_short_ones() {
     let mut overload = after_waits(360.0, 100);
     for _ in 0..50 {
         overload.record_demand(Urgency::Least, 9_000.0 / 40.0, 400, NOW);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn the_urgent_give_what_the_least_urgent_cannot() {
+fn urgent_requests_are_refused_for_what_the_least_urgent_cannot_free() {
     let mut overload = after_waits(380.0, 100);
     for _ in 0..50 {
         overload.record_demand(Urgency::Least, 20.0, 400, NOW);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn the_mix_that_was_asked_for_fades() {
+fn the_recorded_demand_decays() {
     let mut overload = after_waits(360.0, 100);
     overload.record_demand(Urgency::Higher, 1_000.0, 400, NOW);
     let later = NOW.plus(20_000);
--- a/crates/balancing/tests/prefill_rate.rs
+++ b/crates/balancing/tests/prefill_rate.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn little_or_uniform_evidence_changes_nothing() {
+fn few_or_uniform_samples_leave_the_configured_rate() {
     let mut rate = PrefillRate::default();
     for _ in 0..10 {
         rate.observe(4_000, 900);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn engines_that_become_slower_are_learned_anew() {
+fn the_rate_is_learned_again_when_engines_become_slower() {
     let mut rate = PrefillRate::default();
     for tokens in (0..200).map(|number| number * 40) {
         rate.observe(tokens, 20 + tokens / 50);
--- a/crates/balancing/tests/store_admission.rs
+++ b/crates/balancing/tests/store_admission.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_store_with_room_takes_larger_own_parts() {
+fn a_store_with_free_capacity_takes_larger_own_parts() {
     assert!(is_saved(6_000, 3_000, 0, 10_000));
     assert!(!is_saved(600, 3_000, 0, 10_000));
 }
