--- a/crates/balancing/benches/choice.rs
+++ b/crates/balancing/benches/choice.rs
@@ -1,5 +1,5 @@
-//! What a choice of an engine costs, and taking in a list of all engines, by the size of
-//! the fleet: neither may grow faster than its work.
+//! Cost of choosing an engine and of taking in a list of all engines, by fleet size. The
+//! choice must stay bounded, and the list must grow only in proportion to its engines.
 
 #[path = "../tests/choices/fleet.rs"]
 #[allow(dead_code)]
--- a/crates/balancing/examples/backoff_telling.rs
+++ b/crates/balancing/examples/backoff_telling.rs
@@ -1,8 +1,10 @@
-//! What a fleet loses by keeping or telling that an engine wants nothing for a time.
+//! Compares keeping an engine's back-off request on one node with broadcasting it to all
+//! nodes.
 //!
-//! Virtual time; 985 nodes, each with one request a second for one engine. The engine turns
-//! requests away beyond what it can do, or all of them, and names a second each time. Either
-//! each node keeps that for itself, or whoever hears it tells all others as a bar.
+//! Simulated time; 985 nodes, each with one request per second for one engine. The engine
+//! rejects requests beyond its capacity, or all of them, and asks for a back-off of one
+//! second each time. Either each node keeps the back-off for itself, or the node that
+//! receives it broadcasts it to all others.
 //!
 //! Run with `cargo run -p ploverlift-balancing --example backoff_telling`.
 
@@ -14,7 +16,7 @@
 const NODES: usize = 985;
 const SECONDS: u64 = 60;
 const BACKOFF_MS: u64 = 1_000;
-/// Time until all nodes know what one was told, in milliseconds.
+/// Time until all nodes have received a broadcast, in milliseconds.
 const BROADCAST_DELAY_MS: u64 = 20;
 const LIFE: EngineLife = EngineLife {
     engine: EngineTag(1),
@@ -23,10 +25,11 @@
 
 struct Outcome {
     served: usize,
-    turned_away: usize,
+    rejected: usize,
 }
 
-/// Plays requests at random moments; the engine takes so many a second.
+/// Simulates requests at random moments; the engine serves `capacity` requests per
+/// second.
 fn simulate(capacity: usize, is_broadcast: bool) -> Outcome {
     let mut random = fastrand::Rng::with_seed(1);
     let mut nodes = vec![EngineNotices::default(); NODES];
@@ -34,7 +37,7 @@
     let mut taken = 0;
     let mut outcome = Outcome {
         served: 0,
-        turned_away: 0,
+        rejected: 0,
     };
     for at_ms in 0..SECONDS * 1_000 {
         let now = Millis(at_ms + 1);
@@ -55,14 +58,14 @@
             if !sends_request || node.backoff(LIFE.engine, heartbeat, now).is_some() {
                 continue;
             }
-            // Its slots are free again at an even pace.
+            // Slots become free at an even pace.
             let available = capacity * (at_ms % 1_000 + 1) as usize / 1_000;
             if taken < available {
                 taken += 1;
                 outcome.served += 1;
                 continue;
             }
-            outcome.turned_away += 1;
+            outcome.rejected += 1;
             node.note_backoff(LIFE, BACKOFF_MS, random.u64(..), now);
             if is_broadcast {
                 pending_broadcasts.push((
@@ -76,7 +79,7 @@
 }
 
 fn main() {
-    println!("capacity/s  told    served/s  turned away/s");
+    println!("capacity/s  shared  served/s     rejected/s");
     for capacity in [0, 200, 500, 900] {
         for is_broadcast in [false, true] {
             let outcome = simulate(capacity, is_broadcast);
@@ -84,7 +87,7 @@
             println!(
                 "{capacity:10}  {is_broadcast:5}  {:9.1}  {:13.1}",
                 per_second(outcome.served),
-                per_second(outcome.turned_away)
+                per_second(outcome.rejected)
             );
         }
     }
--- a/crates/balancing/src/attempts.rs
+++ b/crates/balancing/src/attempts.rs
@@ -1,41 +1,41 @@
-//! What follows from the attempts at one request: whether another one may be
-//! made, and what may truthfully be said when none is.
+//! Tracks the attempts at one request: whether another attempt is allowed, and which run
+//! state can be reported when none is.
 //!
-//! Nothing is ever said from a guess. "Has not run" follows only from attempts
-//! of which no byte was sent or whose engine itself said so; a request that may
-//! have run is sent again only when it may run twice.
+//! The reported run state is never a guess. "Not run" follows only from attempts of which
+//! no byte was sent or whose engine itself reported it. A request that may have run is
+//! sent again only when it is repeatable.
 
 use crate::names::InstanceId;
 use ploverlift_policy::attempt::RunState;
 
-/// Connections that may fail to come about for one request.
+/// Maximum number of failed connections for one request.
 const MAX_UNREACHABLE: u32 = 4;
 
-/// What the route allows.
+/// Limits that the route sets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptLimits {
     /// Whether the request may run more than once.
     pub is_repeatable: bool,
-    /// Engines that the request may be sent to.
+    /// Maximum number of engines that the request may be sent to.
     pub max_engines: u32,
 }
 
-/// How an attempt ended without an answer for the caller.
+/// Result of an attempt that gave no answer for the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// No connection came about; nothing was sent.
+    /// No connection was established; nothing was sent.
     Unreachable,
-    /// The engine did not run it.
+    /// The engine did not run the request.
     Refused,
-    /// The engine did not run it: its weights are others than expected.
+    /// The engine did not run the request because it has other weights than expected.
     OtherWeights,
-    /// The engine ran it and failed.
+    /// The engine ran the request and failed.
     Failed,
-    /// It was sent and may have run.
+    /// The request was sent and may have run.
     Broken,
 }
 
-/// What all attempts at one request have shown.
+/// State of all attempts at one request.
 #[derive(Clone, Debug)]
 pub struct AttemptLedger {
     limits: AttemptLimits,
@@ -48,7 +48,7 @@
 }
 
 impl AttemptLedger {
-    /// A request that was not sent yet.
+    /// Creates the ledger of a request that was not sent yet.
     pub fn new(limits: AttemptLimits) -> Self {
         Self {
             limits,
@@ -66,17 +66,17 @@
         &self.tried
     }
 
-    /// What may be said of the request.
+    /// The run state that can be reported for the request.
     pub fn run_state(&self) -> RunState {
         self.run_state
     }
 
-    /// Whether the next attempt would be a repeated arrival at the service.
+    /// Whether the next attempt would repeat the request at the service.
     pub fn next_is_repeat(&self) -> bool {
         self.arrivals > 0
     }
 
-    /// Whether the present attempt is the last one, however it ends.
+    /// Whether the current attempt is the last one, whatever its outcome.
     pub fn is_last_attempt(&self) -> bool {
         !self.limits.is_repeatable || self.sent_to.len() + 1 >= self.max_engines()
     }
@@ -85,8 +85,8 @@
         self.limits.max_engines.max(1) as usize
     }
 
-    /// Takes in how an attempt at an engine ended; tells whether another one
-    /// may be made.
+    /// Records the outcome of an attempt at an engine and returns whether another attempt
+    /// is allowed.
     pub fn record_outcome(&mut self, instance: InstanceId, outcome: AttemptOutcome) -> bool {
         match outcome {
             AttemptOutcome::Unreachable => {
@@ -95,7 +95,8 @@
                 return self.unreachable < MAX_UNREACHABLE && self.may_go_to_another();
             }
             AttemptOutcome::OtherWeights if !self.has_corrected_weights => {
-                // The same engine is asked again with the weights that it has.
+                // The same engine is tried again, now with the weights version that it
+                // has.
                 self.has_corrected_weights = true;
                 self.note_sent(instance);
                 return self.may_run_again();
@@ -109,8 +110,9 @@
         self.may_go_to_another()
     }
 
-    /// The request was sent to an engine and lost on the way, and is sent to the same
-    /// engine once more within one attempt: it may have run, whatever becomes of that.
+    /// Records that the request was lost after it was sent, and is sent to the same
+    /// engine once more within the attempt: it may have run, whatever the outcome of the
+    /// second send.
     pub fn record_lost_send(&mut self, instance: &InstanceId) {
         self.run_state = self.run_state.join(RunState::Unknown);
         self.note_sent(instance.clone());
--- a/crates/balancing/src/candidates.rs
+++ b/crates/balancing/src/candidates.rs
@@ -1,9 +1,10 @@
-//! Which engines a choice looks at.
+//! Selects the engines whose costs are compared.
 //!
-//! All of them where they are few. In a large service a bounded set, whatever its size:
-//! those that the prompt's own order names first in each zone, which all nodes agree on,
-//! so that a prompt finds its home; those that are known to keep the prompt's first
-//! part; and some drawn at random, so that work finds engines without any.
+//! In a small service these are all engines. In a large one they are a bounded set that
+//! does not grow with the service: the first engines of each zone in the prompt's
+//! rendezvous order, on which all nodes agree, so that a prompt reaches its home; engines
+//! that are known to cache a shared part of the prompt; and some random ones, so that
+//! idle engines receive work.
 
 use crate::catalogue::{Engine, EngineCatalogue};
 use crate::eligibility::{eligible, NoChoice};
@@ -17,40 +18,42 @@
 use std::collections::{BTreeSet, HashSet};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Engines of a service up to which a choice looks at all: such a choice takes half a
-/// millisecond of a whole core.
+/// Largest service whose engines are all examined: this takes half a millisecond of one
+/// core.
 const MAX_FULL_SCAN: usize = 512;
-/// Engines of each zone that a prompt's own order names: as many as one prompt that is
-/// asked for by everyone spreads over in a zone.
+/// Engines per zone from the prompt's rendezvous order: the number over which a prompt
+/// that all callers send spreads in a zone.
 const HOMES_PER_ZONE: usize = 6;
-/// Engines that are known to keep the prompt and are looked at.
+/// Maximum number of engines examined because they are known to cache the prompt.
 const MAX_HOLDERS: usize = 24;
-/// Engines of this node's zone that are drawn at random: two of four are nearly always
-/// without work where half of the engines are.
+/// Random engines from this node's zone: where half of the engines are idle, two of four
+/// random ones are nearly always idle.
 const RANDOM_SAME_ZONE: usize = 8;
-/// Engines of each other zone that are drawn at random.
+/// Random engines from each other zone.
 const RANDOM_OTHER_ZONE: usize = 1;
-/// Time for which an engine that said that it leaves is a source of KV cache, in
-/// milliseconds: some end then, and a move from one that has ended costs tenths of a second.
+/// Time for which an engine that has announced that it is leaving remains a source of KV
+/// cache, in milliseconds. Some engines end after that, and a move from one that has
+/// ended costs tenths of a second.
 const SOURCE_AFTER_NOTICE_MS: u64 = 2_000;
-/// Steps between the points of a ring that are drawn: any odd number spreads them.
+/// Increment between the random points on a ring; any odd number spreads them.
 const POINT_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The engines that a choice looks at.
+/// The engines that are compared.
 pub(crate) struct Candidates<'a> {
-    /// Those in the prompt's own order first, the home in front; the others follow.
+    /// Eligible engines: those of the prompt's rendezvous order first, starting with the
+    /// home, then the others.
     pub(crate) engines: Vec<&'a Engine>,
-    /// Those of whom the prompt's parts can be had: also engines that may not serve it,
-    /// as they leave or were tried.
+    /// Possible sources of the prompt's KV cache, including engines that may not serve
+    /// the request because they are leaving or were tried.
     pub(crate) sources: Vec<&'a Engine>,
-    /// Engines of the service for each one that is looked at.
+    /// Engines of the service per examined engine.
     pub(crate) engines_per_candidate: f64,
 }
 
-/// The engines of the service that may serve the request, all of them or a bounded set.
+/// Returns the engines that may serve the request, all of them or a bounded set.
 ///
 /// # Errors
-/// When no engine may serve the request.
+/// Returns the reason when no engine may serve the request.
 pub(crate) fn candidates<'a>(
     view: &FleetView<'a>,
     criteria: &Criteria<'_>,
@@ -70,15 +73,16 @@
                     engines_per_candidate,
                 });
             }
-            // Whoever counts for the limited engines knows better than a look at all.
+            // When most engines are rate-limited, the node that holds their limits knows
+            // better than a full scan.
             Err(NoChoice::RateLimited) if rooms.len() > index.len() / 2 => {
                 return Err(NoChoice::RateLimited);
             }
-            // Looking at all of them for each rejected request would cost too much.
+            // A full scan for each rejected request would cost too much.
             Err(NoChoice::BackingOff) if view.catalogue.notices.len() > index.len() / 2 => {
                 return Err(NoChoice::BackingOff);
             }
-            // Where none of a few may serve, another one may.
+            // When no engine of the bounded set may serve the request, another one may.
             Err(_) => {}
         }
     }
@@ -91,7 +95,8 @@
     })
 }
 
-/// Those of whom KV cache can be had: not those that have likely ended by now.
+/// Engines that can be sources of KV cache: those that have probably ended by now are
+/// left out.
 fn sources<'a>(
     mut engines: Vec<&'a Engine>,
     catalogue: &EngineCatalogue,
@@ -130,7 +135,7 @@
     engines
 }
 
-/// The engines of each zone that the prompt's key names first.
+/// The first engines of each zone in the order of the prompt's key.
 fn homes<'a>(
     catalogue: &'a EngineCatalogue,
     index: &'a ServiceIndex,
@@ -144,7 +149,7 @@
     engines.collect()
 }
 
-/// Engines drawn at random, more of this node's zone.
+/// Random engines, with more from this node's zone than from others.
 fn random_engines<'a>(
     catalogue: &'a EngineCatalogue,
     index: &'a ServiceIndex,
@@ -166,8 +171,8 @@
     engines
 }
 
-/// Engines that are known to keep the prompt's last shared part, or else its first one,
-/// under any of these versions of weights.
+/// Engines that are known to cache the prompt's shared parts under any of these weights
+/// versions; holders of the last part first, then of earlier ones.
 fn holders<'a>(
     view: &FleetView<'a>,
     versions: &BTreeSet<u64>,
@@ -187,7 +192,7 @@
     engines
 }
 
-/// Engines in the order in which the prompt prefers them.
+/// Sorts engines by the prompt's rendezvous order.
 fn ranked<'a>(
     mut engines: Vec<&'a Engine>,
     prompt: Option<&PromptCriteria<'_>>,
--- a/crates/balancing/src/cost.rs
+++ b/crates/balancing/src/cost.rs
@@ -1,44 +1,45 @@
-//! The cost of an engine for a request, in milliseconds by named terms.
+//! Cost of an engine for a request, in milliseconds by named terms.
 
-/// Rates with which costs are estimated.
+/// Rates from which costs are estimated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CostRates {
-    /// Prompt tokens that an engine reads in a millisecond.
+    /// Prefill rate of an engine, in prompt tokens per millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// Cost of what gives way to a copy of KV cache, as a share of the time to
-    /// read it again.
+    /// Cost of the cache entries that a copy of KV cache evicts, as a share of the time
+    /// to prefill them again.
     pub eviction_share: f64,
-    /// Cost of reading what is kept elsewhere already, beside the time that it takes, as
-    /// a multiple of that time.
+    /// Additional cost of prefilling what is already cached elsewhere, as a multiple of
+    /// the prefill time.
     pub reread_share: f64,
-    /// Cost of weights that are older than the newest in use, in milliseconds.
+    /// Cost of weights older than the newest in use, in milliseconds.
     pub stale_version_ms: f64,
     /// Cost of leaving the zone, in milliseconds.
     pub zone_ms: f64,
-    /// Cost of leaving the region on top of it.
+    /// Cost of leaving the region, added to `zone_ms`.
     pub region: RegionRates,
-    /// Cost of one more request at a full engine of a plain service, in
-    /// milliseconds for each share of its slots.
+    /// Cost of occupied slots, in milliseconds for all slots of an engine; a request
+    /// costs this divided by the number of slots.
     pub slot_ms: f64,
-    /// Nodes that send to the same engines, for reading one's own load as a
-    /// sample of all while no other node reports its own.
+    /// Assumed number of nodes that send to the same engines. While no other node reports
+    /// its load, a node multiplies its own load by this number.
     pub senders: f64,
 }
 
-/// Rates with which the cost of leaving the region is estimated.
+/// Rates from which the cost of leaving the region is estimated.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RegionRates {
-    /// Round trip to another region where none was measured, in milliseconds.
+    /// Round-trip time assumed for another region while none was measured, in
+    /// milliseconds.
     pub round_trip_ms: f64,
-    /// Round trips that a request to another region is worth avoiding.
+    /// Number of round trips that staying in the region is worth.
     pub round_trips: f64,
-    /// Cost of a kilobyte between regions, in milliseconds.
+    /// Cost of sending a kilobyte between regions, in milliseconds.
     pub kilobyte_ms: f64,
 }
 
 impl RegionRates {
-    /// Cost of sending so many bytes to another region to which a round trip takes so
-    /// long, in milliseconds.
+    /// Cost of sending `bytes` to another region with this round-trip time, in
+    /// milliseconds.
     pub fn cost_ms(&self, round_trip_ms: Option<f64>, bytes: u64) -> f64 {
         let round_trip_ms = round_trip_ms.unwrap_or(self.round_trip_ms);
         round_trip_ms * self.round_trips + bytes as f64 / 1_000.0 * self.kilobyte_ms
@@ -48,37 +49,38 @@
 /// Cost of one engine by term, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// Waiting behind prompts that are being read.
+    /// Waiting behind queued prompts.
     pub queue_ms: f64,
-    /// Waiting behind prompts that other nodes have sent since their loads were told.
+    /// Waiting behind prompts that other nodes have sent since their last load reports.
     pub unreported_ms: f64,
-    /// Moving shared parts that the engine lacks from another one or the store.
+    /// Moving shared parts that the engine lacks from another engine or a store.
     pub transfer_ms: f64,
-    /// Reading again what gives way to shared parts that the engine lacks.
+    /// Prefilling again what is evicted to cache the shared parts that the engine lacks.
     pub eviction_ms: f64,
-    /// Reading shared parts that no engine is known to keep.
+    /// Prefilling shared parts that are neither cached by the engine nor moved to it.
     pub prefill_ms: f64,
-    /// Reading again what is kept elsewhere, or what the prompt's home region is asked
-    /// for by all others.
+    /// Prefilling again what is cached elsewhere, or what all other nodes send to the
+    /// prompt's home region.
     pub reread_ms: f64,
     /// Running on weights older than the newest in use.
     pub stale_version_ms: f64,
-    /// Reading on such weights what will be of no use once the engine has the newest.
+    /// Prefilling on such weights, which is of no use once the engine has loaded the
+    /// newest.
     pub stale_reading_ms: f64,
     /// Being in another zone.
     pub zone_ms: f64,
     /// Being in another region.
     pub region_ms: f64,
-    /// Requests in the slots.
+    /// Occupied slots.
     pub slots_ms: f64,
-    /// Having failed lately.
+    /// Recent failures.
     pub failure_ms: f64,
-    /// Taking one of the few requests that the engine takes by its own limit.
+    /// Using up one of the few requests that the engine's rate limit allows.
     pub scarcity_ms: f64,
 }
 
 impl Cost {
-    /// What the engine costs any prompt: all nodes see this alike.
+    /// Cost that does not depend on the prompt; all nodes compute the same value.
     pub(crate) fn prompt_independent_ms(&self) -> f64 {
         self.queue_ms + self.slots_ms + self.stale_version_ms + self.failure_ms + self.scarcity_ms
     }
--- a/crates/balancing/src/eligibility.rs
+++ b/crates/balancing/src/eligibility.rs
@@ -1,29 +1,29 @@
-//! Which engines may serve a request at all: one filter before the one cost.
+//! Filters the engines that may serve a request, before their costs are compared.
 
 use crate::catalogue::{Engine, EngineCatalogue};
 use crate::fleet::Criteria;
 use ploverlift_policy::ids::Millis;
 
-/// Why no engine could be chosen. The first filter that leaves no engine is named.
+/// Why no engine could be selected: the first filter that left no engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoChoice {
-    /// The service has no engine that is up and stays.
+    /// The service has no engine that is up and not leaving.
     NoEngine,
-    /// No engine has a version of the software that may serve the request.
+    /// No engine runs a software version that may serve the request.
     SoftwareHeldBack,
-    /// Every engine has weights that are too old.
+    /// All engines have weights that are too old.
     WeightsTooOld,
     /// The last proof of which weights are the newest is too old.
     WeightsNotProven,
-    /// Every engine was tried already.
+    /// All engines were tried already.
     AllTried,
-    /// Every engine that was not tried asked this node to back off.
+    /// All untried engines have asked this node to back off.
     BackingOff,
-    /// Every engine that was not tried has given out all that it takes for now.
+    /// All untried engines have used up their rate limits for now.
     RateLimited,
 }
 
-/// Those of a service's engines that may serve the request, in their order.
+/// Returns the engines that may serve the request, in the given order.
 pub(crate) fn eligible<'a>(
     mut engines: Vec<&'a Engine>,
     catalogue: &EngineCatalogue,
@@ -56,8 +56,8 @@
     Ok(engines)
 }
 
-/// Leaves out engines that said in answers that they leave. Where all did, those that said
-/// so a moment ago serve on.
+/// Leaves out engines that announced in answers that they are leaving. Where all did,
+/// those that announced it within the grace period stay eligible.
 fn drop_leaving(
     engines: &mut Vec<&Engine>,
     catalogue: &EngineCatalogue,
--- a/crates/balancing/src/fleet.rs
+++ b/crates/balancing/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the fleet, and what the choice of an engine depends on.
+//! A node's view of the fleet, and the criteria for the choice of an engine.
 
 use crate::cache_contents::CacheContents;
 use crate::catalogue::EngineCatalogue;
@@ -16,22 +16,22 @@
 use ploverlift_routing::topology::Topology;
 use std::net::SocketAddr;
 
-/// What a node knows of the fleet.
+/// A node's view of the fleet.
 #[derive(Clone, Debug)]
 pub struct FleetView<'a> {
     /// The zones and their regions.
     pub topology: &'a Topology,
-    /// How long round trips from this node to other zones take.
+    /// Measured round trips from this node to other zones.
     pub round_trips: &'a RoundTrips,
-    /// Engines, with this node's own requests.
+    /// Engines, with the load of this node's own requests.
     pub catalogue: &'a EngineCatalogue,
-    /// Requests of other nodes.
+    /// Loads that other nodes report.
     pub peer_loads: &'a PeerLoads,
-    /// Where shared parts of prompts were sent.
+    /// Engines to which shared parts of prompts were sent.
     pub holders: &'a PrefixHolders,
-    /// What the engines whose events are followed keep.
+    /// Cache contents of the engines whose events are followed.
     pub caches: &'a EngineCaches,
-    /// What this node gave engines to read lately.
+    /// Prompt tokens that this node recently sent to engines.
     pub recent_prefill: &'a RecentPrefill,
     /// Moves of KV cache that this node's requests have begun.
     pub moves: &'a MovesUnderWay,
@@ -39,20 +39,20 @@
     pub cache_stores: Vec<StoreView<'a>>,
 }
 
-/// What a node knows of one KV cache store.
+/// A node's view of one KV cache store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreView<'a> {
-    /// Where engines reach it.
+    /// Address at which engines reach the store.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the store.
     pub zone: &'a ZoneName,
-    /// What it keeps.
+    /// Known contents of the store.
     pub contents: &'a CacheContents,
-    /// Rate at which it moves KV cache within its zone, in tokens a millisecond.
+    /// Rate at which the store moves KV cache within its zone, in tokens per millisecond.
     pub tokens_per_ms: f64,
 }
 
-/// What the choice depends on.
+/// Criteria for the choice of an engine.
 #[derive(Clone, Debug)]
 pub struct Criteria<'a> {
     /// The service.
@@ -63,43 +63,42 @@
     pub request_bytes: u64,
     /// The prompt, for requests to a model.
     pub prompt: Option<PromptCriteria<'a>>,
-    /// Versions of the engines' software that may serve the request.
+    /// Software versions of engines that may serve the request.
     pub software: SoftwareRule,
-    /// A random number, by which engines are drawn where there are too many to look at
-    /// all.
+    /// Random number that selects random engines where there are too many to examine all.
     pub sample_seed: u64,
     /// Engines that were tried already.
     pub excluded: &'a [InstanceId],
-    /// Time for which engines that say that they leave may serve the request where no
-    /// other ones are left, in milliseconds.
+    /// Time for which engines that have announced that they are leaving may still serve
+    /// the request when no other engines are left, in milliseconds.
     pub leaving_grace_ms: u64,
-    /// Whether engines that have a rate limit are left out.
+    /// Whether engines with a rate limit are left out.
     pub avoids_limited: bool,
 }
 
-/// What the choice of a model engine depends on.
+/// Criteria for the choice of an engine of a model.
 #[derive(Clone, Debug)]
 pub struct PromptCriteria<'a> {
     /// The model.
     pub model: &'a str,
-    /// Within which cache is shared.
+    /// Scope within which KV cache is shared.
     pub scope: &'a str,
     /// Key of the shared parts.
     pub key: ChainKey,
-    /// The parts that other requests may have too.
+    /// The parts that the prompt may share with other requests.
     pub shared: &'a [PromptPart],
-    /// Rate at which KV cache moves from engine to engine within a zone, in tokens a
+    /// Rate at which KV cache moves between engines within a zone, in tokens per
     /// millisecond.
     pub move_tokens_per_ms: f64,
-    /// Lowest version of weights that is allowed.
+    /// Lowest weights version that may serve the request.
     pub required_weights: u64,
-    /// The request's place among those that other nodes send unseen, in 0 to 1; drawn
-    /// at random.
+    /// Random position of the request among the unreported requests of other nodes, from
+    /// 0 to 1.
     pub arrival_fraction: f64,
 }
 
 impl PromptCriteria<'_> {
-    /// Tokens of the parts that other requests may have too.
+    /// Tokens of the shared parts.
     pub fn shared_tokens(&self) -> u64 {
         self.shared.iter().map(|part| part.tokens).sum()
     }
--- a/crates/balancing/src/health.rs
+++ b/crates/balancing/src/health.rs
@@ -1,38 +1,38 @@
-//! Putting engines aside that do not serve, and trying them again.
+//! Ejects engines that do not serve requests, and tries them again later.
 //!
-//! Detection is by traffic alone: an engine whose health check is good may
-//! still fail its requests. An engine that cannot be reached is ejected at
-//! once; one that fails part of its requests, when its failures stand out from
-//! those of its service ([`crate::selection`] compares them).
+//! Detection relies on traffic alone: an engine whose health check succeeds may still
+//! fail its requests. An unreachable engine is ejected at once. An engine that fails part
+//! of its requests is avoided when its failure rate stands out from that of its service
+//! ([`crate::selection`] compares them).
 
 use ploverlift_policy::ids::Millis;
 
 /// First time for which an unreachable engine is ejected, in milliseconds.
 const FIRST_EJECTION_MS: u64 = 400;
-/// Longest time for which it is ejected, in milliseconds.
+/// Longest time for which an engine is ejected after failures in a row, in milliseconds.
 const MAX_EJECTION_MS: u64 = 3_000;
 /// Weight of the newest outcome in the failure rate.
 const NEWEST_WEIGHT: f64 = 0.15;
-/// Time without an outcome in which a failure rate halves, in milliseconds. An
-/// engine that is avoided shows nothing new, so it would be avoided for ever.
+/// Half-life of the failure rate without outcomes, in milliseconds. An avoided engine
+/// produces no outcomes, so without decay it would be avoided forever.
 const FAILURE_HALF_LIFE_MS: f64 = 3_000.0;
 
-/// How a request at an engine went.
+/// Outcome of a request at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It answered properly.
+    /// The engine answered properly.
     Answered,
-    /// It answered with a failure of its own.
+    /// The engine answered with a failure of its own.
     Failed,
-    /// It said that it did not run the request: full, loading or leaving.
+    /// The engine reported that it did not run the request: full, loading or leaving.
     Refused,
-    /// The answer broke off, was not the protocol's, or never came.
+    /// The answer broke off, violated the protocol or never came.
     Broken,
-    /// No connection came about.
+    /// No connection was established.
     Unreachable,
 }
 
-/// What the traffic of this node has shown of one engine.
+/// Health of one engine as observed by this node's own traffic.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EngineHealth {
     failure_rate: f64,
@@ -43,24 +43,24 @@
     trial_since: Option<Millis>,
 }
 
-/// A trial without an outcome for so long no longer counts, in milliseconds.
+/// Time after which a trial without an outcome no longer counts, in milliseconds.
 const TRIAL_TIMEOUT_MS: u64 = 2_000;
 
 impl EngineHealth {
-    /// Share of requests that went wrong, the newest counting most; it falls
-    /// while there are none.
+    /// Share of failed requests, weighted towards the newest. It decays while there are
+    /// no outcomes.
     pub fn failure_rate(&self, now: Millis) -> f64 {
         let idle = now.since(self.last_outcome) as f64;
         self.failure_rate * 0.5_f64.powf(idle / FAILURE_HALF_LIFE_MS)
     }
 
-    /// Outcomes taken in so far.
+    /// Number of outcomes recorded so far.
     pub fn outcomes(&self) -> u32 {
         self.outcomes
     }
 
-    /// Whether the engine may be chosen: it is not ejected, and where it was,
-    /// no other request is trying it.
+    /// Whether the engine may be chosen: it is not ejected, and no other request is
+    /// trying it after an ejection.
     pub fn may_be_chosen(&self, now: Millis) -> bool {
         if self.ejected_until.is_some_and(|until| now < until) {
             return false;
@@ -74,14 +74,14 @@
         self.ejected_until.is_some()
     }
 
-    /// A request is about to be sent.
+    /// Records that a request is about to be sent.
     pub fn on_begin(&mut self, now: Millis) {
         if self.ejected_until.is_some() {
             self.trial_since = Some(now);
         }
     }
 
-    /// Takes in how a request went.
+    /// Records the outcome of a request.
     pub fn on_outcome(&mut self, outcome: Outcome, now: Millis) {
         self.outcomes = self.outcomes.saturating_add(1);
         let failed = matches!(
@@ -95,7 +95,7 @@
         match outcome {
             Outcome::Answered | Outcome::Refused | Outcome::Failed => self.clear_ejection(),
             Outcome::Unreachable => self.eject(now),
-            // One broken answer may be chance; two in a row are a pattern.
+            // One broken answer may be chance; a second one in a row ejects the engine.
             Outcome::Broken if self.failures_in_a_row > 0 => self.eject(now),
             Outcome::Broken => {
                 self.failures_in_a_row += 1;
@@ -110,13 +110,13 @@
         self.trial_since = None;
     }
 
-    /// Puts the engine aside until then, or longer where it is already.
+    /// Ejects the engine until this time, or longer if it is already ejected for longer.
     pub fn eject_until(&mut self, until: Millis) {
         self.ejected_until = self.ejected_until.max(Some(until));
         self.trial_since = None;
     }
 
-    /// The engine was put aside and takes connections again: one request may try it.
+    /// Lets one request try an ejected engine that accepts connections again.
     pub fn allow_trial(&mut self, now: Millis) {
         if self.ejected_until.is_some() {
             self.ejected_until = Some(now);
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Puts the engine aside, longer each time in a row.
+    /// Ejects the engine, for longer with each failure in a row.
     pub fn eject(&mut self, now: Millis) {
         let doublings = self.failures_in_a_row.min(4);
         let duration = (FIRST_EJECTION_MS << doublings).min(MAX_EJECTION_MS);
--- a/crates/balancing/src/lib.rs
+++ b/crates/balancing/src/lib.rs
@@ -1,48 +1,47 @@
-//! Which engine of a service serves a request.
+//! Selects the engine of a service that serves a request.
 //!
-//! Pure: no I/O, no clock, no randomness. Every node decides alone, from the
-//! catalogue that all share, from what its own traffic has shown and from what
-//! other nodes report of theirs; two nodes with the same catalogue place a prompt
-//! on the same engine without asking each other, because the home of a prompt is
-//! a rendezvous hash.
+//! Pure: no I/O, no clock, no randomness. Every node decides alone, from the shared
+//! catalogue, from what its own traffic has shown and from the reports of other nodes.
+//! Two nodes with the same catalogue place a prompt on the same engine without
+//! communicating, because the home of a prompt is a rendezvous hash.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | [`attempts`] | whether a request may be sent again, and what may be said of it |
-//! | [`cache_contents`] | what an engine or a KV cache store holds, by its events |
-//! | [`cache_followers`] | how nodes divide which engines' caches each follows |
-//! | [`cache_stores`] | the KV cache stores, one by one, and which saves a prompt |
-//! | [`catalogue`] | engines, as their records and this node's traffic show them |
-//! | [`service_index`] | the engines of one service, in the orders of a choice |
+//! | [`attempts`] | whether a request may be sent again, and its reported run state |
+//! | [`cache_contents`] | contents of an engine's cache or a KV cache store, from its events |
+//! | [`cache_followers`] | how nodes divide the engines whose cache events they follow |
+//! | [`cache_stores`] | the KV cache stores, and which one saves a prompt |
+//! | [`catalogue`] | engines, from their records and this node's traffic |
+//! | [`service_index`] | index of one service's engines, in the orders of a choice |
 //! | [`cost`] | the cost of an engine, by named terms in milliseconds |
-//! | `engine` | one engine, as its record and this node's own traffic show it |
-//! | [`engine_caches`] | which engines' events are followed, and what they tell |
+//! | `engine` | one engine, from its record and this node's traffic |
+//! | [`engine_caches`] | which engines' events are followed, and the contents they report |
 //! | [`engine_load`] | requests at one engine, and sums of them |
-//! | [`engine_losses`] | which engines take no connection any more, and who else says so |
-//! | [`engine_notices`] | what engines said of themselves that outlasts the answer |
-//! | [`fleet`] | what a node knows of the fleet, and what the choice depends on |
-//! | [`health`] | putting engines aside that fail, and trying them again |
-//! | [`named_nodes`] | the nodes that relays named lately |
-//! | [`names`] | names of engines, nodes, models and zones, and their short ones |
-//! | [`peer_loads`] | what other nodes have at the engines, as they report |
-//! | [`relayed_loads`] | the same as relays sum it up in large fleets |
-//! | [`moves`] | how long moves of KV cache take, and those under way |
-//! | [`prefix_holders`] | where shared parts of prompts were read, as nodes tell each other |
-//! | [`prefix_reach`] | what each engine holds of one prompt, and where the rest can be had |
-//! | [`prefill_rate`] | how fast engines read prompts, learned from their answers |
-//! | [`rendezvous`] | the order of engines for a prompt |
-//! | [`round_trips`] | how long round trips to other zones take, learned from connections |
+//! | [`engine_losses`] | engines that accept no connections, and which other nodes report them |
+//! | [`engine_notices`] | announcements of engines that outlast the answer that carried them |
+//! | [`fleet`] | a node's view of the fleet, and the criteria of a choice |
+//! | [`health`] | ejecting engines that fail, and trying them again |
+//! | [`named_nodes`] | nodes that relays named recently |
+//! | [`names`] | names of engines, nodes, models and zones, and their short forms |
+//! | [`peer_loads`] | loads of engines that other nodes report |
+//! | [`relayed_loads`] | loads that relays sum up in large fleets |
+//! | [`moves`] | durations of KV cache moves, and the moves in progress |
+//! | [`prefix_holders`] | engines to which shared parts of prompts were sent, as nodes announce them |
+//! | [`prefix_reach`] | which parts of one prompt each engine caches, and the sources of the others |
+//! | [`prefill_rate`] | prefill rate of engines, learned from their answers |
+//! | [`rendezvous`] | rendezvous order of the engines for a prompt |
+//! | [`round_trips`] | round-trip times to other zones, measured on connections |
 //! | [`selection`] | the choice, by a cost in milliseconds with named terms |
-//! | [`engine_rooms`] | which engines that advertise a rate limit have room |
+//! | [`engine_rooms`] | which engines with a rate limit can take requests |
 //! | [`report_position`] | which of a sender's reports is the newest |
-//! | [`retry_budget`] | how many requests may be sent a second time |
-//! | [`load_schedule`] | when engines load new weights, and how many at once |
-//! | [`load_width`] | how many of them load at once without slowing each other |
-//! | [`overload`] | when engines are overloaded, and which part of the requests to refuse |
-//! | [`store_admission`] | which prompts are worth their room in the KV cache store |
-//! | [`transfer_sources`] | from where an engine can have what it lacks of a prompt |
-//! | [`unreported_load`] | what other nodes sent since their loads were told |
-//! | [`weights`] | which versions of weights a request may begin on |
+//! | [`retry_budget`] | how many retries may be sent |
+//! | [`load_schedule`] | when engines load new weights, and how many concurrently |
+//! | [`load_width`] | how many engines can load concurrently without slowing each other |
+//! | [`overload`] | detection of overload, and the share of requests to refuse |
+//! | [`store_admission`] | which prompts are worth saving in the KV cache store |
+//! | [`transfer_sources`] | sources of the prompt parts that an engine lacks |
+//! | [`unreported_load`] | estimated load that other nodes sent since their last reports |
+//! | [`weights`] | weights versions that a request may start on |
 
 pub mod attempts;
 pub mod cache_contents;
--- a/crates/balancing/src/load_width.rs
+++ b/crates/balancing/src/load_width.rs
@@ -1,43 +1,44 @@
-//! How many engines load new weights at once without slowing each other, learned from
-//! the loads themselves.
+//! Learns how many engines can load new weights concurrently without slowing each other.
 //!
-//! All engines fetch weights from the same place, so beyond some number each load takes
-//! longer, and an engine that loads serves nobody: going wider than that number loses
-//! work and gains no time. It differs from site to site and is on no record. As a
-//! transport finds the rate of a path, the width grows with each load that took the
-//! usual time and shrinks with each that took longer.
+//! All engines fetch weights from the same place, so above some concurrency each load
+//! takes longer. An engine that is loading serves no requests, so a higher concurrency
+//! loses capacity and saves no time. The limit differs between sites and is not
+//! configured anywhere. As in the congestion control of a transport protocol, the width
+//! (the allowed concurrency) grows with each load that took the usual time and shrinks
+//! with each one that took longer.
 
 /// Growth of the width with each load at full width that took the usual time.
 const GROWTH_STEP: f64 = 0.15;
-/// Shrinking with each that took longer: more than one growth, or the width settles
-/// where nearly half of the loads are slowed.
+/// Decrease of the width with each slowed load. It exceeds one growth step; otherwise the
+/// width would settle where nearly half of the loads are slowed.
 const SHRINK_STEP: f64 = 0.5;
-/// Furthest from what was allowed at once that the loads of one wave move the width.
-/// They all show the same, and where something else holds the width down, nothing shows
-/// what lies far above it.
+/// Maximum distance from the concurrency allowed for a wave of loads to which the wave
+/// moves the width. All loads of a wave give the same evidence, and where another limit
+/// applies, they give none about much larger widths.
 const MAX_STEP: f64 = 1.0;
-/// A load is slowed when it takes longer than this multiple of the usual time. Reports
-/// are some tenths of a second apart, and loads take half a second.
+/// Multiple of the usual time above which a load counts as slowed. Load times are
+/// measured coarsely: reports are some tenths of a second apart, and a load takes about
+/// half a second.
 const SLOWED_MULTIPLE: f64 = 1.3;
-/// Part of the width from which on a load shows anything about it.
+/// Part of the allowed concurrency that must be in use for a load to change the width.
 const FULL_SHARE: f64 = 0.75;
-/// Narrowest width.
+/// Minimum width.
 const MIN_WIDTH: f64 = 1.0;
-/// Weight of the newest load in the usual time, where it took longer.
+/// Weight of the newest load in the usual time when it took longer.
 const SLOWER_WEIGHT: f64 = 0.05;
-/// The same where it took less.
+/// Weight of the newest load in the usual time when it took less.
 const FASTER_WEIGHT: f64 = 0.3;
 
-/// One load that is over.
+/// A finished load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FinishedLoad {
-    /// How long it took, in milliseconds.
+    /// Duration of the load, in milliseconds.
     pub took_ms: f64,
-    /// Most engines that loaded at the same time during it, itself included.
+    /// Maximum number of engines that loaded concurrently during it, including itself.
     pub peak: usize,
 }
 
-/// The width, as loads have shown it.
+/// The width learned from loads.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadWidth {
     width: f64,
@@ -45,32 +46,33 @@
 }
 
 impl LoadWidth {
-    /// Engines that may load at once: at least `least`, what the bound on time asks for,
-    /// and at most `most`, what can be spared.
+    /// Number of engines that may load concurrently: at least `least`, which the time
+    /// bound requires, and otherwise at most `most`, which can be spared.
     pub fn width(&self, least: usize, most: usize) -> usize {
         (self.width as usize).clamp(least, most.max(least))
     }
 
-    /// Time that a load takes while others do not slow it, in milliseconds.
+    /// Duration of a load that other loads do not slow, in milliseconds.
     pub fn usual_ms(&self) -> Option<f64> {
         self.usual_ms
     }
 
-    /// Engines that must load at once so that so many have loaded within `finish_ms`, by
-    /// the time that a load takes while others do not slow it (`assumed_ms` before one was
-    /// seen). By the time that slowed loads take, going wider would ask for more width.
+    /// Number of engines that must load concurrently for `engines` to finish within
+    /// `finish_ms`, from the duration of a load that others do not slow (`assumed_ms`
+    /// until one was measured). With the duration of slowed loads, a larger width would
+    /// raise the required width further.
     pub fn needed(&self, engines: usize, assumed_ms: u64, finish_ms: u64) -> usize {
         let usual_ms = self.usual_ms.map_or(assumed_ms, |usual_ms| usual_ms as u64);
         (engines as u64 * usual_ms).div_ceil(finish_ms.max(1)) as usize
     }
 
-    /// Takes in a load; `at_once` engines were allowed to load at the same time.
+    /// Records a load for which `at_once` engines were allowed to load concurrently.
     pub fn observe(&mut self, load: FinishedLoad, at_once: usize) {
         let usual_ms = self.usual_ms.unwrap_or(load.took_ms);
         let is_slowed = load.took_ms > usual_ms * SLOWED_MULTIPLE;
         let is_full = load.peak as f64 >= at_once as f64 * FULL_SHARE;
-        // What loads take side by side does not show what they take alone, unless
-        // they go no narrower.
+        // Concurrent loads do not show how long a load takes alone, unless the width is
+        // already at its minimum.
         let weight = match load.took_ms < usual_ms {
             true => FASTER_WEIGHT,
             false if !is_full || self.width <= MIN_WIDTH => SLOWER_WEIGHT,
--- a/crates/balancing/src/moves.rs
+++ b/crates/balancing/src/moves.rs
@@ -1,24 +1,26 @@
-//! How long moves of KV cache take over a distance, and those under way.
+//! Duration of KV cache moves by distance, and the moves in progress.
 //!
-//! The moves to one engine go one after another, so a move waits for those that were
-//! begun before it. A node knows of the moves that its own requests began.
+//! Moves to one engine run one after another, so a move waits for those that were begun
+//! before it. A node knows only the moves that its own requests began.
 
 use crate::names::EngineTag;
 use ploverlift_policy::ids::Millis;
 use ploverlift_routing::topology::Distance;
 use std::collections::HashMap;
 
-/// How much longer a move takes between two zones of a region, as the platform tells.
+/// Factor by which a move takes longer between zones of a region, as the platform
+/// documents.
 const OTHER_ZONE_FACTOR: f64 = 2.0;
-/// How much longer a move takes between regions, as the platform tells.
+/// Factor by which a move takes longer between regions, as the platform documents.
 const OTHER_REGION_FACTOR: f64 = 10.0;
-/// Wait after which an engine does not begin a move, in milliseconds, as the platform
-/// tells.
+/// Longest wait after which an engine still begins a move, in milliseconds, as the
+/// platform documents.
 pub const LONGEST_WAIT_MS: f64 = 2_000.0;
-/// Engines whose moves are remembered. Those with nothing under way go first.
+/// Maximum number of engines whose moves are tracked. Those without a move in progress
+/// are dropped first.
 const MAX_ENGINES: usize = 1_024;
 
-/// How much longer a move takes than within a zone.
+/// Factor by which a move takes longer than within a zone.
 pub fn move_factor(distance: Distance) -> f64 {
     match distance {
         Distance::SameZone => 1.0,
@@ -27,15 +29,15 @@
     }
 }
 
-/// Moves of KV cache that this node's requests have begun, by the engine that they
-/// go to.
+/// Moves of KV cache that this node's requests have begun, by destination engine.
 #[derive(Clone, Debug, Default)]
 pub struct MovesUnderWay {
     over_at: HashMap<EngineTag, Millis>,
 }
 
 impl MovesUnderWay {
-    /// A request has an engine begin a move that takes so long by itself.
+    /// Records that a request makes an engine begin a move, which takes `move_ms` without
+    /// waiting.
     pub fn begin(&mut self, engine: EngineTag, move_ms: f64, now: Millis) {
         if self.over_at.len() >= MAX_ENGINES {
             self.over_at.retain(|_, over_at| *over_at > now);
@@ -47,12 +49,12 @@
         *over_at = (*over_at).max(now).plus(move_ms as u64);
     }
 
-    /// The engine has started again: no move to it is under way.
+    /// Drops the moves to an engine that has restarted.
     pub fn forget(&mut self, engine: EngineTag) {
         self.over_at.remove(&engine);
     }
 
-    /// Time that a move to the engine waits before it begins, in milliseconds.
+    /// Time until a new move to the engine would begin, in milliseconds.
     pub fn wait_ms(&self, engine: EngineTag, now: Millis) -> f64 {
         let over_at = self.over_at.get(&engine);
         over_at.map_or(0.0, |over_at| over_at.since(now) as f64)
--- a/crates/balancing/src/overload.rs
+++ b/crates/balancing/src/overload.rs
@@ -1,85 +1,84 @@
-//! When the engines of a service are overloaded, and which part of the requests to
-//! refuse then.
+//! Detects overload of a service's engines and computes which share of the requests to
+//! refuse.
 //!
-//! A queue that never empties delays every request and gains none: as many are answered
-//! as without it, all of them late. So what requests wait at engines is compared with
-//! what their routes aim at, as answers show it. While it stays over a part of that,
-//! some requests are refused at once, which empties the queue for the others. Requests
-//! of the least urgent rank go first: what their refusal frees is counted by what they
-//! would have read, and the more urgent ones give only what is still missing. No rank
-//! loses a larger part than one below it.
+//! A queue that never drains delays every request without raising throughput: the same
+//! number is answered, all of them late. The measured wait at engines is therefore
+//! compared with the objective of the routes. While it exceeds a configured part of the
+//! objective, some requests are refused at once, which drains the queue for the others.
+//! The least urgent requests are refused first. What their refusal frees is measured by
+//! their prefill time, and more urgent requests are refused only for the remainder. No
+//! rank loses a larger share than a less urgent one.
 
 use ploverlift_policy::ids::Millis;
 
-/// Weight of the newest answer.
+/// Weight of the newest answer in the average.
 const NEWEST_WEIGHT: f64 = 0.2;
-/// Time without an answer in which what is known halves, in milliseconds: while
-/// requests are refused, few answers show that the queue is gone.
+/// Half-life of the measured wait while there are no answers, in milliseconds: while
+/// requests are refused, few answers show that the queue has drained.
 const HALF_LIFE_MS: f64 = 700.0;
-/// Part refused for each objective of waiting beyond the bearable.
+/// Share refused per objective of waiting beyond the bearable part.
 const GAIN: f64 = 1.0;
-/// Largest part of the more urgent requests that is refused for each of the least
+/// Maximum refused share of the more urgent requests, as a part of the share of the least
 /// urgent ones.
 const URGENT_SHARE: f64 = 0.75;
-/// Time in which the reading that was asked for counts half, in milliseconds: some
-/// dozens of requests of a node, so that a change of the mix shows within seconds.
+/// Half-life of the recorded demand, in milliseconds: it covers some dozens of requests
+/// of a node, so that a change of the mix shows within seconds.
 const DEMAND_HALF_LIFE_MS: f64 = 2_000.0;
-/// Time for which the objective of the more urgent requests counts after one was asked
-/// for, in milliseconds.
+/// Time for which the objective of a more urgent request is used after it arrived, in
+/// milliseconds.
 const URGENT_OBJECTIVE_TTL_MS: u64 = 2_000;
-/// Part of the reading that the least urgent requests ask for, where none was asked for
-/// yet.
+/// Part of the demand assumed for the least urgent requests while none was recorded.
 const DEFAULT_LEAST_PART: f64 = 0.5;
-/// Requests without a first byte from which on their ages count.
+/// Minimum number of requests without a first byte for their ages to be used.
 const MIN_WAITING: usize = 4;
-/// What requests will have waited in the end, as a multiple of the median age of those
-/// that still wait: they began at even distances.
+/// Expected final wait as a multiple of the median age of the requests that still wait:
+/// they were sent at even intervals.
 const AGE_MULTIPLE: f64 = 2.0;
-/// A service has room while less than this part of its places is taken.
+/// Engines have spare slots while less than this part of their slots is occupied.
 const SPARE_SLOTS_SHARE: f64 = 0.5;
 
-/// When to refuse.
+/// Limits of overload protection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverloadLimits {
-    /// Waiting that is borne, as a part of the objective.
+    /// Tolerated wait, as a part of the objective.
     pub bearable_objectives: f64,
-    /// Largest part of the requests that is refused.
+    /// Maximum share of the requests that is refused.
     pub most_refused: f64,
 }
 
-/// Requests and places of the engines that may serve a request.
+/// Requests and slots of the engines that may serve a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SlotOccupancy {
-    /// Requests there, of all nodes.
+    /// Requests of all nodes at the engines.
     pub requests: u64,
-    /// Requests that they work on at once.
+    /// Requests that the engines process concurrently.
     pub slots: u64,
 }
 
 impl SlotOccupancy {
-    /// Whether there is room: then nothing is refused, whatever answers show.
+    /// Whether slots are spare; then nothing is refused, whatever wait the answers show.
     pub fn has_spare_slots(&self) -> bool {
         (self.requests as f64) < self.slots as f64 * SPARE_SLOTS_SHARE
     }
 }
 
-/// A request among those of its service.
+/// Rank of a request among those of its service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
-    /// Others of the service are less urgent.
+    /// Other requests of the service are less urgent.
     Higher,
-    /// None is.
+    /// No other request of the service is less urgent.
     Least,
 }
 
-/// The reading that requests of each urgency asked for lately, in milliseconds of an
-/// engine's time; those that were refused count too.
+/// Recently requested prefill by urgency, in milliseconds of an engine's time. Refused
+/// requests are included.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct PrefillDemand {
     least_ms: f64,
     higher_ms: f64,
     updated: Millis,
-    /// The shortest objective of the more urgent requests, and when one was asked for.
+    /// The shortest objective of the more urgent requests, and when one last arrived.
     urgent_objective: Option<(u64, Millis)>,
 }
 
@@ -100,15 +99,15 @@
         }
     }
 
-    /// What waiting is measured by: a route's own objective, or a shorter one of more
-    /// urgent requests that wait in the same queues.
+    /// The objective that a wait is compared with: the route's own, or a shorter one of
+    /// more urgent requests that wait in the same queues.
     fn objective_ms(&self, own_ms: u64, now: Millis) -> u64 {
         let urgent = self.urgent_objective;
         let recent = urgent.filter(|(_, at)| now.since(*at) < URGENT_OBJECTIVE_TTL_MS);
         recent.map_or(own_ms, |(shortest_ms, _)| shortest_ms.min(own_ms))
     }
 
-    /// The part that the least urgent requests ask for.
+    /// The part of the demand that comes from the least urgent requests.
     fn least_part(&self) -> f64 {
         let all_ms = self.least_ms + self.higher_ms;
         match all_ms > 0.0 {
@@ -122,13 +121,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Waiting {
     number: u64,
-    /// When the time for its own reading is over.
+    /// When the time for the request's own prefill is over.
     since: Millis,
     objective_ms: u64,
 }
 
-/// What requests of one service have shown: answers, and those that still wait. Answers
-/// are certain and come late, after the queue has grown.
+/// Measured waits of one service, from answers and from requests that still wait. Answers
+/// are exact but arrive late, after the queue has grown.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Overload {
     answered_objectives: f64,
@@ -139,12 +138,14 @@
 }
 
 impl Overload {
-    /// A request came whose own reading takes so long, whether it is refused or not.
+    /// Records an arriving request with the time of its own prefill, whether it is
+    /// refused or not.
     pub fn record_demand(&mut self, urgency: Urgency, own_ms: f64, objective_ms: u64, now: Millis) {
         self.demand.add(urgency, own_ms, objective_ms, now);
     }
 
-    /// A request was sent that needs so long for its own reading; gives its number.
+    /// Records a request that was sent, with the time of its own prefill, and returns its
+    /// number.
     pub fn begin(&mut self, own_ms: f64, objective_ms: u64, now: Millis) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
@@ -156,12 +157,12 @@
         number
     }
 
-    /// A request waits no longer: it was answered, or is over.
+    /// Removes a request that no longer waits because it was answered or has ended.
     pub fn end(&mut self, number: u64) {
         self.waiting.retain(|waiting| waiting.number != number);
     }
 
-    /// A request waited so long at its engine, beyond the time for its own reading.
+    /// Records the time for which a request waited at its engine beyond its own prefill.
     pub fn observe(&mut self, waited_ms: f64, objective_ms: u64, now: Millis) {
         let objective_ms = self.demand.objective_ms(objective_ms, now);
         let newest = waited_ms.max(0.0) / objective_ms.max(1) as f64;
@@ -170,7 +171,7 @@
         self.updated = now;
     }
 
-    /// How long requests wait, as a multiple of their objective.
+    /// The wait of requests, as a multiple of their objective.
     pub fn waiting_objectives(&self, now: Millis) -> f64 {
         self.answered_objectives(now)
             .max(self.unanswered_objectives(now))
@@ -181,7 +182,8 @@
         self.answered_objectives * 0.5_f64.powf(age / HALF_LIFE_MS)
     }
 
-    /// The median counts: engines that are lost hold a few requests for long.
+    /// Wait estimated from unanswered requests. It uses the median because lost engines
+    /// hold a few requests for a long time.
     fn unanswered_objectives(&self, now: Millis) -> f64 {
         if self.waiting.len() < MIN_WAITING {
             return 0.0;
@@ -195,7 +197,7 @@
         ages[ages.len() / 2] * AGE_MULTIPLE
     }
 
-    /// The part of the requests of an urgency that should be refused now.
+    /// The share of the requests of an urgency that should be refused now.
     pub fn refused_share(&self, urgency: Urgency, limits: &OverloadLimits, now: Millis) -> f64 {
         let beyond = self.waiting_objectives(now) - limits.bearable_objectives;
         let shed_share = (beyond * GAIN).clamp(0.0, limits.most_refused);
@@ -216,7 +218,7 @@
         }
     }
 
-    /// Time in which the queue is expected to be bearable, in milliseconds.
+    /// Time until the queue is expected to drain to the bearable wait, in milliseconds.
     pub fn drained_after_ms(&self, objective_ms: u64, limits: &OverloadLimits, now: Millis) -> u64 {
         let beyond = self.waiting_objectives(now) - limits.bearable_objectives;
         (beyond.max(0.0) * objective_ms as f64) as u64
--- a/crates/balancing/src/prefill_rate.rs
+++ b/crates/balancing/src/prefill_rate.rs
@@ -1,29 +1,28 @@
-//! How fast the engines of a service read prompts, learned from their answers.
+//! Learns the prefill rate of a service's engines from their answers.
 //!
-//! The time to the first event of a request that waited behind no prompt grows
-//! with the tokens that the engine had to read. A line through such pairs, the
-//! newest counting most, has the time for one token as its slope; whatever else
-//! takes time (the network, the first step) goes into its start.
+//! The time to the first event of a request that waited behind no other prompt grows with
+//! the tokens that the engine had to prefill. The slope of a regression line through such
+//! samples, weighted towards the newest, is the time per token; all other delays (the
+//! network, the first decoding step) are part of the intercept.
 
-/// Weight of all earlier pairs when a new one comes.
+/// Factor by which the weight of all earlier samples decays with each new one.
 const DECAY: f64 = 0.99;
-/// Weight of pairs before the line means anything.
+/// Minimum total weight of the samples for the line to be used.
 const MIN_WEIGHT: f64 = 20.0;
-/// Spread of the tokens of a pair, as a standard deviation, before the line means
-/// anything.
+/// Minimum standard deviation of the samples' tokens for the line to be used.
 const MIN_SPREAD_TOKENS: f64 = 300.0;
-/// A pair that took so many times as long as expected tells of something else than
-/// reading: a stall, a preemption, a lost packet.
+/// Multiple of the expected time above which a sample is an outlier. It then shows
+/// another delay than prefill: a stall, a preemption or a lost packet.
 const OUTLIER_FACTOR: f64 = 1.5;
-/// Time that a pair may take beyond the expected one whatever its size, in
+/// Time by which any sample may exceed the expected time without being an outlier, in
 /// milliseconds.
 const OUTLIER_SLACK_MS: f64 = 60.0;
-/// So many outliers in a row show that the engines have changed.
+/// Number of outliers in a row that show that the engines have changed.
 const MAX_OUTLIERS: u32 = 12;
-/// Bounds of what is learned, as factors of the rate in the settings.
+/// Bounds of the learned rate, as factors of the configured rate.
 const FACTOR_BOUNDS: (f64, f64) = (0.1, 10.0);
 
-/// Decayed sums over pairs of tokens and milliseconds.
+/// Decayed sums over samples of tokens and milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sums {
     weight: f64,
@@ -33,22 +32,22 @@
     tokens_ms: f64,
 }
 
-/// What is known of the rate of one service.
+/// The learned prefill rate of one service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PrefillRate {
     sums: Sums,
     outliers: u32,
 }
 
-/// A line through the pairs.
+/// A regression line through the samples.
 struct Line {
     start_ms: f64,
     ms_per_token: f64,
 }
 
 impl PrefillRate {
-    /// A request that waited behind no prompt had `tokens` to be read and its first
-    /// event after `first_event_ms`.
+    /// Records a request that waited behind no other prompt, had `tokens` to prefill and
+    /// received its first event after `first_event_ms`.
     pub fn observe(&mut self, tokens: u64, first_event_ms: u64) {
         let (tokens, ms) = (tokens as f64, first_event_ms as f64);
         if self.is_outlier(tokens, ms) {
@@ -68,20 +67,21 @@
         add(&mut sums.tokens_ms, tokens * ms);
     }
 
-    /// Tokens that an engine reads in a millisecond: `configured` until enough was seen.
+    /// Prefill rate of an engine, in tokens per millisecond: `configured` until there are
+    /// enough samples.
     pub fn tokens_per_ms(&self, configured: f64) -> f64 {
         let (low, high) = FACTOR_BOUNDS;
         match self.line() {
             Some(line) if line.ms_per_token > 0.0 => {
                 (1.0 / line.ms_per_token).clamp(configured * low, configured * high)
             }
-            // Reading takes too little time to be seen.
+            // Prefill takes too little time to be measured.
             Some(_) => configured * high,
             None => configured,
         }
     }
 
-    /// The line of least squares; nothing while it means little.
+    /// The least-squares line, or `None` when the samples are too few or too uniform.
     fn line(&self) -> Option<Line> {
         let sums = &self.sums;
         if sums.weight < MIN_WEIGHT {
@@ -101,7 +101,7 @@
         })
     }
 
-    /// Before a line is known nothing is an outlier: the rate in the settings may be
+    /// Whether a sample is an outlier. Without a line none is: the configured rate may be
     /// far off.
     fn is_outlier(&self, tokens: f64, ms: f64) -> bool {
         self.line().is_some_and(|line| {
--- a/crates/balancing/src/prefix_reach.rs
+++ b/crates/balancing/src/prefix_reach.rs
@@ -1,5 +1,5 @@
-//! What each engine holds of one prompt's shared parts, and from which engine
-//! another one can have what it lacks.
+//! Which of one prompt's shared parts each engine caches, and the engines and stores that
+//! can supply the others.
 
 use crate::catalogue::Engine;
 use crate::fleet::{FleetView, PromptCriteria, StoreView};
@@ -8,15 +8,16 @@
 use ploverlift_routing::prompt::{cache_salt, part_keys, PartKey};
 use std::collections::{BTreeMap, HashMap};
 
-/// Time within which an engine's events tell what it has read, in milliseconds.
+/// Time within which an engine's cache events report what it has prefilled, in
+/// milliseconds.
 const EVENT_DELAY_MS: u64 = 400;
 
-/// Holders of one prompt's parts, and what the store holds of it, by the version of
-/// weights that they were read under.
+/// Engines and stores that cache parts of one prompt, by the weights version under which
+/// these were prefilled.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixReach<'a> {
     by_weights: BTreeMap<u64, Vec<(&'a Engine, u64)>>,
-    /// Of the holders, those worth fetching from: a few of each zone.
+    /// Holders worth fetching from: a few of each zone.
     sources: BTreeMap<u64, Vec<(&'a Engine, u64)>>,
     stored: BTreeMap<u64, Vec<(StoreView<'a>, u64)>>,
     most_kept: BTreeMap<u64, u64>,
@@ -24,7 +25,8 @@
 }
 
 impl<'a> PrefixReach<'a> {
-    /// Looks up which of these engines hold the shared parts of a prompt.
+    /// Looks up which of these engines and which stores cache the shared parts of a
+    /// prompt.
     pub fn of(
         view: &FleetView<'a>,
         engines: &[&'a Engine],
@@ -80,36 +82,36 @@
         }
     }
 
-    /// Whether any engine or the store is known to hold any part.
+    /// Whether any engine or store is known to cache any part.
     pub fn is_known(&self) -> bool {
         !self.by_weights.is_empty() || !self.stored.is_empty()
     }
 
-    /// The stores that hold any part as it was read under these weights, and the tokens
-    /// that each holds.
+    /// The stores that cache any part under these weights, and the number of tokens that
+    /// each caches.
     pub fn stored(&self, weights: u64) -> &[(StoreView<'a>, u64)] {
         self.stored.get(&weights).map_or(&[], Vec::as_slice)
     }
 
-    /// The most tokens that any engine or store holds under an engine's weights.
+    /// The most tokens that any engine or store caches under these weights.
     pub fn most_kept(&self, weights: u64) -> u64 {
         self.most_kept.get(&weights).copied().unwrap_or(0)
     }
 
-    /// Tokens that an engine holds.
+    /// Tokens of the shared parts that an engine caches.
     pub fn held(&self, engine: &Engine) -> u64 {
         self.held.get(&engine.tag).copied().unwrap_or(0)
     }
 
-    /// Whether an engine is among those worth fetching from.
+    /// Whether an engine is one of the holders worth fetching from.
     pub fn is_source(&self, engine: &Engine, model: &str) -> bool {
         let sources = self.sources.get(&engine.weights_of(model));
         let mut sources = sources.into_iter().flatten();
         sources.any(|(source, _)| source.tag == engine.tag)
     }
 
-    /// The other engines that are worth fetching from under the engine's weights, and
-    /// the tokens that each holds.
+    /// The other engines worth fetching from under the engine's weights, and the number
+    /// of tokens that each caches.
     pub fn sources<'b>(
         &'b self,
         engine: &'b Engine,
@@ -122,12 +124,12 @@
     }
 }
 
-/// Engines of each zone that are worth fetching from: the one that holds the most, and
-/// the next one for that engine itself.
+/// Sources per zone: the engine that caches the most, and the next one, which that engine
+/// itself can fetch from.
 const SOURCES_PER_ZONE: usize = 2;
 
-/// The holders that answer and hold the most, a few of each zone: an engine's distance
-/// to all holders of a zone is the same.
+/// Selects the reachable holders that cache the most, a few of each zone: an engine's
+/// distance to all holders of a zone is the same.
 fn nearest_sources<'a>(holders: &[(&'a Engine, u64)]) -> Vec<(&'a Engine, u64)> {
     let answering = holders.iter().copied();
     let answering = answering.filter(|(holder, _)| !holder.health.is_suspected());
@@ -149,8 +151,8 @@
     sources
 }
 
-/// Tokens of the shared parts that an engine keeps: a part is of use only when
-/// every part before it is kept as well.
+/// Tokens of the shared parts that an engine caches. A part is usable only when all parts
+/// before it are cached as well.
 fn kept_tokens(
     view: &FleetView<'_>,
     engine: &Engine,
@@ -159,7 +161,8 @@
     now: Millis,
 ) -> u64 {
     let contents = view.caches.of(engine.tag);
-    // Where events are followed, a placement counts until they can tell.
+    // Where cache events are followed, a placement counts only until its events must have
+    // arrived.
     let longest_age_ms = contents.map_or(u64::MAX, |_| EVENT_DELAY_MS);
     let is_kept = |key: PartKey, tokens: u64| {
         let age_ms = view.holders.age_ms(key, engine.tag, now);
--- a/crates/balancing/src/retry_budget.rs
+++ b/crates/balancing/src/retry_budget.rs
@@ -1,10 +1,10 @@
-//! The budget of repeated arrivals at one service.
+//! Retry budget of one service.
 //!
-//! The bound holds over all nodes together: in any window, arrivals beyond the
-//! first of each request stay under a share of the requests plus a constant. A
-//! node knows its own requests only. If each node stays under the share of its
-//! own requests, the sum stays under the share of all; the constant is not
-//! divided, because nodes come and go, and is used only for a small reserve.
+//! The bound holds over all nodes together: in any window, retries stay below a share of
+//! the requests plus a constant. A node counts its own requests only. If each node stays
+//! below the share of its own requests, the sum stays below the share of all. The
+//! constant is not divided among the nodes, because nodes join and leave, and is used
+//! only for a small reserve.
 
 use ploverlift_policy::ids::Millis;
 use std::collections::VecDeque;
@@ -12,12 +12,12 @@
 /// Length of one slot of the window, in milliseconds.
 const SLOT_MS: u64 = 500;
 
-/// Bounds of a retry budget.
+/// Limits of a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimits {
-    /// Repeated arrivals for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeated arrivals that a quiet node may make in a window.
+    /// Retries that a node may make in a window without any requests.
     pub reserve: f64,
     /// Length of the window, in milliseconds.
     pub window_ms: u64,
@@ -30,7 +30,7 @@
     repeats: u32,
 }
 
-/// Requests and repeats of one service in the last window.
+/// Requests and retries of one service in the last window.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     limits: RetryLimits,
@@ -46,12 +46,12 @@
         }
     }
 
-    /// A caller's request for the service came in.
+    /// Records a caller's request for the service.
     pub fn record_request(&mut self, now: Millis) {
         self.slot(now).requests += 1;
     }
 
-    /// Takes one repeat from the budget; false when it is spent.
+    /// Takes one retry from the budget; returns false when it is used up.
     pub fn try_take(&mut self, now: Millis) -> bool {
         self.slot(now);
         let requests: u32 = self.slots.iter().map(|slot| slot.requests).sum();
--- a/crates/balancing/src/round_trips.rs
+++ b/crates/balancing/src/round_trips.rs
@@ -1,17 +1,17 @@
-//! How long round trips to other zones take, learned from connections that requests
-//! open anyway.
+//! Measures round-trip times to other zones from the connections that requests open
+//! anyway.
 //!
-//! Opening a connection takes one round trip and whatever delays either side. The
-//! shortest of many is the distance; it is forgotten after a while, so that a path
-//! that has become longer is noticed.
+//! Opening a connection takes one round trip plus any delay on either side. The shortest
+//! of many is the distance. It expires after a while, so that a path that has become
+//! longer is noticed.
 
 use ploverlift_policy::ids::{Millis, ZoneName};
 use std::collections::BTreeMap;
 
-/// Time over which the shortest round trip is taken, in milliseconds. The window
-/// before the present one counts as well.
+/// Length of the window over which the shortest round trip is taken, in milliseconds. The
+/// previous window counts as well.
 const WINDOW_MS: u64 = 10_000;
-/// Zones that are remembered.
+/// Maximum number of zones that are tracked.
 const MAX_ZONES: usize = 64;
 
 /// The shortest round trips to one zone, in milliseconds.
@@ -29,7 +29,7 @@
 }
 
 impl RoundTrips {
-    /// A round trip to a zone took so long.
+    /// Records the duration of a round trip to a zone.
     pub fn observe(&mut self, zone: &ZoneName, round_trip_ms: f64, now: Millis) {
         if let Some(known) = self.by_zone.get_mut(zone) {
             known.observe(round_trip_ms, now);
@@ -46,8 +46,9 @@
         self.by_zone.insert(zone.clone(), first);
     }
 
-    /// The shortest round trip to a zone, in milliseconds; nothing where none was seen
-    /// lately. A zone that looked far, and so gets no requests, is tried again then.
+    /// The shortest round trip to a zone, in milliseconds; `None` when none was measured
+    /// recently. A zone that seemed far, and therefore gets no requests, is then tried
+    /// again.
     pub fn to_ms(&self, zone: &ZoneName, now: Millis) -> Option<f64> {
         let known = self.by_zone.get(zone)?;
         let age_ms = now.since(known.window_began_at);
@@ -58,12 +59,12 @@
         Some(known.present_ms.min(previous_ms))
     }
 
-    /// Zones to which a round trip was seen.
+    /// Number of zones to which a round trip was measured.
     pub fn len(&self) -> usize {
         self.by_zone.len()
     }
 
-    /// Whether no round trip was seen.
+    /// Whether no round trip was measured.
     pub fn is_empty(&self) -> bool {
         self.by_zone.is_empty()
     }
--- a/crates/balancing/src/selection.rs
+++ b/crates/balancing/src/selection.rs
@@ -1,4 +1,4 @@
-//! The choice of an engine, by a cost in milliseconds with named terms.
+//! Selects the engine with the lowest cost, in milliseconds by named terms.
 
 use crate::candidates::{candidates, Candidates};
 use crate::catalogue::Engine;
@@ -13,58 +13,62 @@
 use ploverlift_routing::topology::{Distance, RegionName};
 use std::collections::{BTreeMap, HashMap};
 
-/// The engine that was chosen.
+/// The selected engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
     /// The engine.
     pub instance: InstanceId,
     /// Its cost.
     pub cost: Cost,
-    /// Where it can have shared parts that it lacks, or that it turns out to have
-    /// dropped.
+    /// Source from which the engine can fetch shared parts that it lacks, or that it
+    /// turns out to have evicted.
     pub source: Option<CacheSource>,
-    /// Tokens of the shared parts that it keeps itself.
+    /// Tokens of the shared parts in the engine's own cache.
     pub local_tokens: u64,
-    /// Tokens of the shared parts that need not be read.
+    /// Tokens of the shared parts that need no prefill: cached by the engine or moved to
+    /// it.
     pub reusable_tokens: u64,
-    /// Time of the move from the source, in milliseconds.
+    /// Duration of the move from the source, in milliseconds.
     pub move_ms: f64,
-    /// How far the engine is from this node.
+    /// Distance from this node to the engine.
     pub distance: Distance,
-    /// Engines that could be chosen.
+    /// Number of engines that were eligible.
     pub candidates: usize,
 }
 
-/// An engine fails notably when its failure rate is over its service's by this much.
+/// Excess of an engine's failure rate over its service's typical rate above which it adds
+/// cost.
 const NOTABLE_FAILURE_RATE: f64 = 0.2;
-/// Outcomes before a failure rate means anything.
+/// Minimum number of outcomes for a failure rate to be used.
 const MIN_OUTCOMES: u32 = 6;
-/// Cost of a failure rate of one, in milliseconds.
+/// Cost of a failure rate of 1.0, in milliseconds.
 const FAILURE_MS: f64 = 2_000.0;
-/// Cost of an engine that loads weights, in milliseconds: it would refuse.
+/// Cost of an engine that is loading weights, in milliseconds: it would refuse the
+/// request.
 const LOADING_MS: f64 = 5_000.0;
-/// Cost of an engine that was ejected, in milliseconds.
+/// Cost of an ejected engine, in milliseconds.
 const EJECTED_MS: f64 = 20_000.0;
-/// Time that a load waits to be reported, in milliseconds: half of a node's report
-/// period and of a relay's, and a third of what other zones' relays add.
+/// Mean delay until a load is reported, in milliseconds: half of a node's report period
+/// and half of a relay's, plus a third of the delay that relays of other zones add.
 const REPORT_WAIT_MS: f64 = 100.0;
-/// Longest wait that is expected behind what other nodes sent unseen, in milliseconds:
-/// more than what engines differ by in a roll-out (80 ms for a stale version), less than
-/// what they differ by under overload. There prompts go where they are cached, not where
-/// it is cheapest for everyone, and without this bound true queues do not count
-/// (scale-1 of the shifted site: 0.292 without, 0.334 with 120, 0.338 with 50).
+/// Upper bound on the wait expected behind unreported requests of other nodes, in
+/// milliseconds. It exceeds the cost differences between engines during a weights
+/// roll-out (80 ms for a stale version) and stays below those under overload: there,
+/// prompts go where they are cached, not to the engine that is cheapest for everyone, and
+/// without a bound the estimate would hide actual queues.
 const MAX_UNREPORTED_MS: f64 = 120.0;
-/// Highest cost of reading again what is kept elsewhere, in milliseconds: half of what
-/// an engine costs that fails every request, so that a prompt leaves a home that fails.
+/// Maximum cost of prefilling again what is cached elsewhere, in milliseconds: half of
+/// the cost of an engine that fails every request, so that prompts leave a failing home
+/// engine.
 const MAX_REREAD_MS: f64 = 1_000.0;
-/// Cost of each place in the order of a prompt's engines, in milliseconds, so
-/// that overflow goes to the same few engines.
+/// Cost per rank in a prompt's rendezvous order, in milliseconds, so that overflow goes
+/// to the same few engines.
 const RANK_MS: f64 = 1.0;
 
-/// Chooses the engine with the lowest cost.
+/// Selects the engine with the lowest cost.
 ///
 /// # Errors
-/// When no engine may serve the request.
+/// Returns the reason when no engine may serve the request.
 pub fn choose(
     view: &FleetView<'_>,
     criteria: &Criteria<'_>,
@@ -122,7 +126,7 @@
     })
 }
 
-/// A zone as it looks from this node.
+/// A zone as seen from this node.
 #[derive(Clone, Copy, Debug)]
 struct ZoneView<'a> {
     region: Option<&'a RegionName>,
@@ -130,7 +134,7 @@
     region_ms: f64,
 }
 
-/// The zones of the candidates.
+/// Views of the zones that have candidates.
 fn zone_views<'a>(
     view: &FleetView<'a>,
     criteria: &Criteria<'_>,
@@ -160,7 +164,7 @@
     zone_views
 }
 
-/// The engine that each region's requests for the prompt go to first.
+/// The home engine in each region: the first of the prompt's rendezvous order there.
 fn homes<'a>(
     view: &FleetView<'a>,
     ranked: &[&'a Engine],
@@ -173,7 +177,7 @@
     homes
 }
 
-/// The newest weights that a candidate has.
+/// The newest weights version among the candidates.
 fn newest_weights(engines: &[&Engine], criteria: &Criteria<'_>) -> u64 {
     let prompt = criteria.prompt.as_ref();
     let weights = engines.iter().map(|engine| {
@@ -183,8 +187,8 @@
     weights.max().unwrap_or(0)
 }
 
-/// The median failure rate, so that a service whose requests fail anyhow does
-/// not lose all its engines.
+/// The median failure rate of the engines, so that a service whose requests fail on all
+/// engines does not lose all of them.
 fn typical_failure_rate(engines: &[&Engine], now: Millis) -> f64 {
     let mut rates: Vec<f64> = engines
         .iter()
@@ -197,7 +201,7 @@
         .unwrap_or(0.0)
 }
 
-/// What the costs of all candidates have in common.
+/// Inputs that the costs of all candidates share.
 struct CostEstimator<'a> {
     view: &'a FleetView<'a>,
     criteria: &'a Criteria<'a>,
@@ -205,17 +209,18 @@
     reach: &'a PrefixReach<'a>,
     zone_views: HashMap<&'a ZoneName, ZoneView<'a>>,
     homes: BTreeMap<Option<&'a RegionName>, &'a Engine>,
-    /// The region that is asked for the prompt by those who know of no other.
+    /// Region of the prompt's home, to which nodes send the prompt when no other region
+    /// is known to cache it.
     home_region: Option<&'a RegionName>,
     typical_failures: f64,
     newest_weights: u64,
-    /// Engines of the service for each candidate.
+    /// Engines of the service per candidate.
     engines_per_candidate: f64,
     now: Millis,
 }
 
 impl<'a> CostEstimator<'a> {
-    /// Where an engine is. All candidates' zones are known.
+    /// The view of an engine's zone. The zones of all candidates are known.
     fn zone_view(&self, engine: &Engine) -> ZoneView<'a> {
         let known = self.zone_views.get(&engine.record.zone).copied();
         known.unwrap_or(ZoneView {
@@ -264,9 +269,10 @@
         (cost, plan)
     }
 
-    /// Adds what other nodes have sent unseen. It fills the engines that look cheapest
-    /// to everyone; what an engine costs for this prompt alone does not count in that.
-    /// This request has a random place among those that are sent in the same time.
+    /// Adds the expected wait behind unreported requests of other nodes. They fill the
+    /// engines that are cheapest for every prompt, so cost terms that depend on this
+    /// prompt are left out. This request takes a random position among those sent in the
+    /// same interval.
     fn add_unreported_load(&self, estimated: &mut [(&Engine, Cost, TransferPlan)]) {
         let Some(prompt) = &self.criteria.prompt else {
             return;
@@ -278,7 +284,8 @@
         let other_nodes = self.view.peer_loads.peer_count() as f64;
         let unreported_ms = age_ms as f64 + REPORT_WAIT_MS;
         let tokens = own_tokens * other_nodes * unreported_ms;
-        // Others send to all engines of the service, of which these are a part.
+        // Other nodes send to all engines of the service, and the candidates are only
+        // some of them.
         let volume_ms = tokens / self.rates.prefill_tokens_per_ms / self.engines_per_candidate;
         let base_ms: Vec<f64> = estimated
             .iter()
@@ -292,7 +299,7 @@
         }
     }
 
-    /// Finds the cheapest way by which an engine can have the shared parts.
+    /// Finds the cheapest way for an engine to obtain the shared parts.
     fn plan_transfer(
         &self,
         engine: &'a Engine,
@@ -305,7 +312,7 @@
         let shared = prompt.shared_tokens();
         cost.reread_ms = self.reread_ms(engine, prompt, 0);
         if !self.reach.is_known() {
-            // Nobody is known to keep any part: the home may.
+            // No engine or store is known to cache any part; the home engine may.
             if rank > 0 {
                 cost.eviction_ms = prefill_ms(shared) * self.rates.eviction_share;
             }
@@ -348,8 +355,9 @@
         }
     }
 
-    /// Cost of reading again what others keep, when the engine has or is moved so many
-    /// tokens. What nobody is known to keep may be kept in the prompt's home region.
+    /// Cost of prefilling again what is cached elsewhere, when `kept` tokens are cached
+    /// by the engine or moved to it. Parts that are not known to be cached anywhere may
+    /// be cached in the prompt's home region.
     fn reread_ms(&self, engine: &Engine, prompt: &PromptCriteria<'_>, kept: u64) -> f64 {
         let kept_elsewhere = match self.zone_view(engine).region == self.home_region {
             true => self.reach.most_kept(engine.weights_of(prompt.model)),
--- a/crates/balancing/src/service_index.rs
+++ b/crates/balancing/src/service_index.rs
@@ -1,7 +1,7 @@
-//! The engines of one service, in the orders in which a choice looks at them.
+//! Index of one service's engines, in the orders in which candidates are selected.
 //!
-//! An index that is kept with each change, so that neither a choice nor a new record
-//! walks all engines.
+//! It is updated with each change, so that neither a choice nor a new record iterates
+//! over all engines.
 
 use crate::catalogue::EngineRecord;
 use crate::names::InstanceId;
@@ -9,14 +9,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Engines of one service.
+/// Index of one service's engines.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceIndex {
     instances: BTreeSet<InstanceId>,
     rings: BTreeMap<ZoneName, Ring>,
 }
 
-/// Engines by the hash of their instance; after the last one comes the first.
+/// Engines by the hash of their instance. The ring wraps around after the last one.
 type Ring = BTreeSet<(u64, InstanceId)>;
 
 impl ServiceIndex {
@@ -27,7 +27,7 @@
         ring.insert(ring_entry(&record.instance));
     }
 
-    /// Takes an engine out.
+    /// Removes an engine.
     pub fn remove(&mut self, record: &EngineRecord) {
         self.instances.remove(&record.instance);
         if let Some(ring) = self.rings.get_mut(&record.zone) {
@@ -36,7 +36,7 @@
         self.rings.retain(|_, ring| !ring.is_empty());
     }
 
-    /// All engines, in the order of their instances.
+    /// All engines, sorted by instance.
     pub fn instances(&self) -> impl Iterator<Item = &InstanceId> {
         self.instances.iter()
     }
@@ -51,12 +51,12 @@
         self.instances.is_empty()
     }
 
-    /// Zones that have an engine.
+    /// Zones that have at least one engine.
     pub fn zones(&self) -> impl Iterator<Item = &ZoneName> {
         self.rings.keys()
     }
 
-    /// The engines of a zone from a point of its ring on, each once.
+    /// The engines of a zone, starting at a point of its ring, each once.
     pub fn from_point<'a>(
         &'a self,
         zone: &ZoneName,
--- a/crates/balancing/src/store_admission.rs
+++ b/crates/balancing/src/store_admission.rs
@@ -1,38 +1,37 @@
-//! Which prompts are worth the room that they take in the KV cache store.
+//! Admission to the KV cache store: which prompts are worth saving.
 //!
-//! An engine that saves a prompt saves its own last part along with the shared
-//! ones, and nobody asks for that part again. Saving whatever the store lacks turns
-//! it over with such parts before the shared ones are asked for.
+//! An engine that saves a prompt saves its own last part along with the shared parts, and
+//! no other request uses that part. Saving every prompt of which the store lacks a part
+//! would evict shared parts before they are used.
 
-/// Own tokens of a prompt for each shared one that the store lacks, up to which it
-/// is saved.
+/// Maximum number of own tokens of a saved prompt per shared token that the store lacks.
 const LARGEST_OWN_SHARE: f64 = 0.4;
-/// The same while the store has room.
+/// The same while the store has free capacity.
 const LARGEST_OWN_SHARE_WITH_FREE_CAPACITY: f64 = 1.5;
-/// Part of the store that is filled, up to which it counts as having room.
+/// Fill ratio of the store below which it has free capacity.
 const MAX_FREE_CAPACITY_FILL: f64 = 0.7;
 
-/// A prompt beside what the store keeps, in tokens.
+/// A prompt that may be saved, and the part of it that the store contains, in tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SaveCandidate {
-    /// The prompt's shared parts.
+    /// Tokens of the prompt's shared parts.
     pub shared_tokens: u64,
-    /// Its own part.
+    /// Tokens of the part that the prompt does not share.
     pub own_tokens: u64,
-    /// Its shared parts that the store keeps.
+    /// Tokens of the shared parts that the store contains.
     pub stored_tokens: u64,
 }
 
-/// How full the store is, in tokens.
+/// Fill level of the store, in tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreFill {
-    /// What it is believed to keep.
+    /// Tokens that the store is assumed to contain.
     pub kept_tokens: u64,
-    /// What it has room for.
+    /// Capacity of the store.
     pub capacity_tokens: u64,
 }
 
-/// Whether the store has room for copies of what is kept elsewhere.
+/// Whether the store has free capacity for copies of what is cached elsewhere.
 pub fn has_free_capacity(fill: StoreFill) -> bool {
     fill.kept_tokens as f64 / (fill.capacity_tokens.max(1) as f64) < MAX_FREE_CAPACITY_FILL
 }
--- a/crates/balancing/src/transfer_sources.rs
+++ b/crates/balancing/src/transfer_sources.rs
@@ -1,5 +1,5 @@
-//! Where an engine can have the shared parts of a prompt that it lacks, and how long
-//! the move takes.
+//! Sources from which an engine can fetch the shared parts of a prompt that it lacks, and
+//! the duration of the move.
 
 use crate::catalogue::Engine;
 use crate::fleet::{FleetView, PromptCriteria, StoreView};
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Where an engine can have shared parts that it lacks.
+/// A source of shared parts that an engine lacks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CacheSource {
     /// Another engine.
@@ -20,34 +20,34 @@
     Store(SocketAddr),
 }
 
-/// How an engine can have the shared parts of a prompt.
+/// How an engine obtains the shared parts of a prompt.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TransferPlan {
-    /// Where it can have what it lacks.
+    /// Source of the parts that the engine lacks.
     pub(crate) source: Option<CacheSource>,
-    /// Tokens that it keeps itself.
+    /// Tokens in the engine's own cache.
     pub(crate) local_tokens: u64,
-    /// Tokens that need not be read.
+    /// Tokens that need no prefill.
     pub(crate) reusable_tokens: u64,
-    /// Time of the move, in milliseconds.
+    /// Duration of the move, in milliseconds.
     pub(crate) move_ms: f64,
 }
 
-/// What a source keeps of a prompt, and the time to move what an engine lacks.
+/// The part of a prompt that a source caches, and the time to move what an engine lacks.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Offer<'a> {
     source: SourceId<'a>,
-    /// Tokens of the shared parts that it keeps.
+    /// Tokens of the shared parts that the source caches.
     pub(crate) kept_tokens: u64,
     /// Time until the move begins, in milliseconds.
     pub(crate) wait_ms: f64,
-    /// Time of the move, in milliseconds.
+    /// Duration of the move, in milliseconds.
     pub(crate) move_ms: f64,
-    /// How far the source is from the engine.
+    /// Distance from the source to the engine.
     distance: Distance,
 }
 
-/// Which source it is.
+/// Identity of a source.
 #[derive(Clone, Copy, Debug)]
 enum SourceId<'a> {
     Engine(&'a InstanceId),
@@ -55,7 +55,7 @@
 }
 
 impl Offer<'_> {
-    /// The source.
+    /// The source in its owned form.
     pub(crate) fn source(&self) -> CacheSource {
         match self.source {
             SourceId::Engine(instance) => CacheSource::Engine(instance.clone()),
@@ -64,21 +64,21 @@
     }
 }
 
-/// What the offers of all sources for one prompt follow from.
+/// Inputs that all offers for one prompt share.
 pub(crate) struct OfferContext<'b, 'a> {
-    /// What is known of the fleet.
+    /// This node's view of the fleet.
     pub(crate) view: &'b FleetView<'a>,
-    /// Who keeps the prompt's shared parts.
+    /// Engines and stores that cache the prompt's shared parts.
     pub(crate) reach: &'b PrefixReach<'a>,
     /// The prompt.
     pub(crate) prompt: &'b PromptCriteria<'b>,
-    /// Prompt tokens that an engine reads in a millisecond.
+    /// Prefill rate of an engine, in prompt tokens per millisecond.
     pub(crate) prefill_tokens_per_ms: f64,
-    /// The time.
+    /// The current time.
     pub(crate) now: Millis,
 }
 
-/// A source of KV cache as it looks from one engine.
+/// A source of KV cache as seen from one engine.
 struct Source<'a> {
     zone: &'a ZoneName,
     kept_tokens: u64,
@@ -86,8 +86,9 @@
     name: SourceId<'a>,
 }
 
-/// Engines that have the same offers: those of a zone with the same weights, as much of
-/// the prompt and the same wait, none of them a source itself.
+/// Identifies engines with equal offers: those in the same zone with the same weights,
+/// the same number of cached tokens and the same wait. Engines that are sources
+/// themselves are not cached by this key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct OfferKey<'a> {
     zone: &'a ZoneName,
@@ -96,16 +97,16 @@
     wait_ms: u64,
 }
 
-/// The best offers that were found for a prompt: a fleet has far more engines than
-/// kinds of them.
+/// Best offers found for a prompt, by key: a fleet has far more engines than distinct
+/// keys.
 #[derive(Debug, Default)]
 pub(crate) struct OfferCache<'a> {
     found: HashMap<OfferKey<'a>, Option<Offer<'a>>>,
 }
 
 impl<'a> OfferCache<'a> {
-    /// The best offer for an engine. Nothing when no source has any part, or when a move
-    /// to the engine would not be begun.
+    /// Returns the best offer for an engine, or `None` when no source caches any part or
+    /// the engine would not begin a move because of its queue of moves.
     pub(crate) fn best(
         &mut self,
         context: &OfferContext<'_, 'a>,
@@ -130,8 +131,8 @@
     }
 }
 
-/// The source by which the engine has the shared parts soonest: the move, and reading
-/// what the source lacks. Of sources that differ in nothing, the nearest.
+/// Returns the source with which the engine has the shared parts soonest, counting the
+/// move and the prefill of what the source lacks. Ties go to the nearest source.
 fn best_offer<'a>(
     context: &OfferContext<'_, 'a>,
     engine: &Engine,
@@ -187,7 +188,7 @@
     }
 }
 
-/// Time after which the engine has all shared parts by an offer, in milliseconds.
+/// Time until the engine has all shared parts with an offer, in milliseconds.
 fn completion_ms(context: &OfferContext<'_, '_>, held: u64, offer: &Offer<'_>) -> f64 {
     let shared = context.prompt.shared_tokens();
     let to_read = shared.saturating_sub(offer.kept_tokens.max(held));
--- a/crates/balancing/src/unreported_load.rs
+++ b/crates/balancing/src/unreported_load.rs
@@ -1,22 +1,24 @@
-//! What other nodes have sent to engines since their loads were told.
+//! Estimates the load that other nodes have sent to engines since their last reports.
 //!
-//! Loads are a quarter of a second old. An engine that looks idle, as one that has just
-//! loaded a new version, looks so to all nodes at the same moment, and in that time all
-//! send to it what only some should. So a node counts what the others send meanwhile:
-//! as much as it sends itself, each, and always to the engines that look cheapest. That
-//! fills them up to one level (water-filling); below it, engines are alike.
+//! Reported loads are a quarter of a second old. An engine that looks idle, for example
+//! because it has just loaded a new version, looks idle to all nodes at the same moment,
+//! and until the next reports all of them would send it what only some should. A node
+//! therefore assumes that each other node meanwhile sends as much as it sends itself,
+//! always to the engines that look cheapest. That fills them up to one level
+//! (water-filling), and all engines below that level cost the same.
 
 use ploverlift_policy::decaying_sum::DecayingSum;
 
-/// Time in which past requests lose weight by a factor of e, in milliseconds: a node of
-/// a large fleet sends a dozen requests in it.
+/// Time in which past requests lose weight by a factor of e, in milliseconds: a node of a
+/// large fleet sends about a dozen requests in it.
 const DECAY_MS: u64 = 3_000;
 
-/// Prompt tokens that this node gave engines to read lately.
+/// Prompt tokens that this node recently sent to engines.
 pub type RecentPrefill = DecayingSum<DECAY_MS>;
 
-/// The level up to which a volume fills engines of these costs, cheapest first. Costs
-/// and volume in milliseconds; without engines or volume it is the lowest cost.
+/// The level up to which a volume fills engines of these costs, cheapest first. Costs and
+/// volume are in milliseconds. Without volume it is the lowest cost, and without engines
+/// the volume itself.
 pub fn filled_level(costs: &[f64], volume_ms: f64) -> f64 {
     let mut sorted = costs.to_vec();
     sorted.sort_by(f64::total_cmp);
--- a/crates/balancing/tests/attempts.rs
+++ b/crates/balancing/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What is said of a request, and how often it is sent, for any attempts.
+//! The reported run state and the number of sends, for any outcomes of attempts.
 
 use ploverlift_balancing::attempts::{AttemptLedger, AttemptLimits, AttemptOutcome};
 use ploverlift_balancing::catalogue::InstanceId;
@@ -19,8 +19,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
-    /// For any outcomes: at most one run of a request that may not be repeated,
-    /// no more engines than allowed, "not run" only when it is true.
+    /// For any outcomes: at most one run of a request that may not be repeated, no more
+    /// engines than allowed, and "not run" only when it is true.
     #[test]
     fn run_state_and_limits_hold_for_any_attempts(
         is_repeatable: bool,
@@ -32,7 +32,7 @@
         let mut sent_to = HashSet::new();
         let mut arrivals = 0;
         for (number, outcome) in outcomes.into_iter().enumerate() {
-            // An engine that has other weights is asked once more, else a new one.
+            // An engine with other weights is tried once more, otherwise a new one.
             let name = format!("e{}", ledger.tried().len());
             let instance = InstanceId(name);
             prop_assert!(!ledger.tried().contains(&instance), "attempt {}", number);
--- a/crates/balancing/tests/budgets.rs
+++ b/crates/balancing/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! Retry budgets, the schedule of loads and cache contents.
+//! Retry budgets, the schedule of weights loads, and cache contents.
 
 use ploverlift_balancing::cache_contents::{CacheContents, CacheEvent, CacheEvents};
 use ploverlift_balancing::load_schedule::{loads_now, LoadPace};
@@ -16,8 +16,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
 
-    /// Over any number of nodes and in every window, repeats stay under the share
-    /// of the requests in that window plus each node's reserve.
+    /// Over any number of nodes and in every window, retries stay below the share of the
+    /// requests in that window plus each node's reserve.
     #[test]
     fn repeats_of_all_nodes_stay_under_the_share(
         arrivals in prop::collection::vec((0usize..4, 0u64..400, any::<bool>()), 1..600),
@@ -38,14 +38,14 @@
             let in_window = |times: &[Millis], window: u64| {
                 times.iter().filter(|at| **at <= *end && end.since(**at) < window).count() as f64
             };
-            // A slot of half a second may count a little longer than the window.
+            // A slot of half a second may count slightly longer than the window.
             let allowed = 0.2 * in_window(&requests, 10_500) + 4.0 * LIMITS.reserve;
             prop_assert!(in_window(&repeats, 10_000) <= allowed);
         }
     }
 
-    /// A schedule never loads more than it must, and never waits when a deadline
-    /// would be missed by waiting.
+    /// The schedule never loads more engines than it must, and never waits when waiting
+    /// would miss a deadline.
     #[test]
     fn loads_begin_in_time_and_not_before(
         engines in 1usize..40,
@@ -78,7 +78,7 @@
     assert_eq!(loads_now(&[], &pace, now), 0);
 }
 
-/// Events of salt, part and tokens kept from then on.
+/// A batch of events, each with the salt, the part and the tokens cached from then on.
 fn batch(epoch: u64, next: u64, events: &[(&str, u64, u64)]) -> CacheEvents {
     let events = events.iter().map(|(salt, part, kept_tokens)| CacheEvent {
         salt: (*salt).to_owned(),
--- a/crates/balancing/tests/candidates.rs
+++ b/crates/balancing/tests/candidates.rs
@@ -1,10 +1,11 @@
-//! The choice among thousands of engines looks at a bounded set of them.
+//! A choice among thousands of engines examines a bounded set of them.
 //!
-//! Pattern: a fleet of 3,000 and of 10,000 engines in five zones whose requests are few,
-//! so that what is paid for is knowing all engines. The bounds: a choice may cost a
-//! request 20 ms more than an engine without work would, the distance to another zone and the
-//! places of a prompt's order included (an eighth of the shortest objective is 40 ms);
-//! one prompt's requests of all nodes go to the same engine.
+//! The load consists of few requests in fleets of up to 10,000 engines in five zones
+//! (3,000 in most tests), so that the cost measured is that of the fleet's size. Bounds:
+//! a choice may cost a request 20 ms more than an idle engine would, including the
+//! distance to another zone and the ranks in the prompt's order (an eighth of the
+//! shortest objective is 40 ms), and all nodes send the requests for one prompt to the
+//! same engine.
 
 #[path = "choices/fleet.rs"]
 #[allow(dead_code)]
@@ -28,9 +29,9 @@
 use std::collections::BTreeSet;
 
 const ZONES: [&str; 5] = ["a", "b", "c", "d", "e"];
-/// Engines that one choice looks at, at most, however many there are.
+/// Maximum number of engines that one choice examines, for any fleet size.
 const MAX_CANDIDATES: usize = 72;
-/// What a choice may cost more than an engine without work, in milliseconds.
+/// Maximum excess of a choice's cost over that of an idle engine, in milliseconds.
 const BOUND_MS: f64 = 20.0;
 
 struct Fleet {
@@ -44,7 +45,6 @@
     moves: MovesUnderWay,
 }
 
-/// One request.
 #[derive(Clone, Copy)]
 struct Request<'a> {
     zone: &'a str,
@@ -201,7 +201,7 @@
 fn a_choice_costs_little_more_than_the_best_engine() {
     let mut fleet = Fleet::new(2_000);
     let mut random = fastrand::Rng::with_seed(7);
-    // Half of the engines have work.
+    // Half of the engines are busy.
     for index in 0..1_000 {
         let instance = record(index * 2).instance;
         for _ in 0..random.u32(1..12) {
@@ -212,7 +212,7 @@
     }
     for key in 0..100 {
         let choice = fleet.choose(request(key)).expect("a choice");
-        // An engine without work reads the prompt, which it may have dropped.
+        // An idle engine prefills the prompt and may evict other entries for it.
         let idle_ms = 6_300.0 / RATES.prefill_tokens_per_ms * RATES.eviction_share;
         let most_ms = idle_ms + BOUND_MS;
         assert!(
@@ -246,8 +246,8 @@
     assert_eq!(fleet.choose(none), Err(NoChoice::AllTried));
 }
 
-/// A list of the whole fleet is taken in with each engine once, not with each engine for
-/// each other one: 20,000 engines take no longer than a few times 10,000 do.
+/// Taking in a list of the whole fleet must not compare each engine with every other one.
+/// Eight times as many engines may take at most 32 times as long.
 #[test]
 fn a_list_takes_time_in_proportion_to_its_engines() {
     let taken = |engines: usize| {
--- a/crates/balancing/tests/choices/cache_moves.rs
+++ b/crates/balancing/tests/choices/cache_moves.rs
@@ -1,4 +1,4 @@
-//! Moves of KV cache to the chosen engine: their sources, and how long they take.
+//! Moves of KV cache to the selected engine: their sources and durations.
 
 use crate::fleet::{instance, tag, NOW};
 use crate::site::{address, Known, ZONES};
@@ -23,7 +23,7 @@
     assert_eq!(choice.move_ms, 40.0);
 }
 
-/// Moves from a store to other regions would keep its link busy.
+/// Moves from a store to other regions would saturate its link.
 #[test]
 fn a_store_is_a_source_for_the_engines_of_its_region() {
     let mut known = Known::new(4);
@@ -31,7 +31,7 @@
     let choice = known.choice("w1", 0);
     assert_eq!(choice.distance, Distance::OtherRegion);
     assert_eq!(choice.source, Some(CacheSource::Store(address(1))));
-    // Where the way is too long the prompt is read.
+    // Where the other region is too far, the prompt is prefilled in this one.
     for (zone, _) in ZONES {
         let zone = ZoneName::from(zone);
         known.round_trips.observe(&zone, 400.0, NOW);
@@ -52,7 +52,7 @@
     assert_eq!(choice.source, Some(CacheSource::Store(address(2))));
 }
 
-/// The moves to one engine go one after another.
+/// The moves to one engine run one after another.
 #[test]
 fn a_move_waits_for_those_before_it_and_is_not_begun_after_two_seconds() {
     let mut known = Known::new(1);
--- a/crates/balancing/tests/choices/cache_stores.rs
+++ b/crates/balancing/tests/choices/cache_stores.rs
@@ -1,4 +1,4 @@
-//! KV cache stores: which one keeps a prompt, and which are believed.
+//! KV cache stores: which one saves a prompt, and whose contents are relied on.
 
 use crate::site::{address, parts, topology};
 use ploverlift_balancing::cache_contents::CacheEvents;
@@ -72,16 +72,16 @@
     };
     keep(&mut stores);
     assert!(believed(&stores));
-    // A call failed: nothing is believed until the store answers in the same life.
+    // A call failed: nothing is relied on until the store answers with the same epoch.
     stores.of_mut(address(1)).note_state(CacheStoreState::Lost);
     assert!(!believed(&stores));
     follow(&mut stores, 1);
     assert!(believed(&stores));
-    // Another life of it began empty.
+    // With a new epoch the store starts empty.
     stores.of_mut(address(1)).note_state(CacheStoreState::Lost);
     follow(&mut stores, 2);
     assert!(!believed(&stores));
-    // Where it answers and tells nothing, its life is not known.
+    // When the store answers without events, its epoch is unknown.
     keep(&mut stores);
     stores.of_mut(address(1)).note_state(CacheStoreState::Lost);
     let belief = stores.of_mut(address(1));
--- a/crates/balancing/tests/choices/fleet.rs
+++ b/crates/balancing/tests/choices/fleet.rs
@@ -1,4 +1,4 @@
-//! Engines of a fleet, and the rates of its costs.
+//! Engines of a fleet, and the cost rates.
 
 use ploverlift_balancing::catalogue::{EngineRecord, Heartbeat, InstanceId};
 use ploverlift_balancing::cost::{CostRates, RegionRates};
@@ -32,7 +32,7 @@
     EngineTag::of(&instance(index))
 }
 
-/// An engine with the first version of the model.
+/// An engine with the first weights version of the model.
 pub fn record(index: usize) -> EngineRecord {
     EngineRecord {
         instance: instance(index),
--- a/crates/balancing/tests/choices/main.rs
+++ b/crates/balancing/tests/choices/main.rs
@@ -1,4 +1,4 @@
-//! The choice of an engine, and the knowledge that it is made by.
+//! The choice of an engine, and the information on which it is based.
 
 mod cache_moves;
 mod cache_stores;
--- a/crates/balancing/tests/choices/one_node.rs
+++ b/crates/balancing/tests/choices/one_node.rs
@@ -93,7 +93,7 @@
         prop_assert_eq!(here, there);
     }
 
-    /// An engine that goes moves only its own prompts.
+    /// The loss of an engine moves only its own prompts.
     #[test]
     fn a_lost_engine_moves_only_its_own_prompts(key: u64, lost in 0usize..12) {
         let mut catalogue = catalogue(12);
@@ -103,7 +103,7 @@
         prop_assert!(before == after || before == instance(lost));
     }
 
-    /// Engines with weights that are too old, leaving or tried are never chosen.
+    /// Engines that have too old weights, are leaving or were tried are never chosen.
     #[test]
     fn ineligible_engines_are_never_chosen(
         key: u64,
@@ -223,7 +223,7 @@
     assert_eq!(choice(&catalogue, soon), Err(NoChoice::NoEngine));
     let later = NOW.plus(5_000);
     assert_eq!(choice(&catalogue, later), Ok(instance(0)));
-    // A newer record of it says where it is.
+    // A newer record gives the engine's address, which clears the mark.
     let mut newer = record(0, 1);
     newer.revision = 2;
     catalogue.upsert(newer);
--- a/crates/balancing/tests/choices/peer_loads.rs
+++ b/crates/balancing/tests/choices/peer_loads.rs
@@ -1,4 +1,4 @@
-//! Loads that nodes report: merged from reports that are lost, late and repeated.
+//! Load reports of other nodes, merged although reports are lost, late or repeated.
 
 use crate::fleet::{instance, tag, NOW};
 use crate::reports::{catalogue, load, report};
@@ -10,8 +10,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, ..ProptestConfig::default() })]
 
-    /// Whatever reports are lost, repeated or overtaken, each node's last full
-    /// report that arrives leaves just its loads.
+    /// Whichever reports are lost, repeated or overtaken, after a full report of each
+    /// node the totals are the sum of the nodes' loads.
     #[test]
     fn totals_are_the_sum_of_the_last_full_reports(
         steps in prop::collection::vec((0usize..3, 0usize..4, 0u32..5, any::<bool>()), 1..60),
--- a/crates/balancing/tests/choices/prefix_holders.rs
+++ b/crates/balancing/tests/choices/prefix_holders.rs
@@ -1,4 +1,4 @@
-//! Holders of prompts: what nodes tell of them, and when they are forgotten.
+//! Holders of prompts: what nodes announce about them, and when they expire.
 
 use crate::fleet::{tag, NOW};
 use crate::reports::{kept_by, parts};
@@ -14,7 +14,7 @@
         holders.note_own(&[part], tag(0), NOW);
     }
     let (_, next) = follower.news_after(0, 16);
-    // A part that no request has used is nobody's news.
+    // A part that no request has used is not announced.
     follower.note_dropped(&[part, PartKey(10)], tag(0), true, NOW.plus(500));
     let (news, _) = follower.news_after(next, 16);
     assert_eq!(news.len(), 1);
@@ -69,7 +69,7 @@
     assert_eq!(holders.news_after(next, 16).0.len(), 0);
     holders.note_own(&chains, tag(0), NOW.plus(9_000));
     assert_eq!(holders.news_after(next, 16).0.len(), 1);
-    // Another reader of the news has its own position.
+    // Another reader of the announcements has its own position.
     assert_eq!(holders.news_after(0, 16).0.len(), 2);
 }
 
--- a/crates/balancing/tests/choices/regions.rs
+++ b/crates/balancing/tests/choices/regions.rs
@@ -7,7 +7,7 @@
 use ploverlift_routing::prompt::{ChainKey, PromptPart};
 use ploverlift_routing::topology::{Distance, Topology};
 
-/// Reading a long prompt once for all regions saves more than the way there costs.
+/// Prefilling a long prompt once for all regions saves more than the distance costs.
 #[test]
 fn a_long_prompt_has_one_home_and_a_short_one_has_a_home_in_each_region() {
     let mut known = Known::new(40);
@@ -24,7 +24,7 @@
     assert_ne!(home(&known, "w1"), home(&known, "e1"));
 }
 
-/// A store that is lost, or known to some nodes alone, moves no home.
+/// A store that is lost, or known to some nodes only, moves no home.
 #[test]
 fn homes_of_long_prompts_are_spread_over_the_regions_whatever_stores_there_are() {
     let mut known = Known::new(40);
@@ -39,7 +39,7 @@
     assert!((15..=45).contains(&in_the_west), "{in_the_west} of 60");
 }
 
-/// A prompt leaves an engine that is lost, however long it is.
+/// A prompt of any length leaves a lost engine.
 #[test]
 fn a_lost_engine_is_not_chosen_to_save_reading_a_very_long_prompt() {
     let mut known = Known::new(2);
@@ -57,7 +57,7 @@
     assert_eq!(choice.cost.reread_ms, 1_000.0);
 }
 
-/// A long way makes it cheaper to read the prompt in each region.
+/// A long distance makes it cheaper to prefill the prompt in each region.
 #[test]
 fn a_long_prompt_has_a_home_in_each_region_when_these_are_far_apart() {
     let mut known = Known::new(40);
@@ -75,14 +75,14 @@
 fn reading_a_prompt_that_is_kept_elsewhere_costs_more_than_its_time() {
     let mut known = Known::new(3);
     known.keep(2);
-    // The engine that keeps it has 60 ms of waiting and the way to it.
+    // The engine that caches the prompt has 60 ms of waiting and is in another region.
     known.wait(&[(2, 2_400)]);
     let choice = known.choice("w1", 0);
-    // It is moved from there.
+    // The prompt is moved from there.
     assert_eq!(choice.cost.reread_ms, 0.0);
     known.moves.begin(tag(0), 2_500.0, NOW);
     known.moves.begin(tag(1), 2_500.0, NOW);
-    // No move can be begun here: reading it again costs 100 ms and 200 ms more.
+    // No move can begin here: prefilling again costs 100 ms plus 200 ms for the reread.
     assert_eq!(known.choice("w1", 0).instance, instance(2));
 }
 
@@ -95,7 +95,8 @@
     assert_eq!(home("w1").cost.region_ms, 0.0);
 }
 
-/// Another region is worth it only when the wait here is longer than the way there.
+/// Another region is chosen only when the wait in this one exceeds the cost of the
+/// distance.
 #[test]
 fn the_measured_round_trip_and_the_request_length_set_the_cost_of_another_region() {
     let mut known = Known::new(4);
@@ -105,7 +106,7 @@
     known.wait(&[(0, 6_000), (1, 6_000)]);
     // 150 ms of waiting against three round trips of 40 ms and nothing to send.
     assert_eq!(known.choice("w1", 0).distance, Distance::OtherRegion);
-    // A long request makes it further.
+    // A long request raises the cost of the distance.
     assert_ne!(known.choice("w1", 9_000).distance, Distance::OtherRegion);
     // So do measured round trips; the shortest of each zone counts.
     for (zone, round_trip_ms) in [("e1", 90.0), ("e1", 70.0), ("e2", 80.0)] {
--- a/crates/balancing/tests/choices/reports.rs
+++ b/crates/balancing/tests/choices/reports.rs
@@ -1,4 +1,4 @@
-//! A node's knowledge from the reports of others, and the choice that follows.
+//! A node's view built from the reports of others, and the choice that follows.
 
 use crate::fleet::{self, record, tag, NOW};
 use ploverlift_balancing::catalogue::{EngineCatalogue, EngineRecord};
@@ -93,8 +93,8 @@
     chosen_in(&view, &parts(), 0.0, now)
 }
 
-/// The choice for a prompt with these shared parts and this place among those that are
-/// sent unseen.
+/// The choice for a prompt with these shared parts, at this position among the unreported
+/// requests of other nodes.
 pub fn chosen_in(
     view: &FleetView<'_>,
     shared: &[PromptPart],
@@ -108,7 +108,7 @@
     chosen_for(view, prompt, now)
 }
 
-/// A prompt with these shared parts, of which moves take no time.
+/// A prompt with these shared parts, whose moves take no time.
 pub fn criteria_of(shared: &[PromptPart]) -> PromptCriteria<'_> {
     PromptCriteria {
         model: "m",
@@ -137,7 +137,7 @@
     choose(view, &criteria, &RATES, now).expect("an engine")
 }
 
-/// The engines keep the first `count` parts under these weights.
+/// Holders in which these engines cache the first `count` parts under these weights.
 pub fn kept_by(engines: &[usize], weights: u64, count: usize) -> PrefixHolders {
     let chains = part_keys(&cache_salt("m", weights, ""), &parts()[..count]);
     let mut holders = PrefixHolders::default();
--- a/crates/balancing/tests/choices/round_trips.rs
+++ b/crates/balancing/tests/choices/round_trips.rs
@@ -1,4 +1,4 @@
-//! Measured round trips to other zones: how long they are believed.
+//! Measured round trips to other zones, and when they expire.
 
 use crate::fleet::NOW;
 
@@ -21,7 +21,7 @@
     assert!(round_trips.len() <= 64);
 }
 
-/// A zone that looked far once gets no requests that could show otherwise.
+/// A zone that once seemed far gets no requests that could show otherwise.
 #[test]
 fn a_slow_connection_does_not_keep_a_zone_far_for_good() {
     let zone = ZoneName::from("e1");
--- a/crates/balancing/tests/choices/shared_knowledge.rs
+++ b/crates/balancing/tests/choices/shared_knowledge.rs
@@ -1,4 +1,4 @@
-//! Choices that follow from what nodes tell each other of loads and kept prompts.
+//! Choices that follow from what nodes report about loads and cached prompts.
 
 use crate::fleet::{instance, tag, NOW};
 use crate::reports::{
@@ -65,7 +65,7 @@
     let mut holders = kept_by(&[0], 1, 2);
     let first_part = part_keys(&cache_salt("m", 1, ""), &parts()[..1]);
     holders.note_own(&first_part, tag(1), NOW);
-    // The holder of all parts is too busy to be chosen.
+    // The engine that caches all parts is too busy to be chosen.
     catalogue.begin(&instance(0), 90_000, NOW);
     catalogue.begin(&instance(2), 90_000, NOW);
     let choice = chosen(&catalogue, &PeerLoads::default(), &holders);
@@ -81,8 +81,8 @@
 #[test]
 fn cache_events_take_precedence_over_old_placements() {
     let catalogue = catalogue(&[1, 1, 1]);
-    // Long ago the prompt was sent to the first engine; the events of all are
-    // followed, and only the last one's tell of its parts.
+    // The prompt was sent to the first engine long ago. The events of all engines are
+    // followed, and only those of the last one report its parts.
     let holders = kept_by(&[0], 1, 2);
     let mut caches = EngineCaches::default();
     for index in 0..3 {
@@ -99,7 +99,7 @@
         (choice.instance, choice.reusable_tokens),
         (instance(2), 6_000)
     );
-    // Without events the placement is all that is known.
+    // Without events only the placement is known.
     let choice = chosen_at(
         &catalogue,
         &loads,
@@ -162,7 +162,7 @@
     assert_eq!((choice.local_tokens, choice.reusable_tokens), (0, 6_000));
     assert_eq!(choice.cost.prefill_ms, 0.0);
     assert!((choice.cost.transfer_ms - 40.0).abs() < 1.5);
-    // An engine that keeps the prompt itself needs no move.
+    // An engine that caches the prompt itself needs no move.
     let holders = kept_by(&[0], 1, 2);
     let choice = choice_with(300.0, &holders);
     assert_eq!((choice.instance, choice.local_tokens), (instance(0), 6_000));
--- a/crates/balancing/tests/choices/site.rs
+++ b/crates/balancing/tests/choices/site.rs
@@ -1,4 +1,4 @@
-//! A site of two regions as one node sees it.
+//! A site of two regions as seen by one node.
 
 use crate::fleet::{self, record, tag, NOW};
 use ploverlift_balancing::cache_contents::CacheContents;
@@ -33,7 +33,7 @@
     ("e2", "east"),
 ];
 
-/// Tokens that move in a millisecond within a zone.
+/// Rate of moves within a zone, in tokens per millisecond.
 pub const MOVE_RATE: f64 = 1_000.0;
 
 pub fn topology() -> Topology {
@@ -42,7 +42,7 @@
     Topology::new(regions.collect())
 }
 
-/// Engine `n` is in the zone with the number `n` modulo four.
+/// Engine `n` is in zone `n` modulo four.
 pub fn catalogue(engines: usize) -> EngineCatalogue {
     let mut catalogue = EngineCatalogue::default();
     for index in 0..engines {
@@ -65,7 +65,7 @@
     SocketAddr::from(([127, 0, 0, 2], index))
 }
 
-/// A site as one node sees it.
+/// A site as seen by one node.
 pub struct Known {
     pub topology: Topology,
     pub catalogue: EngineCatalogue,
@@ -93,19 +93,19 @@
         }
     }
 
-    /// An engine keeps the prompt.
+    /// Lets an engine cache the default prompt.
     pub fn keep(&mut self, engine: usize) {
         let keys = part_keys(&cache_salt("m", 1, ""), &parts());
         self.holders.note_own(&keys, tag(engine), NOW);
     }
 
-    /// An engine keeps the prompt that is asked for.
+    /// Lets an engine cache the shared parts of the prompt that is requested.
     pub fn keep_shared(&mut self, engine: usize) {
         let keys = part_keys(&cache_salt("m", 1, ""), &self.shared);
         self.holders.note_own(&keys, tag(engine), NOW);
     }
 
-    /// A store in a zone keeps the prompt.
+    /// Adds a store in a zone that contains the default prompt.
     pub fn store(&mut self, index: u16, zone: &str) {
         let mut contents = CacheContents::default();
         for part in parts() {
@@ -115,7 +115,7 @@
         self.stores.push((address(index), zone, contents));
     }
 
-    /// Prompt tokens wait at engines.
+    /// Reports prompt tokens that wait at engines.
     pub fn wait(&mut self, tokens: &[(usize, u64)]) {
         let loads = tokens.iter().map(|(engine, waiting_tokens)| {
             let load = EngineLoad {
--- a/crates/balancing/tests/choices/unreported_load.rs
+++ b/crates/balancing/tests/choices/unreported_load.rs
@@ -1,4 +1,4 @@
-//! What engines read for others and no report tells yet.
+//! Estimates of load that other nodes have sent and not reported yet.
 
 use crate::fleet::{instance, NOW};
 use crate::reports::{catalogue, chosen_in, kept_by, report};
@@ -14,9 +14,9 @@
 use ploverlift_routing::prompt::PromptPart;
 use ploverlift_routing::topology::Topology;
 
-/// The choice of a node among ten others that heard of their loads 200 ms ago and has
-/// itself given engines `tokens` to read just now; the request has this place among
-/// those that are sent unseen.
+/// The choice of a node whose ten peers reported their loads 200 ms ago and which itself
+/// has just sent engines `tokens` to prefill. The request has this position among the
+/// unreported requests of other nodes.
 fn chosen_after_sending(catalogue: &EngineCatalogue, tokens: u64, arrival_fraction: f64) -> Choice {
     let mut loads = PeerLoads::default();
     for peer in 1..=10 {
@@ -40,7 +40,8 @@
 }
 
 /// An engine that has just loaded a new version looks best to every node at the same
-/// moment. Those that come first find it so; the others count what it was sent.
+/// moment. The first requests choose it; later ones take into account what the others
+/// have sent to it.
 #[test]
 fn the_first_engine_with_a_new_version_is_not_sent_everything() {
     let mut weights = [1_u64; 20];
@@ -55,7 +56,8 @@
     assert!(elsewhere.count() > 10);
 }
 
-/// Where all engines are alike, what is unseen changes nothing: a prompt keeps its home.
+/// Where all engines cost the same, unreported load changes nothing: a prompt keeps its
+/// home.
 #[test]
 fn a_prompt_keeps_its_home_under_load() {
     let catalogue = catalogue(&[1; 20]);
--- a/crates/balancing/tests/load_width.rs
+++ b/crates/balancing/tests/load_width.rs
@@ -1,9 +1,9 @@
-//! Learning how many engines may load at once.
+//! Learning how many engines may load weights concurrently.
 
 use ploverlift_balancing::load_width::{FinishedLoad, LoadWidth};
 
-/// Brings `engines` up to date at the learned width, with loads that take `load_ms` and
-/// in proportion longer while over `capacity` run; tells the width afterwards.
+/// Updates `engines` at the learned width, with loads that take `load_ms`, and
+/// proportionally longer while more than `capacity` run. Returns the width afterwards.
 fn roll_out(width: &mut LoadWidth, engines: usize, capacity: usize, load_ms: f64) -> usize {
     let most = engines / 2;
     let mut left = engines;
@@ -98,7 +98,7 @@
         width.observe(load(400.0), 18);
     }
     assert!(width.width(1, 1_000) <= 19);
-    // A wave of slowed loads narrows it at once.
+    // A wave of slowed loads reduces the width at once.
     for _ in 0..18 {
         width.observe(load(700.0), 18);
     }
@@ -120,7 +120,8 @@
             width.observe(load, at_once);
         }
     }
-    // The first loads were slowed already and nothing else is known; it stays at that.
+    // The first loads were slowed already and no faster one was measured, so the required
+    // width stays near the one derived from them.
     assert!(width.needed(120, 500, 4_000) <= 23);
 }
 
--- a/crates/balancing/tests/overload.rs
+++ b/crates/balancing/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Which part of the requests is refused while engines are overloaded.
+//! The share of the requests that is refused while engines are overloaded.
 
 use ploverlift_balancing::overload::{Overload, OverloadLimits, SlotOccupancy, Urgency};
 use ploverlift_policy::ids::Millis;
@@ -91,10 +91,10 @@
     assert_eq!(overload.refused_share(Urgency::Least, &LIMITS, later), 0.0);
 }
 
-/// A quarter of the engines is dark while the long kind doubles: long prompts of 9,000
-/// tokens, of the least urgent rank, beside short ones of 830 that are asked for twice
-/// as often. Long ones ask for five sixths of the reading, so what is missing is freed
-/// by refusing long ones alone.
+/// A quarter of the engines is lost while the number of long prompts doubles. Long
+/// prompts of 9,000 tokens have the lowest urgency; short ones of 830 tokens arrive twice
+/// as often. Long prompts make up five sixths of the demand, so refusing some of them
+/// frees enough and no short prompt is refused.
 #[test]
 fn twice_as_many_long_prompts_on_three_quarters_of_the_engines_refuse_no_short_ones() {
     let mut overload = after_waits(360.0, 100);
@@ -135,8 +135,9 @@
     assert!(overload.refused_share(Urgency::Least, &LIMITS, later) < 0.3);
 }
 
-/// Long prompts with an objective of 1.5 s wait in the same queues as short ones with one
-/// of 0.5 s: a wait of 0.6 s is borne by the former and late for the latter.
+/// Long prompts with an objective of 1.5 s wait in the same queues as short ones with an
+/// objective of 0.5 s: a wait of 0.6 s is tolerable for the former and too long for the
+/// latter.
 #[test]
 fn waiting_is_measured_by_the_objective_of_the_more_urgent() {
     let waited = |urgent_is_asked: bool| {
--- a/crates/balancing/tests/prefill_rate.rs
+++ b/crates/balancing/tests/prefill_rate.rs
@@ -1,20 +1,20 @@
-//! The prefill rate that is learned from three differently shaped fleets.
+//! The prefill rate learned from three differently shaped fleets.
 
 use ploverlift_balancing::prefill_rate::PrefillRate;
 
-/// The rate in the settings, in tokens a millisecond.
+/// The configured rate, in tokens per millisecond.
 const CONFIGURED: f64 = 40.0;
 
-/// A fleet as its answers show it.
+/// A fleet as observed through its answers.
 struct Fleet {
     tokens_per_ms: f64,
-    /// Time to the first event of a prompt of which all is kept.
+    /// Time to the first event of a prompt that is fully cached.
     start_ms: f64,
     /// Longest prompt, in tokens.
     longest: u64,
 }
 
-/// What is learned from so many answers; every twentieth stalls for a second.
+/// The rate learned from `answers` answers, every twentieth of which stalls for a second.
 fn learned(fleet: &Fleet, answers: u64, seed: u64) -> f64 {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut rate = PrefillRate::default();
