--- a/crates/balancing/src/lib.rs
+++ b/crates/balancing/src/lib.rs
@@ -27,7 +27,7 @@
 //! | [`relayed_loads`] | loads that relays sum up in large fleets |
 //! | [`moves`] | durations of KV cache moves, and the moves in progress |
 //! | [`prefix_holders`] | engines to which shared parts of prompts were sent, as nodes announce them |
-//! | [`prefix_reach`] | which parts of one prompt each engine caches, and the sources of the others |
+//! | [`prefix_locations`] | which parts of one prompt each engine caches, and the sources of the others |
 //! | [`prefill_rate`] | prefill rate of engines, learned from their answers |
 //! | [`rendezvous`] | rendezvous order of the engines for a prompt |
 //! | [`round_trips`] | round-trip times to other zones, measured on connections |
@@ -69,7 +69,7 @@
 pub mod peer_loads;
 pub mod prefill_rate;
 pub mod prefix_holders;
-pub mod prefix_reach;
+pub mod prefix_locations;
 pub mod relayed_loads;
 pub mod rendezvous;
 pub mod report_position;
--- a/crates/balancing/src/load_width.rs
+++ b/crates/balancing/src/load_width.rs
@@ -61,7 +61,7 @@
     /// `finish_ms`, from the duration of a load that others do not slow (`assumed_ms`
     /// until one was measured). With the duration of slowed loads, a larger width would
     /// raise the required width further.
-    pub fn needed(&self, engines: usize, assumed_ms: u64, finish_ms: u64) -> usize {
+    pub fn required_width(&self, engines: usize, assumed_ms: u64, finish_ms: u64) -> usize {
         let usual_ms = self.usual_ms.map_or(assumed_ms, |usual_ms| usual_ms as u64);
         (engines as u64 * usual_ms).div_ceil(finish_ms.max(1)) as usize
     }
--- a/crates/balancing/src/moves.rs
+++ b/crates/balancing/src/moves.rs
@@ -15,7 +15,7 @@
 const OTHER_REGION_FACTOR: f64 = 10.0;
 /// Longest wait after which an engine still begins a move, in milliseconds, as the
 /// platform documents.
-pub const LONGEST_WAIT_MS: f64 = 2_000.0;
+pub const MAX_WAIT_MS: f64 = 2_000.0;
 /// Maximum number of engines whose moves are tracked. Those without a move in progress
 /// are dropped first.
 const MAX_ENGINES: usize = 1_024;
@@ -32,31 +32,31 @@
 /// Moves of KV cache that this node's requests have begun, by destination engine.
 #[derive(Clone, Debug, Default)]
 pub struct MovesUnderWay {
-    over_at: HashMap<EngineTag, Millis>,
+    done_at: HashMap<EngineTag, Millis>,
 }
 
 impl MovesUnderWay {
     /// Records that a request makes an engine begin a move, which takes `move_ms` without
     /// waiting.
     pub fn begin(&mut self, engine: EngineTag, move_ms: f64, now: Millis) {
-        if self.over_at.len() >= MAX_ENGINES {
-            self.over_at.retain(|_, over_at| *over_at > now);
+        if self.done_at.len() >= MAX_ENGINES {
+            self.done_at.retain(|_, done_at| *done_at > now);
         }
-        if move_ms < 1.0 || self.over_at.len() >= MAX_ENGINES {
+        if move_ms < 1.0 || self.done_at.len() >= MAX_ENGINES {
             return;
         }
-        let over_at = self.over_at.entry(engine).or_insert(now);
-        *over_at = (*over_at).max(now).plus(move_ms as u64);
+        let done_at = self.done_at.entry(engine).or_insert(now);
+        *done_at = (*done_at).max(now).plus(move_ms as u64);
     }
 
     /// Drops the moves to an engine that has restarted.
     pub fn forget(&mut self, engine: EngineTag) {
-        self.over_at.remove(&engine);
+        self.done_at.remove(&engine);
     }
 
     /// Time until a new move to the engine would begin, in milliseconds.
     pub fn wait_ms(&self, engine: EngineTag, now: Millis) -> f64 {
-        let over_at = self.over_at.get(&engine);
-        over_at.map_or(0.0, |over_at| over_at.since(now) as f64)
+        let done_at = self.done_at.get(&engine);
+        done_at.map_or(0.0, |done_at| done_at.since(now) as f64)
     }
 }
--- a/crates/balancing/src/overload.rs
+++ b/crates/balancing/src/overload.rs
@@ -199,8 +199,8 @@
 
     /// The share of the requests of an urgency that should be refused now.
     pub fn refused_share(&self, urgency: Urgency, limits: &OverloadLimits, now: Millis) -> f64 {
-        let beyond = self.waiting_objectives(now) - limits.bearable_objectives;
-        let shed_share = (beyond * GAIN).clamp(0.0, limits.most_refused);
+        let excess = self.waiting_objectives(now) - limits.bearable_objectives;
+        let shed_share = (excess * GAIN).clamp(0.0, limits.most_refused);
         let least_part = self.demand.least_part();
         let least = match shed_share < least_part * limits.most_refused {
             true => shed_share / least_part,
@@ -220,7 +220,7 @@
 
     /// Time until the queue is expected to drain to the bearable wait, in milliseconds.
     pub fn drained_after_ms(&self, objective_ms: u64, limits: &OverloadLimits, now: Millis) -> u64 {
-        let beyond = self.waiting_objectives(now) - limits.bearable_objectives;
-        (beyond.max(0.0) * objective_ms as f64) as u64
+        let excess = self.waiting_objectives(now) - limits.bearable_objectives;
+        (excess.max(0.0) * objective_ms as f64) as u64
     }
 }
--- a/crates/balancing/src/prefix_reach.rs
+++ b/crates/balancing/src/prefix_locations.rs
@@ -15,16 +15,16 @@
 /// Engines and stores that cache parts of one prompt, by the weights version under which
 /// these were prefilled.
 #[derive(Clone, Debug, Default)]
-pub struct PrefixReach<'a> {
+pub struct PrefixLocations<'a> {
     by_weights: BTreeMap<u64, Vec<(&'a Engine, u64)>>,
     /// Holders worth fetching from: a few of each zone.
     sources: BTreeMap<u64, Vec<(&'a Engine, u64)>>,
     stored: BTreeMap<u64, Vec<(StoreView<'a>, u64)>>,
-    most_kept: BTreeMap<u64, u64>,
-    held: HashMap<EngineTag, u64>,
+    most_cached: BTreeMap<u64, u64>,
+    cached: HashMap<EngineTag, u64>,
 }
 
-impl<'a> PrefixReach<'a> {
+impl<'a> PrefixLocations<'a> {
     /// Looks up which of these engines and which stores cache the shared parts of a
     /// prompt.
     pub fn of(
@@ -43,7 +43,7 @@
             let salt = cache_salt(prompt.model, *weights, prompt.scope);
             let keys = part_keys(&salt, prompt.shared);
             for (engine, tokens) in engines.iter_mut() {
-                *tokens = kept_tokens(view, engine, prompt, &keys, now);
+                *tokens = cached_tokens(view, engine, prompt, &keys, now);
             }
             engines.retain(|(_, tokens)| *tokens > 0);
             let tokens_in = |store: &StoreView<'a>| {
@@ -56,29 +56,31 @@
         }
         by_weights.retain(|_, holders| !holders.is_empty());
         stored.retain(|_, stores| !stores.is_empty());
-        let mut most_kept: BTreeMap<u64, u64> = BTreeMap::new();
-        let held_tokens = by_weights.iter().flat_map(|(weights, holders)| {
+        let mut most_cached: BTreeMap<u64, u64> = BTreeMap::new();
+        let engine_tokens = by_weights.iter().flat_map(|(weights, holders)| {
             let tokens = holders.iter().map(|(_, tokens)| *tokens);
             tokens.map(|tokens| (*weights, tokens))
         });
-        let stored_tokens = stored.iter().flat_map(|(weights, stores)| {
+        let store_tokens = stored.iter().flat_map(|(weights, stores)| {
             let tokens = stores.iter().map(|(_, tokens)| *tokens);
             tokens.map(|tokens| (*weights, tokens))
         });
-        for (weights, tokens) in held_tokens.chain(stored_tokens) {
-            let most = most_kept.entry(weights).or_default();
+        for (weights, tokens) in engine_tokens.chain(store_tokens) {
+            let most = most_cached.entry(weights).or_default();
             *most = tokens.max(*most);
         }
-        let held = by_weights.values().flatten();
-        let held = held.map(|(engine, tokens)| (engine.tag, *tokens)).collect();
+        let cached = by_weights.values().flatten();
+        let cached = cached
+            .map(|(engine, tokens)| (engine.tag, *tokens))
+            .collect();
         let sources = by_weights.iter();
         let sources = sources.map(|(weights, holders)| (*weights, nearest_sources(holders)));
         Self {
             sources: sources.collect(),
             by_weights,
             stored,
-            most_kept,
-            held,
+            most_cached,
+            cached,
         }
     }
 
@@ -94,13 +96,13 @@
     }
 
     /// The most tokens that any engine or store caches under these weights.
-    pub fn most_kept(&self, weights: u64) -> u64 {
-        self.most_kept.get(&weights).copied().unwrap_or(0)
+    pub fn most_cached(&self, weights: u64) -> u64 {
+        self.most_cached.get(&weights).copied().unwrap_or(0)
     }
 
     /// Tokens of the shared parts that an engine caches.
-    pub fn held(&self, engine: &Engine) -> u64 {
-        self.held.get(&engine.tag).copied().unwrap_or(0)
+    pub fn cached(&self, engine: &Engine) -> u64 {
+        self.cached.get(&engine.tag).copied().unwrap_or(0)
     }
 
     /// Whether an engine is one of the holders worth fetching from.
@@ -134,10 +136,10 @@
     let answering = holders.iter().copied();
     let answering = answering.filter(|(holder, _)| !holder.health.is_suspected());
     let mut sources: Vec<(&Engine, u64)> = answering.collect();
-    sources.sort_by(|(a, held_by_a), (b, held_by_b)| {
+    sources.sort_by(|(a, cached_by_a), (b, cached_by_b)| {
         let by_zone = a.record.zone.cmp(&b.record.zone);
         by_zone
-            .then(held_by_b.cmp(held_by_a))
+            .then(cached_by_b.cmp(cached_by_a))
             .then(a.tag.cmp(&b.tag))
     });
     let mut taken: Option<(&ZoneName, usize)> = None;
@@ -153,7 +155,7 @@
 
 /// Tokens of the shared parts that an engine caches. A part is usable only when all parts
 /// before it are cached as well.
-fn kept_tokens(
+fn cached_tokens(
     view: &FleetView<'_>,
     engine: &Engine,
     prompt: &PromptCriteria<'_>,
@@ -164,12 +166,12 @@
     // Where cache events are followed, a placement counts only until its events must have
     // arrived.
     let longest_age_ms = contents.map_or(u64::MAX, |_| EVENT_DELAY_MS);
-    let is_kept = |key: PartKey, tokens: u64| {
+    let is_cached = |key: PartKey, tokens: u64| {
         let age_ms = view.holders.age_ms(key, engine.tag, now);
         age_ms.is_some_and(|age_ms| age_ms < longest_age_ms)
             || contents.is_some_and(|contents| contents.has_part(key, tokens))
     };
     let parts = prompt.shared.iter().zip(keys);
-    let kept = parts.take_while(|(part, key)| is_kept(**key, part.tokens));
-    kept.map(|(part, _)| part.tokens).sum()
+    let cached_prefix = parts.take_while(|(part, key)| is_cached(**key, part.tokens));
+    cached_prefix.map(|(part, _)| part.tokens).sum()
 }
--- a/crates/balancing/src/selection.rs
+++ b/crates/balancing/src/selection.rs
@@ -6,7 +6,7 @@
 pub use crate::eligibility::NoChoice;
 use crate::fleet::{Criteria, FleetView, PromptCriteria};
 use crate::names::InstanceId;
-use crate::prefix_reach::PrefixReach;
+use crate::prefix_locations::PrefixLocations;
 use crate::transfer_sources::{CacheSource, OfferCache, OfferContext, TransferPlan};
 use crate::unreported_load::filled_level;
 use ploverlift_policy::ids::{Millis, ZoneName};
@@ -38,7 +38,7 @@
 
 /// Excess of an engine's failure rate over its service's typical rate above which it adds
 /// cost.
-const NOTABLE_FAILURE_RATE: f64 = 0.2;
+const NOTABLE_FAILURE_EXCESS: f64 = 0.2;
 /// Minimum number of outcomes for a failure rate to be used.
 const MIN_OUTCOMES: u32 = 6;
 /// Cost of a failure rate of 1.0, in milliseconds.
@@ -80,15 +80,15 @@
         sources,
         engines_per_candidate,
     } = candidates(view, criteria, now)?;
-    let reach = match &criteria.prompt {
-        Some(prompt) => PrefixReach::of(view, &sources, prompt, now),
-        None => PrefixReach::default(),
+    let locations = match &criteria.prompt {
+        Some(prompt) => PrefixLocations::of(view, &sources, prompt, now),
+        None => PrefixLocations::default(),
     };
     let estimator = CostEstimator {
         view,
         criteria,
         rates,
-        reach: &reach,
+        locations: &locations,
         zone_views: zone_views(view, criteria, rates, &ranked, now),
         homes: homes(view, &ranked),
         home_region: ranked
@@ -206,7 +206,7 @@
     view: &'a FleetView<'a>,
     criteria: &'a Criteria<'a>,
     rates: &'a CostRates,
-    reach: &'a PrefixReach<'a>,
+    locations: &'a PrefixLocations<'a>,
     zone_views: HashMap<&'a ZoneName, ZoneView<'a>>,
     homes: BTreeMap<Option<&'a RegionName>, &'a Engine>,
     /// Region of the prompt's home, to which nodes send the prompt when no other region
@@ -311,7 +311,7 @@
         let prefill_ms = |tokens: u64| tokens as f64 / self.rates.prefill_tokens_per_ms;
         let shared = prompt.shared_tokens();
         cost.reread_ms = self.reread_ms(engine, prompt, 0);
-        if !self.reach.is_known() {
+        if !self.locations.is_known() {
             // No engine or store is known to cache any part; the home engine may.
             if rank > 0 {
                 cost.eviction_ms = prefill_ms(shared) * self.rates.eviction_share;
@@ -328,42 +328,42 @@
                 ..TransferPlan::default()
             };
         }
-        let held = self.reach.held(engine);
+        let cached = self.locations.cached(engine);
         let context = OfferContext {
             view: self.view,
-            reach: self.reach,
+            locations: self.locations,
             prompt,
             prefill_tokens_per_ms: self.rates.prefill_tokens_per_ms,
             now: self.now,
         };
-        let offer = offers.best(&context, engine, held);
-        let offered = offer.as_ref().map_or(0, |offer| offer.kept_tokens);
-        let kept = held.max(offered);
+        let offer = offers.best(&context, engine, cached);
+        let offered = offer.as_ref().map_or(0, |offer| offer.cached_tokens);
+        let reusable = cached.max(offered);
         let mut move_ms = 0.0;
-        if let Some(offer) = offer.as_ref().filter(|_| offered > held) {
+        if let Some(offer) = offer.as_ref().filter(|_| offered > cached) {
             move_ms = offer.move_ms;
             cost.transfer_ms = offer.wait_ms + offer.move_ms;
         }
-        cost.eviction_ms = prefill_ms(shared - held) * self.rates.eviction_share;
-        cost.prefill_ms = prefill_ms(shared.saturating_sub(kept));
-        cost.reread_ms = self.reread_ms(engine, prompt, kept);
+        cost.eviction_ms = prefill_ms(shared - cached) * self.rates.eviction_share;
+        cost.prefill_ms = prefill_ms(shared.saturating_sub(reusable));
+        cost.reread_ms = self.reread_ms(engine, prompt, reusable);
         TransferPlan {
             source: offer.map(|offer| offer.source()),
-            local_tokens: held,
-            reusable_tokens: kept,
+            local_tokens: cached,
+            reusable_tokens: reusable,
             move_ms,
         }
     }
 
-    /// Cost of prefilling again what is cached elsewhere, when `kept` tokens are cached
+    /// Cost of prefilling again what is cached elsewhere, when `reusable` tokens are cached
     /// by the engine or moved to it. Parts that are not known to be cached anywhere may
     /// be cached in the prompt's home region.
-    fn reread_ms(&self, engine: &Engine, prompt: &PromptCriteria<'_>, kept: u64) -> f64 {
-        let kept_elsewhere = match self.zone_view(engine).region == self.home_region {
-            true => self.reach.most_kept(engine.weights_of(prompt.model)),
+    fn reread_ms(&self, engine: &Engine, prompt: &PromptCriteria<'_>, reusable: u64) -> f64 {
+        let cached_elsewhere = match self.zone_view(engine).region == self.home_region {
+            true => self.locations.most_cached(engine.weights_of(prompt.model)),
             false => prompt.shared_tokens(),
         };
-        let reread_tokens = kept_elsewhere.saturating_sub(kept);
+        let reread_tokens = cached_elsewhere.saturating_sub(reusable);
         let reading_ms = reread_tokens as f64 / self.rates.prefill_tokens_per_ms;
         (reading_ms * self.rates.reread_share).min(MAX_REREAD_MS)
     }
@@ -377,7 +377,7 @@
             return LOADING_MS;
         }
         let excess = engine.health.failure_rate(now) - self.typical_failures;
-        if engine.health.outcomes() >= MIN_OUTCOMES && excess > NOTABLE_FAILURE_RATE {
+        if engine.health.outcomes() >= MIN_OUTCOMES && excess > NOTABLE_FAILURE_EXCESS {
             return excess * FAILURE_MS;
         }
         0.0
--- a/crates/balancing/src/transfer_sources.rs
+++ b/crates/balancing/src/transfer_sources.rs
@@ -3,9 +3,9 @@
 
 use crate::catalogue::Engine;
 use crate::fleet::{FleetView, PromptCriteria, StoreView};
-use crate::moves::{move_factor, LONGEST_WAIT_MS};
+use crate::moves::{move_factor, MAX_WAIT_MS};
 use crate::names::InstanceId;
-use crate::prefix_reach::PrefixReach;
+use crate::prefix_locations::PrefixLocations;
 use ploverlift_policy::ids::{Millis, ZoneName};
 use ploverlift_routing::topology::Distance;
 use std::collections::HashMap;
@@ -38,7 +38,7 @@
 pub(crate) struct Offer<'a> {
     source: SourceId<'a>,
     /// Tokens of the shared parts that the source caches.
-    pub(crate) kept_tokens: u64,
+    pub(crate) cached_tokens: u64,
     /// Time until the move begins, in milliseconds.
     pub(crate) wait_ms: f64,
     /// Duration of the move, in milliseconds.
@@ -69,7 +69,7 @@
     /// This node's view of the fleet.
     pub(crate) view: &'b FleetView<'a>,
     /// Engines and stores that cache the prompt's shared parts.
-    pub(crate) reach: &'b PrefixReach<'a>,
+    pub(crate) locations: &'b PrefixLocations<'a>,
     /// The prompt.
     pub(crate) prompt: &'b PromptCriteria<'b>,
     /// Prefill rate of an engine, in prompt tokens per millisecond.
@@ -81,7 +81,7 @@
 /// A source of KV cache as seen from one engine.
 struct Source<'a> {
     zone: &'a ZoneName,
-    kept_tokens: u64,
+    cached_tokens: u64,
     tokens_per_ms: f64,
     name: SourceId<'a>,
 }
@@ -93,7 +93,7 @@
 struct OfferKey<'a> {
     zone: &'a ZoneName,
     weights: u64,
-    held: u64,
+    cached: u64,
     wait_ms: u64,
 }
 
@@ -111,20 +111,20 @@
         &mut self,
         context: &OfferContext<'_, 'a>,
         engine: &'a Engine,
-        held: u64,
+        cached: u64,
     ) -> Option<Offer<'a>> {
         let wait_ms = context.view.moves.wait_ms(engine.tag, context.now);
-        if wait_ms > LONGEST_WAIT_MS {
+        if wait_ms > MAX_WAIT_MS {
             return None;
         }
-        let find = || best_offer(context, engine, held, wait_ms);
-        if context.reach.is_source(engine, context.prompt.model) {
+        let find = || best_offer(context, engine, cached, wait_ms);
+        if context.locations.is_source(engine, context.prompt.model) {
             return find();
         }
         let key = OfferKey {
             zone: &engine.record.zone,
             weights: engine.weights_of(context.prompt.model),
-            held,
+            cached,
             wait_ms: wait_ms as u64,
         };
         *self.found.entry(key).or_insert_with(find)
@@ -136,14 +136,16 @@
 fn best_offer<'a>(
     context: &OfferContext<'_, 'a>,
     engine: &Engine,
-    held: u64,
+    cached: u64,
     wait_ms: f64,
 ) -> Option<Offer<'a>> {
-    let OfferContext { reach, prompt, .. } = context;
-    let engines = reach.sources(engine, prompt.model);
-    let engines = engines.map(|(source, kept_tokens)| Source {
+    let OfferContext {
+        locations, prompt, ..
+    } = context;
+    let engines = locations.sources(engine, prompt.model);
+    let engines = engines.map(|(source, cached_tokens)| Source {
         zone: &source.record.zone,
-        kept_tokens,
+        cached_tokens,
         tokens_per_ms: prompt.move_tokens_per_ms,
         name: SourceId::Engine(&source.record.instance),
     });
@@ -151,37 +153,38 @@
     let is_near = |store: &StoreView<'_>| {
         topology.distance(store.zone, &engine.record.zone) != Distance::OtherRegion
     };
-    let stores = reach.stored(engine.weights_of(prompt.model)).iter();
+    let stores = locations.stored(engine.weights_of(prompt.model)).iter();
     let stores = stores.filter(|(store, _)| is_near(store));
-    let stores = stores.map(|(store, kept_tokens)| Source {
+    let stores = stores.map(|(store, cached_tokens)| Source {
         zone: store.zone,
-        kept_tokens: *kept_tokens,
+        cached_tokens: *cached_tokens,
         tokens_per_ms: store.tokens_per_ms,
         name: SourceId::Store(store.address),
     });
     let offers = engines.chain(stores);
-    let offers = offers.map(|source| offer(context, engine, held, wait_ms, source));
+    let offers = offers.map(|source| offer(context, engine, cached, wait_ms, source));
     offers.min_by(|a, b| {
-        let by_time = completion_ms(context, held, a).total_cmp(&completion_ms(context, held, b));
+        let by_time =
+            completion_ms(context, cached, a).total_cmp(&completion_ms(context, cached, b));
         by_time
             .then(a.distance.cmp(&b.distance))
-            .then(b.kept_tokens.cmp(&a.kept_tokens))
+            .then(b.cached_tokens.cmp(&a.cached_tokens))
     })
 }
 
 fn offer<'a>(
     context: &OfferContext<'_, '_>,
     engine: &Engine,
-    held: u64,
+    cached: u64,
     wait_ms: f64,
     source: Source<'a>,
 ) -> Offer<'a> {
     let topology = context.view.topology;
     let distance = topology.distance(source.zone, &engine.record.zone);
-    let moved = source.kept_tokens.saturating_sub(held) as f64;
+    let moved = source.cached_tokens.saturating_sub(cached) as f64;
     Offer {
         source: source.name,
-        kept_tokens: source.kept_tokens,
+        cached_tokens: source.cached_tokens,
         wait_ms,
         move_ms: moved / source.tokens_per_ms * move_factor(distance),
         distance,
@@ -189,8 +192,8 @@
 }
 
 /// Time until the engine has all shared parts with an offer, in milliseconds.
-fn completion_ms(context: &OfferContext<'_, '_>, held: u64, offer: &Offer<'_>) -> f64 {
+fn completion_ms(context: &OfferContext<'_, '_>, cached: u64, offer: &Offer<'_>) -> f64 {
     let shared = context.prompt.shared_tokens();
-    let to_read = shared.saturating_sub(offer.kept_tokens.max(held));
+    let to_read = shared.saturating_sub(offer.cached_tokens.max(cached));
     offer.move_ms + to_read as f64 / context.prefill_tokens_per_ms
 }
--- a/crates/balancing/tests/load_width.rs
+++ b/crates/balancing/tests/load_width.rs
@@ -108,9 +108,9 @@
 #[test]
 fn slowed_loads_do_not_ask_for_more_width() {
     let mut width = LoadWidth::default();
-    assert_eq!(width.needed(120, 500, 4_000), 15);
+    assert_eq!(width.required_width(120, 500, 4_000), 15);
     for _ in 0..20 {
-        let at_once = width.width(width.needed(120, 500, 4_000), 60);
+        let at_once = width.width(width.required_width(120, 500, 4_000), 60);
         let took_ms = 500.0 * (at_once as f64 / 10.0).max(1.0);
         for _ in 0..at_once {
             let load = FinishedLoad {
@@ -122,7 +122,7 @@
     }
     // The first loads were slowed already and no faster one was measured, so the required
     // width stays near the one derived from them.
-    assert!(width.needed(120, 500, 4_000) <= 23);
+    assert!(width.required_width(120, 500, 4_000) <= 23);
 }
 
 #[test]
--- a/crates/gateway/src/weights/loading.rs
+++ b/crates/gateway/src/weights/loading.rs
@@ -71,7 +71,7 @@
 
     /// Engines that must load at once so that so many have loaded within `finish_ms`.
     pub(super) fn needed(&self, engines: usize, assumed_ms: u64, finish_ms: u64) -> usize {
-        self.with(|state| state.width.needed(engines, assumed_ms, finish_ms))
+        self.with(|state| state.width.required_width(engines, assumed_ms, finish_ms))
     }
 
     pub(super) fn instances(&self) -> Vec<InstanceId> {
