--- a/crates/balancing/benches/choice.rs
+++ b/crates/balancing/benches/choice.rs
@@ -46,7 +46,7 @@
         let catalogue = catalogue(&records(engines));
         let (topology, round_trips) = (Topology::default(), RoundTrips::default());
         let (loads, holders) = (PeerLoads::default(), PrefixHolders::default());
-        let (caches, reading) = (EngineCaches::default(), RecentPrefill::default());
+        let (caches, prefill) = (EngineCaches::default(), RecentPrefill::default());
         let moves = MovesUnderWay::default();
         let (service, zone) = (ServiceName::from("llm"), ZoneName::from("z0"));
         let shared = [PromptPart {
@@ -64,7 +64,7 @@
                     peer_loads: &loads,
                     holders: &holders,
                     caches: &caches,
-                    recent_prefill: &reading,
+                    recent_prefill: &prefill,
                     moves: &moves,
                     cache_stores: Vec::new(),
                 };
--- a/crates/balancing/src/cost.rs
+++ b/crates/balancing/src/cost.rs
@@ -17,8 +17,9 @@
     pub zone_ms: f64,
     /// Cost of leaving the region, added to `zone_ms`.
     pub region: RegionRates,
-    /// Cost of occupied slots, in milliseconds for all slots of an engine; a request
-    /// costs this divided by the number of slots.
+    /// Cost of occupied slots, in milliseconds for all slots of an engine; a request costs
+    /// this divided by the number of slots. It is the only cost of waiting for services
+    /// whose requests have no prompt.
     pub slot_ms: f64,
     /// Assumed number of nodes that send to the same engines. While no other node reports
     /// its load, a node multiplies its own load by this number.
--- a/crates/balancing/src/eligibility.rs
+++ b/crates/balancing/src/eligibility.rs
@@ -31,27 +31,27 @@
     now: Millis,
 ) -> Result<Vec<&'a Engine>, NoChoice> {
     let is_available = |engine: &&Engine| !engine.record.is_leaving && !engine.is_misdirected(now);
-    keep(&mut engines, is_available, NoChoice::NoEngine)?;
+    apply_filter(&mut engines, is_available, NoChoice::NoEngine)?;
     if !catalogue.notices.is_empty() {
         drop_leaving(&mut engines, catalogue, criteria, now)?;
     }
     let has_software = |engine: &&Engine| criteria.software.allows(&engine.record.software);
-    keep(&mut engines, has_software, NoChoice::SoftwareHeldBack)?;
+    apply_filter(&mut engines, has_software, NoChoice::SoftwareHeldBack)?;
     let has_weights = |engine: &&Engine| has_weights(engine, criteria);
-    keep(&mut engines, has_weights, NoChoice::WeightsTooOld)?;
+    apply_filter(&mut engines, has_weights, NoChoice::WeightsTooOld)?;
     let is_untried = |engine: &&Engine| !criteria.excluded.contains(&engine.record.instance);
-    keep(&mut engines, is_untried, NoChoice::AllTried)?;
+    apply_filter(&mut engines, is_untried, NoChoice::AllTried)?;
     if !catalogue.notices.is_empty() {
         let takes_requests = |engine: &&Engine| catalogue.backoff(engine, now).is_none();
-        keep(&mut engines, takes_requests, NoChoice::BackingOff)?;
+        apply_filter(&mut engines, takes_requests, NoChoice::BackingOff)?;
     }
     let rooms = &catalogue.rooms;
     if !rooms.is_empty() {
-        let has_room = |engine: &&Engine| {
+        let is_below_limit = |engine: &&Engine| {
             let is_avoided = criteria.avoids_limited && rooms.is_limited(engine.tag);
             !is_avoided && rooms.has_room(engine.tag, now)
         };
-        keep(&mut engines, has_room, NoChoice::RateLimited)?;
+        apply_filter(&mut engines, is_below_limit, NoChoice::RateLimited)?;
     }
     Ok(engines)
 }
@@ -73,10 +73,10 @@
         let since = notice(engine).map(|notice| notice.since);
         since.is_none_or(|since| now.since(since) < criteria.leaving_grace_ms)
     };
-    keep(engines, is_recent, NoChoice::NoEngine)
+    apply_filter(engines, is_recent, NoChoice::NoEngine)
 }
 
-fn keep(
+fn apply_filter(
     engines: &mut Vec<&Engine>,
     is_eligible: impl Fn(&&Engine) -> bool,
     otherwise: NoChoice,
--- a/crates/balancing/tests/candidates.rs
+++ b/crates/balancing/tests/candidates.rs
@@ -41,7 +41,7 @@
     topology: Topology,
     round_trips: RoundTrips,
     caches: EngineCaches,
-    reading: RecentPrefill,
+    prefill: RecentPrefill,
     moves: MovesUnderWay,
 }
 
@@ -69,7 +69,7 @@
             topology: Topology::default(),
             round_trips: RoundTrips::default(),
             caches: EngineCaches::default(),
-            reading: RecentPrefill::default(),
+            prefill: RecentPrefill::default(),
             moves: MovesUnderWay::default(),
         }
     }
@@ -82,7 +82,7 @@
             peer_loads: &self.loads,
             holders: &self.holders,
             caches: &self.caches,
-            recent_prefill: &self.reading,
+            recent_prefill: &self.prefill,
             moves: &self.moves,
             cache_stores: Vec::new(),
         };
@@ -172,9 +172,9 @@
 fn an_engine_that_keeps_the_prompt_is_a_candidate_in_any_zone() {
     let mut fleet = Fleet::new(3_000);
     for key in 0..20 {
-        let keeper = tag(1_234 + key as usize * 5);
+        let holder = tag(1_234 + key as usize * 5);
         let keys = part_keys(&cache_salt("m", 1, ""), &parts(key));
-        fleet.holders.note_own(&keys, keeper, NOW);
+        fleet.holders.note_own(&keys, holder, NOW);
         let choice = fleet.choose(request(key)).expect("a choice");
         assert!(choice.reusable_tokens == 6_300, "{choice:?}");
     }
@@ -227,11 +227,11 @@
 fn all_engines_are_examined_where_no_candidate_may_serve() {
     let fleet = Fleet::new(600);
     let all = (0..600).map(|index| record(index).instance);
-    let but_one: Vec<InstanceId> = all
+    let all_but_one: Vec<InstanceId> = all
         .filter(|instance| *instance != record(77).instance)
         .collect();
     let last = Request {
-        excluded: &but_one,
+        excluded: &all_but_one,
         ..request(3)
     };
     assert_eq!(
--- a/crates/balancing/tests/choices/cache_stores.rs
+++ b/crates/balancing/tests/choices/cache_stores.rs
@@ -52,7 +52,7 @@
     let part = parts().remove(0);
     let configured = [store(1, "w1")];
     let mut stores = CacheStores::default();
-    let believed = |stores: &CacheStores| {
+    let is_relied_on = |stores: &CacheStores| {
         let in_use = stores.in_use(configured.iter());
         let mut in_use = in_use.iter();
         in_use.any(|(_, belief)| belief.contents().has("s", &part))
@@ -66,27 +66,27 @@
         });
     };
     follow(&mut stores, 1);
-    let keep = |stores: &mut CacheStores| {
+    let save_part = |stores: &mut CacheStores| {
         let contents = stores.of_mut(address(1)).contents_mut();
         contents.note_kept("s", &part);
     };
-    keep(&mut stores);
-    assert!(believed(&stores));
+    save_part(&mut stores);
+    assert!(is_relied_on(&stores));
     // A call failed: nothing is relied on until the store answers with the same epoch.
     stores.of_mut(address(1)).note_state(CacheStoreState::Lost);
-    assert!(!believed(&stores));
+    assert!(!is_relied_on(&stores));
     follow(&mut stores, 1);
-    assert!(believed(&stores));
+    assert!(is_relied_on(&stores));
     // With a new epoch the store starts empty.
     stores.of_mut(address(1)).note_state(CacheStoreState::Lost);
     follow(&mut stores, 2);
-    assert!(!believed(&stores));
+    assert!(!is_relied_on(&stores));
     // When the store answers without events, its epoch is unknown.
-    keep(&mut stores);
+    save_part(&mut stores);
     stores.of_mut(address(1)).note_state(CacheStoreState::Lost);
     let belief = stores.of_mut(address(1));
     belief.note_state(CacheStoreState::Unobserved);
-    assert!(!believed(&stores));
+    assert!(!is_relied_on(&stores));
 }
 
 #[test]
--- a/crates/balancing/tests/choices/site.rs
+++ b/crates/balancing/tests/choices/site.rs
@@ -66,7 +66,7 @@
 }
 
 /// A site as seen by one node.
-pub struct Known {
+pub struct SiteView {
     pub topology: Topology,
     pub catalogue: EngineCatalogue,
     pub loads: PeerLoads,
@@ -78,7 +78,7 @@
     pub shared: Vec<PromptPart>,
 }
 
-impl Known {
+impl SiteView {
     pub fn new(engines: usize) -> Self {
         Self {
             topology: topology(),
@@ -94,19 +94,19 @@
     }
 
     /// Lets an engine cache the default prompt.
-    pub fn keep(&mut self, engine: usize) {
+    pub fn cache_prompt(&mut self, engine: usize) {
         let keys = part_keys(&cache_salt("m", 1, ""), &parts());
         self.holders.note_own(&keys, tag(engine), NOW);
     }
 
     /// Lets an engine cache the shared parts of the prompt that is requested.
-    pub fn keep_shared(&mut self, engine: usize) {
+    pub fn cache_shared(&mut self, engine: usize) {
         let keys = part_keys(&cache_salt("m", 1, ""), &self.shared);
         self.holders.note_own(&keys, tag(engine), NOW);
     }
 
     /// Adds a store in a zone that contains the default prompt.
-    pub fn store(&mut self, index: u16, zone: &str) {
+    pub fn add_store(&mut self, index: u16, zone: &str) {
         let mut contents = CacheContents::default();
         for part in parts() {
             contents.note_kept(&cache_salt("m", 1, ""), &part);
@@ -116,7 +116,7 @@
     }
 
     /// Reports prompt tokens that wait at engines.
-    pub fn wait(&mut self, tokens: &[(usize, u64)]) {
+    pub fn add_waiting(&mut self, tokens: &[(usize, u64)]) {
         let loads = tokens.iter().map(|(engine, waiting_tokens)| {
             let load = EngineLoad {
                 requests: 1,
--- a/crates/balancing/tests/choices/unreported_load.rs
+++ b/crates/balancing/tests/choices/unreported_load.rs
@@ -82,8 +82,8 @@
 
 #[test]
 fn recent_prefill_decays_within_seconds() {
-    let mut reading = RecentPrefill::default();
-    reading.note(30_000.0, NOW);
-    assert!((reading.per_ms(NOW) - 10.0).abs() < 0.01);
-    assert!(reading.per_ms(NOW.plus(9_000)) < 0.6);
+    let mut prefill = RecentPrefill::default();
+    prefill.note(30_000.0, NOW);
+    assert!((prefill.per_ms(NOW) - 10.0).abs() < 0.01);
+    assert!(prefill.per_ms(NOW.plus(9_000)) < 0.6);
 }
