--- a/crates/balancing/tests/choices/unreported_load.rs
+++ b/crates/balancing/tests/choices/unreported_load.rs
@@ -47,9 +47,7 @@
     let mut weights = [1_u64; 20];
     weights[3] = 2;
     let catalogue = catalogue(&weights);
-    let chosen = |tokens, arrival_fraction| {
-        chosen_after_sending(&catalogue, tokens, arrival_fraction).instance
-    };
+    let chosen = |tokens, fraction| chosen_after_sending(&catalogue, tokens, fraction).instance;
     assert_eq!(chosen(0, 1.0), instance(3));
     assert_eq!(chosen(30_000, 0.0), instance(3));
     let elsewhere = (0..20).filter(|step| chosen(30_000, f64::from(*step) / 20.0) != instance(3));
