--- a/crates/balancing/src/attempts.rs
+++ b/crates/balancing/src/attempts.rs
@@ -92,7 +92,7 @@
             AttemptOutcome::Unreachable => {
                 self.unreachable += 1;
                 self.tried.push(instance);
-                return self.unreachable < MAX_UNREACHABLE && self.may_go_to_another();
+                return self.unreachable < MAX_UNREACHABLE && self.may_try_another_engine();
             }
             AttemptOutcome::OtherWeights if !self.has_corrected_weights => {
                 // The same engine is tried again, now with the weights version that it
@@ -107,7 +107,7 @@
         }
         self.tried.push(instance.clone());
         self.note_sent(instance);
-        self.may_go_to_another()
+        self.may_try_another_engine()
     }
 
     /// Records that the request was lost after it was sent, and is sent to the same
@@ -125,7 +125,7 @@
         }
     }
 
-    fn may_go_to_another(&self) -> bool {
+    fn may_try_another_engine(&self) -> bool {
         self.sent_to.len() < self.max_engines() && self.may_run_again()
     }
 
--- a/crates/balancing/src/prefill_rate.rs
+++ b/crates/balancing/src/prefill_rate.rs
@@ -41,7 +41,7 @@
 
 /// A regression line through the samples.
 struct Line {
-    start_ms: f64,
+    intercept_ms: f64,
     ms_per_token: f64,
 }
 
@@ -96,7 +96,7 @@
         let covariance = sums.tokens_ms / sums.weight - mean_tokens * mean_ms;
         let ms_per_token = covariance / variance;
         Some(Line {
-            start_ms: mean_ms - ms_per_token * mean_tokens,
+            intercept_ms: mean_ms - ms_per_token * mean_tokens,
             ms_per_token,
         })
     }
@@ -105,7 +105,7 @@
     /// far off.
     fn is_outlier(&self, tokens: f64, ms: f64) -> bool {
         self.line().is_some_and(|line| {
-            let expected_ms = (line.start_ms + line.ms_per_token * tokens).max(0.0);
+            let expected_ms = (line.intercept_ms + line.ms_per_token * tokens).max(0.0);
             ms > expected_ms * OUTLIER_FACTOR + OUTLIER_SLACK_MS
         })
     }
--- a/crates/balancing/src/round_trips.rs
+++ b/crates/balancing/src/round_trips.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Shortest {
     window_began_at: Millis,
-    present_ms: f64,
+    current_ms: f64,
     previous_ms: Option<f64>,
 }
 
@@ -40,7 +40,7 @@
         }
         let first = Shortest {
             window_began_at: now,
-            present_ms: round_trip_ms,
+            current_ms: round_trip_ms,
             previous_ms: None,
         };
         self.by_zone.insert(zone.clone(), first);
@@ -49,14 +49,14 @@
     /// The shortest round trip to a zone, in milliseconds; `None` when none was measured
     /// recently. A zone that seemed far, and therefore gets no requests, is then tried
     /// again.
-    pub fn to_ms(&self, zone: &ZoneName, now: Millis) -> Option<f64> {
+    pub fn shortest_ms(&self, zone: &ZoneName, now: Millis) -> Option<f64> {
         let known = self.by_zone.get(zone)?;
         let age_ms = now.since(known.window_began_at);
         if age_ms >= 2 * WINDOW_MS {
             return None;
         }
-        let previous_ms = known.previous_ms.unwrap_or(known.present_ms);
-        Some(known.present_ms.min(previous_ms))
+        let previous_ms = known.previous_ms.unwrap_or(known.current_ms);
+        Some(known.current_ms.min(previous_ms))
     }
 
     /// Number of zones to which a round trip was measured.
@@ -73,12 +73,12 @@
 impl Shortest {
     fn observe(&mut self, round_trip_ms: f64, now: Millis) {
         if now.since(self.window_began_at) < WINDOW_MS {
-            self.present_ms = self.present_ms.min(round_trip_ms);
+            self.current_ms = self.current_ms.min(round_trip_ms);
             return;
         }
         let is_recent = now.since(self.window_began_at) < 2 * WINDOW_MS;
-        self.previous_ms = is_recent.then_some(self.present_ms);
-        self.present_ms = round_trip_ms;
+        self.previous_ms = is_recent.then_some(self.current_ms);
+        self.current_ms = round_trip_ms;
         self.window_began_at = now;
     }
 }
--- a/crates/balancing/src/selection.rs
+++ b/crates/balancing/src/selection.rs
@@ -147,7 +147,7 @@
         let zone = &engine.record.zone;
         zone_views.entry(zone).or_insert_with(|| {
             let distance = view.topology.distance(criteria.zone, zone);
-            let round_trip_ms = view.round_trips.to_ms(zone, now);
+            let round_trip_ms = view.round_trips.shortest_ms(zone, now);
             let region_ms = match distance {
                 Distance::OtherRegion => {
                     rates.region.cost_ms(round_trip_ms, criteria.request_bytes)
