--- a/crates/balancing/src/cache_contents.rs
+++ b/crates/balancing/src/cache_contents.rs
@@ -123,7 +123,7 @@
 
     /// Takes in what another node that follows the events knows of some parts. Where
     /// these are a whole share of all, the others of the share are not kept.
-    pub fn apply_told(&mut self, epoch: u64, parts: &[(PartKey, u32)], share: Option<KeyShare>) {
+    pub fn apply_parts(&mut self, epoch: u64, parts: &[(PartKey, u32)], share: Option<KeyShare>) {
         if self.ended_epoch == Some(epoch) {
             return;
         }
--- a/crates/balancing/src/cache_followers.rs
+++ b/crates/balancing/src/cache_followers.rs
@@ -47,7 +47,7 @@
 impl Assignment {
     /// Whether this node tells the others what the engine has dropped: the first of its
     /// followers does.
-    pub fn tells_drops(self) -> bool {
+    pub fn reports_evictions(self) -> bool {
         self.rank == 0
     }
 }
@@ -59,7 +59,7 @@
 
 /// Feeds that a node has at most; as many as fall to it where its share of a core is not
 /// known.
-pub fn most_feeds(cpu_cores: f64) -> usize {
+pub fn max_feeds(cpu_cores: f64) -> usize {
     match cpu_cores > 0.0 {
         true => (cpu_cores * FEEDS_PER_CORE).ceil() as usize,
         false => usize::MAX,
--- a/crates/balancing/src/cache_stores.rs
+++ b/crates/balancing/src/cache_stores.rs
@@ -29,7 +29,7 @@
 
 /// Time after which a store that relays tell of no longer is taken to be lost, in
 /// milliseconds: as long as their silence is borne.
-const TOLD_SILENCE_MS: u64 = 1_800;
+const REPORT_SILENCE_MS: u64 = 1_800;
 
 /// A short name of a store's address, the same on all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -44,7 +44,7 @@
 
 /// What a node that follows a store tells of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ToldContents {
+pub struct StoreUpdate {
     /// The store.
     pub store: StoreTag,
     /// Its life.
@@ -57,13 +57,13 @@
 
 /// What this node believes of one KV cache store.
 #[derive(Clone, Debug, Default)]
-pub struct StoreBelief {
+pub struct KnownStore {
     state: CacheStoreState,
     contents: CacheContents,
-    told_at: Option<Millis>,
+    reported_at: Option<Millis>,
 }
 
-impl StoreBelief {
+impl KnownStore {
     /// What is known of the store itself.
     pub fn state(&self) -> CacheStoreState {
         self.state
@@ -93,39 +93,39 @@
 /// What this node believes of all KV cache stores.
 #[derive(Clone, Debug, Default)]
 pub struct CacheStores {
-    by_address: BTreeMap<SocketAddr, StoreBelief>,
+    by_address: BTreeMap<SocketAddr, KnownStore>,
 }
 
 impl CacheStores {
     /// What is believed of the store at an address; nothing when it is not in use.
-    pub fn of(&self, address: SocketAddr) -> Option<&StoreBelief> {
+    pub fn of(&self, address: SocketAddr) -> Option<&KnownStore> {
         self.by_address.get(&address)
     }
 
     /// What is believed of the store at an address, to be changed.
-    pub fn of_mut(&mut self, address: SocketAddr) -> &mut StoreBelief {
+    pub fn of_mut(&mut self, address: SocketAddr) -> &mut KnownStore {
         self.by_address.entry(address).or_default()
     }
 
     /// Takes in what a relay tells of a store that this node does not follow by itself.
-    pub fn take_told(&mut self, told: &ToldContents, now: Millis) {
+    pub fn apply_reported(&mut self, told: &StoreUpdate, now: Millis) {
         let mut stores = self.by_address.iter_mut();
         let known = stores.find(|(address, _)| StoreTag::of(**address) == told.store);
-        if let Some((_, belief)) = known {
-            let contents = &mut belief.contents;
-            contents.apply_told(told.epoch, &told.parts, told.share);
-            belief.state = CacheStoreState::Followed;
-            belief.told_at = Some(now);
+        if let Some((_, record)) = known {
+            let contents = &mut record.contents;
+            contents.apply_parts(told.epoch, &told.parts, told.share);
+            record.state = CacheStoreState::Followed;
+            record.reported_at = Some(now);
         }
     }
 
     /// A store is known by what relays tell alone: it is taken to be lost when they
     /// have not told of it for a while.
-    pub fn expire_told(&mut self, address: SocketAddr, now: Millis) {
-        let belief = self.of_mut(address);
-        let is_told = |at| now.since(at) < TOLD_SILENCE_MS;
-        if !belief.told_at.is_some_and(is_told) {
-            belief.note_state(CacheStoreState::Lost);
+    pub fn expire_reported(&mut self, address: SocketAddr, now: Millis) {
+        let record = self.of_mut(address);
+        let is_fresh = |at| now.since(at) < REPORT_SILENCE_MS;
+        if !record.reported_at.is_some_and(is_fresh) {
+            record.note_state(CacheStoreState::Lost);
         }
     }
 
@@ -138,9 +138,9 @@
     pub fn in_use<'a>(
         &'a self,
         configured: impl Iterator<Item = &'a CacheStore>,
-    ) -> Vec<(&'a CacheStore, &'a StoreBelief)> {
+    ) -> Vec<(&'a CacheStore, &'a KnownStore)> {
         let known = configured.filter_map(|store| Some((store, self.of(store.address)?)));
-        let answering = known.filter(|(_, belief)| belief.state != CacheStoreState::Lost);
+        let answering = known.filter(|(_, record)| record.state != CacheStoreState::Lost);
         answering.collect()
     }
 }
@@ -149,11 +149,11 @@
 /// of its region the one that rendezvous hashing gives the prompt. Nothing where the
 /// region has none that answers: moves to other regions would keep links busy.
 pub fn saving_store<'a>(
-    stores: &[(&'a CacheStore, &'a StoreBelief)],
+    stores: &[(&'a CacheStore, &'a KnownStore)],
     topology: &Topology,
     zone: &ZoneName,
     key: ChainKey,
-) -> Option<(&'a CacheStore, &'a StoreBelief)> {
+) -> Option<(&'a CacheStore, &'a KnownStore)> {
     let is_near =
         |store: &CacheStore| topology.distance(zone, &store.zone) != Distance::OtherRegion;
     let weight =
@@ -163,21 +163,21 @@
 }
 
 /// How full a store is believed to be.
-pub fn fill(store: &CacheStore, belief: &StoreBelief) -> StoreFill {
+pub fn fill(store: &CacheStore, record: &KnownStore) -> StoreFill {
     StoreFill {
-        kept_tokens: belief.contents.total_tokens(),
+        kept_tokens: record.contents.total_tokens(),
         capacity_tokens: store.capacity_tokens,
     }
 }
 
 /// Whether another store keeps the whole shared prompt.
 pub fn is_kept_elsewhere(
-    stores: &[(&CacheStore, &StoreBelief)],
+    stores: &[(&CacheStore, &KnownStore)],
     but: SocketAddr,
     salt: &str,
     shared: &[PromptPart],
 ) -> bool {
     let mut others = stores.iter().filter(|(store, _)| store.address != but);
-    let has = |belief: &StoreBelief| shared.iter().all(|part| belief.contents.has(salt, part));
-    others.any(|(_, belief)| has(belief))
+    let has = |record: &KnownStore| shared.iter().all(|part| record.contents.has(salt, part));
+    others.any(|(_, record)| has(record))
 }
--- a/crates/balancing/src/candidates.rs
+++ b/crates/balancing/src/candidates.rs
@@ -58,7 +58,7 @@
 ) -> Result<Candidates<'a>, NoChoice> {
     let index = view.catalogue.service_index(criteria.service);
     let index = index.ok_or(NoChoice::NoEngine)?;
-    let rooms = &view.catalogue.rooms;
+    let rooms = &view.catalogue.rate_limits;
     if index.len() > MAX_ALL {
         let few = few(view, index, criteria, now);
         match eligible(few.clone(), view.catalogue, criteria, now) {
--- a/crates/balancing/src/catalogue.rs
+++ b/crates/balancing/src/catalogue.rs
@@ -2,7 +2,7 @@
 //! show them.
 
 use crate::engine_notices::{Backoff, EngineNotices, LeavingNotice};
-use crate::engine_rooms::EngineRooms;
+use crate::engine_rate_limits::EngineRateLimits;
 use crate::health::Outcome;
 pub use crate::heartbeat::Heartbeat;
 use crate::names::{EngineTag, ModelTag};
@@ -47,7 +47,7 @@
     by_tag: HashMap<EngineTag, InstanceId>,
     gone: HashMap<InstanceId, GoneRecord>,
     /// Room at the engines that advertise a rate limit.
-    pub rooms: EngineRooms,
+    pub rate_limits: EngineRateLimits,
     /// What engines said of themselves in answers.
     pub notices: EngineNotices,
 }
@@ -81,13 +81,13 @@
     /// one, and an older heartbeat after a newer one. Within a life weights
     /// never go back by a record: records lag behind what answers have shown.
     pub fn upsert(&mut self, record: EngineRecord) -> bool {
-        if !self.is_news(&record) {
+        if !self.is_newer(&record) {
             return false;
         }
         self.gone.remove(&record.instance);
         self.list_by_service(&record);
         match self.engines.get_mut(&record.instance) {
-            Some(engine) => engine.take(record),
+            Some(engine) => engine.update(record),
             None => {
                 let instance = record.instance.clone();
                 let engine = Engine::new(record);
@@ -112,7 +112,7 @@
     }
 
     /// Whether a record is newer than what is known, by the store and by its engine.
-    fn is_news(&self, record: &EngineRecord) -> bool {
+    fn is_newer(&self, record: &EngineRecord) -> bool {
         if let Some(engine) = self.engines.get(&record.instance) {
             let known = engine.record.heartbeat;
             let is_late = record.heartbeat.is_of_earlier_start(known)
--- a/crates/balancing/src/eligibility.rs
+++ b/crates/balancing/src/eligibility.rs
@@ -45,11 +45,11 @@
         let takes_requests = |engine: &&Engine| catalogue.backoff(engine, now).is_none();
         keep(&mut engines, takes_requests, NoChoice::BackingOff)?;
     }
-    let rooms = &catalogue.rooms;
+    let rooms = &catalogue.rate_limits;
     if !rooms.is_empty() {
         let has_room = |engine: &&Engine| {
             let is_avoided = criteria.avoids_limited && rooms.is_limited(engine.tag);
-            !is_avoided && rooms.has_room(engine.tag, now)
+            !is_avoided && rooms.has_token(engine.tag, now)
         };
         keep(&mut engines, has_room, NoChoice::NoRoom)?;
     }
--- a/crates/balancing/src/engine.rs
+++ b/crates/balancing/src/engine.rs
@@ -86,7 +86,7 @@
     }
 
     /// Takes in a newer record.
-    pub(crate) fn take(&mut self, record: EngineRecord) {
+    pub(crate) fn update(&mut self, record: EngineRecord) {
         let known = std::mem::replace(&mut self.record, record);
         self.misdirected_until = None;
         if self.record.heartbeat.is_of_later_start(known.heartbeat) {
--- a/crates/balancing/src/engine_load.rs
+++ b/crates/balancing/src/engine_load.rs
@@ -10,7 +10,7 @@
 }
 
 impl EngineLoad {
-    pub(crate) fn is_none(&self) -> bool {
+    pub(crate) fn is_zero(&self) -> bool {
         *self == Self::default()
     }
 
--- a/crates/balancing/src/engine_losses.rs
+++ b/crates/balancing/src/engine_losses.rs
@@ -8,7 +8,7 @@
 //! cannot reach would be lost to all.
 //!
 //! ```text
-//! no connection, or news, or record gone ─▶ due ─▶ checks ─▶ lost, or reached again
+//! no connection, or report, or record gone ─▶ due ─▶ checks ─▶ lost, or reached again
 //! ```
 
 use crate::names::{EngineTag, InstanceId, PeerId};
@@ -28,7 +28,7 @@
 /// ports, starved, or its link is cut. It gives up no request for any of them then.
 const DISTRUST_SHARE: f64 = 0.5;
 /// Time for which what other nodes told counts, in milliseconds: some ten reports.
-const NEWS_MS: u64 = 2_000;
+const REPORT_VALID_MS: u64 = 2_000;
 /// Time after an engine was reached in which news of its loss starts no check, in
 /// milliseconds. What this node sees itself goes before what it is told.
 const REACHED_MS: u64 = 5_000;
@@ -42,7 +42,7 @@
 const NODES_UNTIL_CHECK_SHARE: f64 = 0.1;
 /// Lost engines in one report; the latest ones go first. With them a report stays
 /// within one datagram.
-pub const MAX_TOLD: usize = 16;
+pub const MAX_REPORTED: usize = 16;
 
 /// An engine to be checked.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -67,7 +67,7 @@
 
 /// Whose reports tell of lost engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum NewsSource {
+pub enum ReportSource {
     /// A node, of what it has found itself.
     Node,
     /// A relay of another zone, of what the nodes there have found.
@@ -107,7 +107,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct News {
+struct LossReport {
     nodes: u32,
     heard_at: Millis,
 }
@@ -118,13 +118,13 @@
     suspects: HashMap<InstanceId, Suspect>,
     suspicions: u64,
     due: Vec<DueCheck>,
-    news: HashMap<EngineTag, HashMap<(NewsSource, PeerId), News>>,
+    reports: HashMap<EngineTag, HashMap<(ReportSource, PeerId), LossReport>>,
     reached: HashMap<EngineTag, Millis>,
 }
 
 impl EngineLosses {
     /// A connection to the engine that was begun at `began` has timed out. One that was
-    /// refused shows that its machine is there, and is [`Self::note_doubtful`].
+    /// refused shows that its machine is there, and is [`Self::note_suspected`].
     pub fn note_unreachable(
         &mut self,
         instance: &InstanceId,
@@ -146,7 +146,7 @@
 
     /// Something speaks against the engine: another node cannot reach it, it refused a
     /// connection, or it left a call without an answer. It is to be checked.
-    pub fn note_doubtful(&mut self, instance: &InstanceId, address: SocketAddr) {
+    pub fn note_suspected(&mut self, instance: &InstanceId, address: SocketAddr) {
         self.suspect(instance, address);
     }
 
@@ -264,32 +264,32 @@
     /// Nodes besides this one that cannot reach the engine. What a relay tells includes
     /// this node where it `has_told`.
     fn others(&self, engine: EngineTag, has_told: bool, now: Millis) -> u32 {
-        let direct: u32 = self.told_by(engine, NewsSource::Node, now).sum();
-        let zones: u32 = self.told_by(engine, NewsSource::OtherZone, now).sum();
-        let relayed = self.told_by(engine, NewsSource::Relay, now).max();
+        let direct: u32 = self.reported_by(engine, ReportSource::Node, now).sum();
+        let zones: u32 = self.reported_by(engine, ReportSource::OtherZone, now).sum();
+        let relayed = self.reported_by(engine, ReportSource::Relay, now).max();
         let relayed = relayed.unwrap_or(0).saturating_sub(u32::from(has_told));
         relayed.max(direct + zones)
     }
 
     /// What each sender of a kind told lately.
-    fn told_by(
+    fn reported_by(
         &self,
         engine: EngineTag,
-        wanted: NewsSource,
+        wanted: ReportSource,
         now: Millis,
     ) -> impl Iterator<Item = u32> + '_ {
-        let senders = self.news.get(&engine).into_iter().flatten();
-        let fresh = senders.filter(move |((source, _), news)| {
-            *source == wanted && now.since(news.heard_at) < NEWS_MS
+        let senders = self.reports.get(&engine).into_iter().flatten();
+        let fresh = senders.filter(move |((source, _), report)| {
+            *source == wanted && now.since(report.heard_at) < REPORT_VALID_MS
         });
-        fresh.map(|(_, news)| news.nodes)
+        fresh.map(|(_, report)| report.nodes)
     }
 
     /// Takes in what another node of a fleet of so many told; gives the engines that
     /// this node should check.
-    pub fn hear(
+    pub fn apply_reported(
         &mut self,
-        source: NewsSource,
+        source: ReportSource,
         sender: PeerId,
         lost: &[LostEngine],
         fleet: usize,
@@ -299,12 +299,12 @@
         let needed = needed.max(NODES_UNTIL_CHECK);
         let mut to_check = Vec::new();
         for told in lost {
-            let news = News {
+            let report = LossReport {
                 nodes: told.nodes,
                 heard_at: now,
             };
-            let known = self.news.entry(told.engine).or_default();
-            known.insert((source, sender), news);
+            let known = self.reports.entry(told.engine).or_default();
+            known.insert((source, sender), report);
             let reached = self.reached.get(&told.engine);
             let was_reached = reached.is_some_and(|at| now.since(*at) < REACHED_MS);
             if !was_reached && self.others(told.engine, false, now) >= needed {
@@ -316,8 +316,8 @@
 
     /// Forgets news that no longer counts.
     pub fn expire(&mut self, now: Millis) {
-        self.news.retain(|_, senders| {
-            senders.retain(|_, news| now.since(news.heard_at) < NEWS_MS);
+        self.reports.retain(|_, senders| {
+            senders.retain(|_, report| now.since(report.heard_at) < REPORT_VALID_MS);
             !senders.is_empty()
         });
         self.reached.retain(|_, at| now.since(*at) < REACHED_MS);
@@ -335,7 +335,7 @@
             return Vec::new();
         }
         lost.sort_by_key(|(lost_at, engine)| (std::cmp::Reverse(*lost_at), *engine));
-        lost.truncate(MAX_TOLD);
+        lost.truncate(MAX_REPORTED);
         let told = lost
             .into_iter()
             .map(|(_, engine)| LostEngine { engine, nodes: 1 });
@@ -345,22 +345,22 @@
     /// What a relay tells the nodes of its zone: what it has found itself, and what
     /// nodes and other zones have told it.
     pub fn of_all(&self, engines: usize, now: Millis) -> Vec<LostEngine> {
-        self.summed(&[NewsSource::Node, NewsSource::OtherZone], engines, now)
+        self.summed(&[ReportSource::Node, ReportSource::OtherZone], engines, now)
     }
 
     /// What a relay tells other zones: what the nodes of its own have found.
     pub fn of_zone(&self, engines: usize, now: Millis) -> Vec<LostEngine> {
-        self.summed(&[NewsSource::Node], engines, now)
+        self.summed(&[ReportSource::Node], engines, now)
     }
 
-    fn summed(&self, sources: &[NewsSource], engines: usize, now: Millis) -> Vec<LostEngine> {
+    fn summed(&self, sources: &[ReportSource], engines: usize, now: Millis) -> Vec<LostEngine> {
         let mut sums: BTreeMap<EngineTag, u32> = BTreeMap::new();
         for lost in self.own(engines) {
             *sums.entry(lost.engine).or_default() += lost.nodes;
         }
-        for engine in self.news.keys() {
+        for engine in self.reports.keys() {
             for source in sources {
-                let nodes: u32 = self.told_by(*engine, *source, now).sum();
+                let nodes: u32 = self.reported_by(*engine, *source, now).sum();
                 *sums.entry(*engine).or_default() += nodes;
             }
         }
@@ -369,7 +369,7 @@
             .map(|(engine, nodes)| LostEngine { engine, nodes })
             .collect();
         told.sort_by_key(|lost| (std::cmp::Reverse(lost.nodes), lost.engine));
-        told.truncate(MAX_TOLD);
+        told.truncate(MAX_REPORTED);
         told
     }
 }
--- a/crates/balancing/src/engine_notices/exchange.rs
+++ b/crates/balancing/src/engine_notices/exchange.rs
@@ -9,17 +9,17 @@
 use ploverlift_policy::telling::Telling;
 
 /// Engines in one message: with them it stays within one datagram.
-pub const MAX_TOLD: usize = 32;
+pub const MAX_REPORTED: usize = 32;
 /// Engines that are told of at one time, beyond which the others wait for the next one.
-const MAX_DUE: usize = 16 * MAX_TOLD;
+const MAX_DUE: usize = 16 * MAX_REPORTED;
 /// Engines that are told of again in one period, though nothing has changed.
-const MAX_REPEATED: usize = 8 * MAX_TOLD;
+const MAX_REPEATED: usize = 8 * MAX_REPORTED;
 /// Time for which a notice is told again now and then, in milliseconds: nodes may be cut off.
-const TOLD_FOR_MS: u64 = 30_000;
+const REPEATED_FOR_MS: u64 = 30_000;
 
 /// An engine that leaves, as one node tells another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldLeaving {
+pub struct ReportedLeaving {
     /// The life that said so.
     pub life: EngineLife,
     /// Time since a node first had it, in milliseconds.
@@ -28,7 +28,7 @@
 
 /// When something is told.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Occasion {
+pub struct ReportRound {
     /// Whether some of what has not changed is told again, in turn.
     pub is_period: bool,
     /// Whether this node passes on what others tell.
@@ -38,7 +38,7 @@
 impl EngineNotices {
     /// What is told now: what is due, and in each period some of what this node has heard
     /// from the engine itself, or passes on.
-    pub fn news(&mut self, occasion: Occasion, now: Millis) -> Vec<ToldLeaving> {
+    pub fn due_reports(&mut self, round: ReportRound, now: Millis) -> Vec<ReportedLeaving> {
         let mut told = self.due(now);
         for engine in &told {
             let leaving = self.notices.get_mut(engine);
@@ -46,8 +46,8 @@
                 leaving.telling.note_told(now);
             }
         }
-        if occasion.is_period {
-            told.extend(self.next_in_turn(occasion.passes_on, now));
+        if round.is_period {
+            told.extend(self.next_in_turn(round.passes_on, now));
             told.sort();
             told.dedup();
         }
@@ -56,7 +56,7 @@
     }
 
     /// All engines that are known to leave, for a node that knows nothing yet.
-    pub fn everything(&self, now: Millis) -> Vec<ToldLeaving> {
+    pub fn all_leaving(&self, now: Millis) -> Vec<ReportedLeaving> {
         let engines = self.notices.keys();
         engines
             .filter_map(|engine| self.told(*engine, now))
@@ -72,13 +72,13 @@
     fn next_in_turn(&mut self, passes_on: bool, now: Millis) -> Vec<EngineTag> {
         let leaving = self.leaving_engines();
         let is_told = |leaving: &LeavingNotice| {
-            let is_witness = leaving.source == NoticeSource::Answer;
-            (is_witness || passes_on) && now.since(leaving.since) < TOLD_FOR_MS
+            let is_first_hand = leaving.source == NoticeSource::Answer;
+            (is_first_hand || passes_on) && now.since(leaving.since) < REPEATED_FOR_MS
         };
         let repeated = leaving.filter(|(_, leaving)| is_told(leaving));
         let mut repeated: Vec<EngineTag> = repeated.map(|(engine, _)| engine).collect();
-        let first = self.next_told % repeated.len().max(1);
-        self.next_told = first + MAX_REPEATED;
+        let first = self.next_repeated % repeated.len().max(1);
+        self.next_repeated = first + MAX_REPEATED;
         repeated.rotate_left(first);
         repeated.truncate(MAX_REPEATED);
         repeated
@@ -89,9 +89,9 @@
         notices.filter_map(|(engine, known)| Some((*engine, known.leaving?)))
     }
 
-    fn told(&self, engine: EngineTag, now: Millis) -> Option<ToldLeaving> {
+    fn told(&self, engine: EngineTag, now: Millis) -> Option<ReportedLeaving> {
         let known = self.notices.get(&engine)?;
-        Some(ToldLeaving {
+        Some(ReportedLeaving {
             life: EngineLife {
                 engine,
                 born_ms: known.born_ms,
@@ -102,7 +102,7 @@
 
     /// Takes in what another node tells; tells whether it was news. A relay `passes_on` what
     /// is. What is older than an engine is remembered would never be forgotten otherwise.
-    pub fn hear(&mut self, told: &ToldLeaving, passes_on: bool, now: Millis) -> bool {
+    pub fn apply_reported(&mut self, told: &ReportedLeaving, passes_on: bool, now: Millis) -> bool {
         if told.age_ms >= KEPT_MS {
             return false;
         }
--- a/crates/balancing/src/engine_notices/mod.rs
+++ b/crates/balancing/src/engine_notices/mod.rs
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct EngineNotices {
     notices: BTreeMap<EngineTag, Notice>,
-    next_told: usize,
+    next_repeated: usize,
 }
 
 impl EngineNotices {
@@ -230,8 +230,8 @@
                 None => {}
             }
             notice.backoff = notice.backoff.filter(|backoff| now < backoff.resumes_at);
-            let says_anything = notice.leaving.is_some() || notice.backoff.is_some();
-            says_anything && now.since(notice.known_at) < KEPT_MS
+            let has_content = notice.leaving.is_some() || notice.backoff.is_some();
+            has_content && now.since(notice.known_at) < KEPT_MS
         });
     }
 }
--- a/crates/balancing/src/engine_rooms.rs
+++ b/crates/balancing/src/engine_rate_limits.rs
@@ -1,4 +1,4 @@
-//! Which engines that advertise a rate limit have room for another request, as far as this
+//! Which engines that advertise a rate limit have state for another request, as far as this
 //! node knows: whoever counts for the fleet told it when it asked last.
 
 use crate::names::EngineTag;
@@ -11,13 +11,13 @@
 /// requests a second: an engine that gets nothing says nothing.
 const LOWEST_PER_SECOND: f64 = 1.0;
 /// Tokens beyond which none is scarce: a full bucket wastes what comes next.
-const PLENTY_TOKENS: f64 = 1.5;
+const NOT_SCARCE_TOKENS: f64 = 1.5;
 /// Cost of the last token of an engine, in milliseconds: it falls to nothing as the bucket
 /// fills, so a token goes to whom it saves this much, or else to anyone.
 const SCARCITY_MS: f64 = 120.0;
 /// Longest time for which an engine is taken to have no token without asking, in
 /// milliseconds.
-const LONGEST_GUESS_MS: f64 = 1_000.0;
+const MAX_ASSUMED_EMPTY_MS: f64 = 1_000.0;
 /// Milliseconds in a second, as a factor of rates.
 const MS_PER_SECOND: f64 = 1_000.0;
 
@@ -44,9 +44,9 @@
     }
 }
 
-/// What is known of the room at one engine.
+/// What is known of the state at one engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Room {
+struct RateLimitState {
     rate: GrantedRate,
     /// Tokens that were left at `known_at`.
     tokens: f64,
@@ -57,93 +57,98 @@
     is_lifted: bool,
 }
 
-/// The room at all engines that advertise a limit, or did so a moment ago.
+/// The state at all engines that advertise a limit, or did so a moment ago.
 #[derive(Clone, Debug, Default)]
-pub struct EngineRooms {
-    rooms: HashMap<EngineTag, Room>,
+pub struct EngineRateLimits {
+    states: HashMap<EngineTag, RateLimitState>,
 }
 
-impl EngineRooms {
+impl EngineRateLimits {
     /// Engines that are listed here.
     pub fn len(&self) -> usize {
-        self.rooms.len()
+        self.states.len()
     }
 
     /// Whether no engine has a limit.
     pub fn is_empty(&self) -> bool {
-        self.rooms.is_empty()
+        self.states.is_empty()
     }
 
     /// An engine advertises this rate, in requests a second; 0 is a rate. What was known of
     /// its tokens does not hold any more.
     pub fn limit(&mut self, engine: EngineTag, limit: f64, now: Millis) {
-        let room = Room {
+        let state = RateLimitState {
             rate: GrantedRate::under(limit),
             tokens: 0.0,
             known_at: now,
             not_before: now,
             is_lifted: false,
         };
-        self.rooms.insert(engine, room);
+        self.states.insert(engine, state);
     }
 
     /// So many tokens are left at an engine, and it is not asked for before then.
     pub fn note_tokens(&mut self, engine: EngineTag, tokens: f64, not_before: Millis, now: Millis) {
-        if let Some(room) = self.rooms.get_mut(&engine) {
-            room.tokens = tokens;
-            room.known_at = now;
-            room.not_before = not_before;
+        if let Some(state) = self.states.get_mut(&engine) {
+            state.tokens = tokens;
+            state.known_at = now;
+            state.not_before = not_before;
         }
     }
 
     /// A token of an engine is used: it is not asked for before the next one has come.
     pub fn note_spent(&mut self, engine: EngineTag, now: Millis) {
-        if let Some(room) = self.rooms.get_mut(&engine).filter(|room| !room.is_lifted) {
-            let missing = (1.0 - room.tokens).max(0.0);
-            let wait_ms = (missing / room.rate.per_second * MS_PER_SECOND).min(LONGEST_GUESS_MS);
-            room.not_before = room.not_before.max(now.plus(wait_ms as u64));
+        if let Some(state) = self
+            .states
+            .get_mut(&engine)
+            .filter(|state| !state.is_lifted)
+        {
+            let missing = (1.0 - state.tokens).max(0.0);
+            let wait_ms =
+                (missing / state.rate.per_second * MS_PER_SECOND).min(MAX_ASSUMED_EMPTY_MS);
+            state.not_before = state.not_before.max(now.plus(wait_ms as u64));
         }
     }
 
     /// An engine is not asked for before then.
     pub fn back_off(&mut self, engine: EngineTag, not_before: Millis) {
-        if let Some(room) = self.rooms.get_mut(&engine) {
-            room.not_before = room.not_before.max(not_before);
+        if let Some(state) = self.states.get_mut(&engine) {
+            state.not_before = state.not_before.max(not_before);
         }
     }
 
     /// An engine has no limit any more, and is sent to from then on.
     pub fn lift(&mut self, engine: EngineTag, from: Millis, now: Millis) {
-        if let Some(room) = self.rooms.get_mut(&engine) {
-            room.is_lifted = true;
-            room.not_before = from;
+        if let Some(state) = self.states.get_mut(&engine) {
+            state.is_lifted = true;
+            state.not_before = from;
         }
-        self.rooms
-            .retain(|_, room| !room.is_lifted || room.not_before > now);
+        self.states
+            .retain(|_, state| !state.is_lifted || state.not_before > now);
     }
 
     /// Whether the engine advertises a limit.
     pub fn is_limited(&self, engine: EngineTag) -> bool {
-        let room = self.rooms.get(&engine);
-        room.is_some_and(|room| !room.is_lifted)
+        let state = self.states.get(&engine);
+        state.is_some_and(|state| !state.is_lifted)
     }
 
     /// Whether the engine may be chosen now.
-    pub fn has_room(&self, engine: EngineTag, now: Millis) -> bool {
-        let room = self.rooms.get(&engine);
-        room.is_none_or(|room| room.not_before <= now)
+    pub fn has_token(&self, engine: EngineTag, now: Millis) -> bool {
+        let state = self.states.get(&engine);
+        state.is_none_or(|state| state.not_before <= now)
     }
 
     /// Cost of taking a token of the engine from those who gain more there, in
     /// milliseconds.
     pub fn scarcity_ms(&self, engine: EngineTag, now: Millis) -> f64 {
-        let room = self.rooms.get(&engine);
-        let Some(room) = room.filter(|room| !room.is_lifted) else {
+        let state = self.states.get(&engine);
+        let Some(state) = state.filter(|state| !state.is_lifted) else {
             return 0.0;
         };
-        let refill = room.rate.per_second * now.since(room.known_at) as f64 / MS_PER_SECOND;
-        let plenty = room.rate.burst.min(PLENTY_TOKENS);
-        let share = (room.tokens + refill).clamp(0.0, plenty) / plenty;
+        let refill = state.rate.per_second * now.since(state.known_at) as f64 / MS_PER_SECOND;
+        let not_scarce = state.rate.burst.min(NOT_SCARCE_TOKENS);
+        let share = (state.tokens + refill).clamp(0.0, not_scarce) / not_scarce;
         SCARCITY_MS * (1.0 - share)
     }
 }
--- a/crates/balancing/src/lib.rs
+++ b/crates/balancing/src/lib.rs
@@ -33,7 +33,7 @@
 //! | [`rendezvous`] | the order of engines for a prompt |
 //! | [`round_trips`] | how long round trips to other zones take, learned from connections |
 //! | [`selection`] | the choice, by a cost in milliseconds with named terms |
-//! | [`engine_rooms`] | which engines that advertise a rate limit have room |
+//! | [`engine_rate_limits`] | which engines that advertise a rate limit have room |
 //! | [`report_position`] | which of a sender's reports is the newest |
 //! | [`retry_budget`] | how many requests may be sent a second time |
 //! | [`load_schedule`] | when engines load new weights, and how many at once |
@@ -57,7 +57,7 @@
 pub mod engine_load;
 pub mod engine_losses;
 pub mod engine_notices;
-pub mod engine_rooms;
+pub mod engine_rate_limits;
 pub mod fleet;
 pub mod health;
 mod heartbeat;
--- a/crates/balancing/src/named_nodes.rs
+++ b/crates/balancing/src/named_nodes.rs
@@ -22,7 +22,7 @@
 
 impl NamedNodes {
     /// A relay names nodes of the own zone, and the zones that have any.
-    pub fn take(&mut self, members: &[PeerId], zones: &[ZoneTag], now: Millis) {
+    pub fn note_named(&mut self, members: &[PeerId], zones: &[ZoneTag], now: Millis) {
         self.expire(now);
         let members = members.iter().map(|member| (*member, now));
         self.members.extend(members);
--- a/crates/balancing/src/peer_loads.rs
+++ b/crates/balancing/src/peer_loads.rs
@@ -94,8 +94,8 @@
             total.subtract(before);
             total.add(*load);
         }
-        peer.loads.retain(|_, load| !load.is_none());
-        self.totals.retain(|_, load| !load.is_none());
+        peer.loads.retain(|_, load| !load.is_zero());
+        self.totals.retain(|_, load| !load.is_zero());
         true
     }
 
@@ -123,7 +123,7 @@
     /// Age of the loads of other nodes, in milliseconds: as a relay told them, or of
     /// the report in the middle of all that were heard. Nothing where none was.
     pub fn age_ms(&self, now: Millis) -> Option<u64> {
-        if self.relayed.is_heard() {
+        if self.relayed.has_relay() {
             return self.relayed.age_ms(now);
         }
         let ages = self
--- a/crates/balancing/src/prefix_holders.rs
+++ b/crates/balancing/src/prefix_holders.rs
@@ -19,14 +19,14 @@
 /// Time after which a relay passes on a holder again that a node reported again,
 /// in milliseconds. Shorter than the nodes' own period, so that each of their
 /// reports passes once.
-const TOLD_AGAIN_MS: u64 = REPORT_AGAIN_MS / 2;
+const RELAY_AGAIN_MS: u64 = REPORT_AGAIN_MS / 2;
 /// Engines that are remembered for each part: the latest ones. A part with which
 /// many prompts begin is kept by most engines.
 const MAX_HOLDERS: usize = 128;
 /// Parts that are remembered.
 const MAX_PARTS: usize = 20_000;
 /// Changes that can be reported: the latest ones.
-const MAX_NEWS: usize = 256;
+const MAX_CHANGES: usize = 256;
 /// Time that an engine's events lag behind, in milliseconds: a part that was read
 /// again within it was not dropped since.
 const EVENT_LAG_MS: u64 = 80;
@@ -53,7 +53,7 @@
 
 /// What a placement that another node told changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlacementNews {
+pub enum PlacementChange {
     /// Nothing.
     Known,
     /// The engine keeps the part, as so many do with it.
@@ -69,8 +69,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct PrefixHolders {
     holders: HashMap<PartKey, Vec<Holder>>,
-    news: VecDeque<Placement>,
-    news_dropped: u64,
+    changes: VecDeque<Placement>,
+    changes_dropped: u64,
     swept_at: Millis,
 }
 
@@ -79,9 +79,9 @@
     pub fn note_own(&mut self, parts: &[PartKey], engine: EngineTag, now: Millis) {
         for part in parts {
             let before = self.note_read(*part, engine, now);
-            let is_news = before.is_none_or(|used_at| now.since(used_at) >= REPORT_AGAIN_MS);
-            if is_news {
-                self.add_news(Placement {
+            let is_change = before.is_none_or(|used_at| now.since(used_at) >= REPORT_AGAIN_MS);
+            if is_change {
+                self.add_change(Placement {
                     part: *part,
                     engine,
                     is_kept: true,
@@ -92,10 +92,16 @@
 
     /// An engine whose events this node follows has dropped these parts. With
     /// `tells` the other nodes hear of those that any request has used.
-    pub fn note_dropped(&mut self, parts: &[PartKey], engine: EngineTag, tells: bool, now: Millis) {
+    pub fn note_dropped(
+        &mut self,
+        parts: &[PartKey],
+        engine: EngineTag,
+        is_reported: bool,
+        now: Millis,
+    ) {
         for part in parts {
-            if self.forget(*part, engine, now) && tells {
-                self.add_news(Placement {
+            if self.forget(*part, engine, now) && is_reported {
+                self.add_change(Placement {
                     part: *part,
                     engine,
                     is_kept: false,
@@ -112,17 +118,17 @@
     }
 
     /// Takes in what another node tells; says what that changes.
-    pub fn note(&mut self, placement: Placement, now: Millis) -> PlacementNews {
+    pub fn note(&mut self, placement: Placement, now: Millis) -> PlacementChange {
         if !placement.is_kept {
             return match self.forget(placement.part, placement.engine, now) {
-                true => PlacementNews::Dropped,
-                false => PlacementNews::Known,
+                true => PlacementChange::Dropped,
+                false => PlacementChange::Known,
             };
         }
         let before = self.note_read(placement.part, placement.engine, now);
         match before {
-            Some(used_at) if now.since(used_at) < TOLD_AGAIN_MS => PlacementNews::Known,
-            _ => PlacementNews::Kept {
+            Some(used_at) if now.since(used_at) < RELAY_AGAIN_MS => PlacementChange::Known,
+            _ => PlacementChange::Kept {
                 holders: self.holders_of(placement.part, now).count(),
             },
         }
@@ -164,11 +170,11 @@
         holders.len() < before
     }
 
-    fn add_news(&mut self, placement: Placement) {
-        self.news.push_back(placement);
-        if self.news.len() > MAX_NEWS {
-            self.news.pop_front();
-            self.news_dropped += 1;
+    fn add_change(&mut self, placement: Placement) {
+        self.changes.push_back(placement);
+        if self.changes.len() > MAX_CHANGES {
+            self.changes.pop_front();
+            self.changes_dropped += 1;
         }
     }
 
@@ -182,18 +188,18 @@
 
     /// Changes that this node tells after a position, at most so many, and the
     /// position after them. The first position is 0.
-    pub fn news_after(&self, position: u64, limit: usize) -> (Vec<Placement>, u64) {
-        let first = position.max(self.news_dropped);
-        let skipped = (first - self.news_dropped) as usize;
-        let news: Vec<Placement> = self
-            .news
+    pub fn changes_after(&self, position: u64, limit: usize) -> (Vec<Placement>, u64) {
+        let first = position.max(self.changes_dropped);
+        let skipped = (first - self.changes_dropped) as usize;
+        let changes: Vec<Placement> = self
+            .changes
             .iter()
             .skip(skipped)
             .take(limit)
             .copied()
             .collect();
-        let next = first + news.len() as u64;
-        (news, next)
+        let next = first + changes.len() as u64;
+        (changes, next)
     }
 
     /// Parts that are remembered.
--- a/crates/balancing/src/relayed_loads.rs
+++ b/crates/balancing/src/relayed_loads.rs
@@ -120,10 +120,11 @@
         relay.included_sent_at = included_sent_at.max(relay.included_sent_at);
         relay.loading.clone_from(&report.loading);
         if !report.members.is_empty() {
-            self.named_nodes.take(&report.members, &report.zones, now);
+            self.named_nodes
+                .note_named(&report.members, &report.zones, now);
         }
         for (engine, load) in &report.loads {
-            if load.is_none() {
+            if load.is_zero() {
                 relay.totals.remove(engine);
             } else {
                 relay.totals.insert(*engine, *load);
@@ -140,7 +141,7 @@
     }
 
     /// Whether any relay was heard of lately.
-    pub fn is_heard(&self) -> bool {
+    pub fn has_relay(&self) -> bool {
         !self.relays.is_empty()
     }
 
@@ -171,7 +172,7 @@
 
     /// Nodes of the own zone that relays have named, while one is heard.
     pub fn member_count(&self) -> usize {
-        match self.is_heard() {
+        match self.has_relay() {
             true => self.named_nodes.member_count(),
             false => 0,
         }
--- a/crates/balancing/src/selection.rs
+++ b/crates/balancing/src/selection.rs
@@ -234,7 +234,11 @@
         let rates = self.rates;
         let mut cost = Cost {
             failure_ms: self.failure_ms(engine),
-            scarcity_ms: self.view.catalogue.rooms.scarcity_ms(engine.tag, self.now),
+            scarcity_ms: self
+                .view
+                .catalogue
+                .rate_limits
+                .scarcity_ms(engine.tag, self.now),
             ..Cost::default()
         };
         let place = self.place(engine);
--- a/crates/balancing/src/weights.rs
+++ b/crates/balancing/src/weights.rs
@@ -24,7 +24,7 @@
 
 /// A version that a node tells others.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ToldVersion {
+pub struct ReportedVersion {
     /// The model.
     pub model: String,
     /// The version.
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WeightsNews {
     /// Versions on which requests may begin, and the newest of each model.
-    pub versions: Vec<ToldVersion>,
+    pub versions: Vec<ReportedVersion>,
     /// Age of the last proof, in milliseconds.
     pub proof_age_ms: Option<u64>,
     /// Age of the last proof of which models have a version at all, in milliseconds. It
@@ -101,7 +101,7 @@
 
 /// What a call of the store told of the newest versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed<'a> {
+pub struct ListedVersions<'a> {
     /// The newest version of each model.
     pub versions: Vec<(&'a str, u64)>,
     /// Whether these are all models that have one: nothing was unreadable.
@@ -112,11 +112,11 @@
 const MAX_REMEMBERED: usize = 16;
 /// Versions of a model that others are told, the highest ones. Who is not told of a lower
 /// one avoids it earlier.
-const MAX_TOLD_OF_MODEL: usize = 4;
+const MAX_REPORTED_PER_MODEL: usize = 4;
 
 impl NamedWeights {
     /// A version was named. Lower and repeated ones change nothing.
-    pub fn name(&mut self, model: &str, version: u64, now: Millis) -> bool {
+    pub fn note_version(&mut self, model: &str, version: u64, now: Millis) -> bool {
         let proven_at = self.all_models_at;
         let weights = self.by_model.entry(model.to_owned()).or_insert_with(|| {
             // Until its first version came, the model had none.
@@ -126,13 +126,13 @@
                 ..ModelWeights::default()
             }
         });
-        weights.name(version, now)
+        weights.note_version(version, now)
     }
 
     /// A call that was sent at `sent` told the newest versions.
-    pub fn prove(&mut self, listed: &Listed<'_>, sent: Millis, now: Millis) {
+    pub fn note_listed(&mut self, listed: &ListedVersions<'_>, sent: Millis, now: Millis) {
         for (model, version) in &listed.versions {
-            self.name(model, *version, now);
+            self.note_version(model, *version, now);
             self.note_proof(
                 model,
                 NewestProof {
@@ -162,17 +162,17 @@
     /// Takes in what another node tells. Ages count from `sent`, when this node sent the
     /// report that the other one answers; without it they count for nothing. Tells which
     /// versions were news.
-    pub fn hear(
+    pub fn apply_reported(
         &mut self,
         news: &WeightsNews,
         sent: Option<Millis>,
         now: Millis,
-    ) -> Vec<ToldVersion> {
+    ) -> Vec<ReportedVersion> {
         let mut named = Vec::new();
         for told in &news.versions {
             // A report takes time: the other node learned of it then or before.
             let named_at = now.before(told.named_age_ms.unwrap_or(0));
-            if self.name(&told.model, told.version, named_at) {
+            if self.note_version(&told.model, told.version, named_at) {
                 named.push(told.clone());
             }
         }
@@ -195,9 +195,10 @@
     }
 
     /// What to tell other nodes; proofs that are older than the bound help nobody.
-    pub fn news(&self, bounds: &WeightsBounds, now: Millis) -> WeightsNews {
+    pub fn current_report(&self, bounds: &WeightsBounds, now: Millis) -> WeightsNews {
         let models = self.by_model.iter();
-        let versions = models.flat_map(|(model, weights)| weights.news(model, bounds, now));
+        let versions =
+            models.flat_map(|(model, weights)| weights.reported_versions(model, bounds, now));
         WeightsNews {
             versions: versions.collect(),
             proof_age_ms: self.proof_age_ms(now),
@@ -284,7 +285,7 @@
 }
 
 impl ModelWeights {
-    fn name(&mut self, version: u64, heard_at: Millis) -> bool {
+    fn note_version(&mut self, version: u64, heard_at: Millis) -> bool {
         if version == 0 {
             // No version was named yet.
             return false;
@@ -357,9 +358,9 @@
             return;
         }
         // Proofs of later versions that are no younger say nothing more.
-        let is_told_by_it =
+        let is_implied =
             |known: &NewestProof| known.version >= proof.version && known.at <= proof.at;
-        self.proofs.retain(|known| !is_told_by_it(known));
+        self.proofs.retain(|known| !is_implied(known));
         let at = self
             .proofs
             .partition_point(|known| known.version < proof.version);
@@ -375,8 +376,13 @@
         Some(now.since(named.heard_at))
     }
 
-    fn news(&self, model: &str, bounds: &WeightsBounds, now: Millis) -> Vec<ToldVersion> {
-        let told = |version, proof_age_ms| ToldVersion {
+    fn reported_versions(
+        &self,
+        model: &str,
+        bounds: &WeightsBounds,
+        now: Millis,
+    ) -> Vec<ReportedVersion> {
+        let told = |version, proof_age_ms| ReportedVersion {
             model: model.to_owned(),
             version,
             named_age_ms: self.named_age_ms(version, now),
@@ -385,14 +391,14 @@
         let proofs = self.proofs.iter();
         let aged = proofs.map(|proof| (proof.version, now.since(proof.at)));
         let young = aged.filter(|(_, age_ms)| *age_ms < bounds.avoid_after_ms);
-        let mut versions: Vec<ToldVersion> = young
+        let mut versions: Vec<ReportedVersion> = young
             .map(|(version, age_ms)| told(version, Some(age_ms)))
             .collect();
         let newest = self.named.last().map_or(0, |named| named.version);
         if versions.last().is_none_or(|last| last.version < newest) {
             versions.push(told(newest, None));
         }
-        let first = versions.len().saturating_sub(MAX_TOLD_OF_MODEL);
+        let first = versions.len().saturating_sub(MAX_REPORTED_PER_MODEL);
         versions.split_off(first)
     }
 }
--- a/crates/balancing/tests/cache_followers.rs
+++ b/crates/balancing/tests/cache_followers.rs
@@ -3,9 +3,7 @@
 //! Pattern: a zone of 200 small nodes before 1,935 engines, of which few read anything: a
 //! node that followed all that fall to it would call 39 engines twice a second.
 
-use ploverlift_balancing::cache_followers::{
-    most_feeds, within_budget, Assignment, FollowingNodes,
-};
+use ploverlift_balancing::cache_followers::{max_feeds, within_budget, Assignment, FollowingNodes};
 use ploverlift_balancing::peer_loads::{EngineTag, PeerId, ZoneTag};
 use std::collections::{HashMap, HashSet};
 
@@ -54,15 +52,15 @@
 #[test]
 fn a_small_node_follows_what_its_share_of_a_core_allows_first_followers_first() {
     let all = assigned(7);
-    let most = most_feeds(0.12);
+    let most = max_feeds(0.12);
     let followed = within_budget(all.clone(), most);
     assert_eq!(followed.len(), most);
     let firsts = |assigned: &HashMap<EngineTag, Assignment>| {
-        let first = assigned.values().filter(|known| known.tells_drops());
+        let first = assigned.values().filter(|known| known.reports_evictions());
         first.count()
     };
     assert_eq!(firsts(&followed), firsts(&all).min(most));
-    assert_eq!(within_budget(all.clone(), most_feeds(0.0)).len(), all.len());
+    assert_eq!(within_budget(all.clone(), max_feeds(0.0)).len(), all.len());
 }
 
 #[test]
--- a/crates/balancing/tests/choices/prefix_holders.rs
+++ b/crates/balancing/tests/choices/prefix_holders.rs
@@ -13,10 +13,10 @@
     for holders in [&mut follower, &mut other] {
         holders.note_own(&[part], tag(0), NOW);
     }
-    let (_, next) = follower.news_after(0, 16);
+    let (_, next) = follower.changes_after(0, 16);
     // A part that no request has used is nobody's news.
     follower.note_dropped(&[part, PartKey(10)], tag(0), true, NOW.plus(500));
-    let (news, _) = follower.news_after(next, 16);
+    let (news, _) = follower.changes_after(next, 16);
     assert_eq!(news.len(), 1);
     assert!(!news[0].is_kept);
     other.note(news[0], NOW.plus(600));
@@ -63,14 +63,14 @@
     let mut holders = PrefixHolders::default();
     holders.note_own(&chains, tag(0), NOW);
     holders.note_own(&chains, tag(0), NOW.plus(100));
-    let (news, next) = holders.news_after(0, 16);
+    let (news, next) = holders.changes_after(0, 16);
     assert_eq!((news.len(), next), (1, 1));
     holders.note_own(&chains, tag(0), NOW.plus(200));
-    assert_eq!(holders.news_after(next, 16).0.len(), 0);
+    assert_eq!(holders.changes_after(next, 16).0.len(), 0);
     holders.note_own(&chains, tag(0), NOW.plus(9_000));
-    assert_eq!(holders.news_after(next, 16).0.len(), 1);
+    assert_eq!(holders.changes_after(next, 16).0.len(), 1);
     // Another reader of the news has its own position.
-    assert_eq!(holders.news_after(0, 16).0.len(), 2);
+    assert_eq!(holders.changes_after(0, 16).0.len(), 2);
 }
 
 #[test]
@@ -79,7 +79,7 @@
     for chain in 0..1_000 {
         holders.note_own(&[PartKey(chain)], tag(0), NOW);
     }
-    let (news, next) = holders.news_after(5, 16);
+    let (news, next) = holders.changes_after(5, 16);
     assert_eq!(news[0].part, PartKey(1_000 - 256));
     assert_eq!(next, 1_000 - 256 + 16);
 }
--- a/crates/balancing/tests/engine_losses.rs
+++ b/crates/balancing/tests/engine_losses.rs
@@ -1,7 +1,7 @@
 //! When an engine counts as lost, and what nodes make of each other's word.
 
 use ploverlift_balancing::catalogue::InstanceId;
-use ploverlift_balancing::engine_losses::{EngineLosses, LostEngine, NewsSource, MAX_TOLD};
+use ploverlift_balancing::engine_losses::{EngineLosses, LostEngine, ReportSource, MAX_REPORTED};
 use ploverlift_balancing::peer_loads::{EngineTag, PeerId};
 use ploverlift_policy::ids::Millis;
 use std::net::SocketAddr;
@@ -81,19 +81,25 @@
     let heard = Millis(10_700);
     let relay = PeerId(5);
     let mut losses = lost();
-    losses.hear(NewsSource::Relay, relay, &told(1), 3, heard);
+    losses.apply_reported(ReportSource::Relay, relay, &told(1), 3, heard);
     assert!(!losses.is_dead_since(&engine(), SENT, FLEET, heard));
-    losses.hear(NewsSource::Relay, relay, &told(2), 3, heard);
+    losses.apply_reported(ReportSource::Relay, relay, &told(2), 3, heard);
     assert!(losses.is_dead_since(&engine(), SENT, FLEET, heard));
     assert!(!losses.is_dead_since(&engine(), SENT, FLEET, heard.plus(2_000)));
-    losses.hear(NewsSource::Node, PeerId(6), &told(1), 3, heard.plus(2_000));
+    losses.apply_reported(
+        ReportSource::Node,
+        PeerId(6),
+        &told(1),
+        3,
+        heard.plus(2_000),
+    );
     assert!(losses.is_dead_since(&engine(), SENT, FLEET, heard.plus(2_100)));
 }
 
 #[test]
 fn news_alone_makes_no_engine_lost() {
     let mut losses = EngineLosses::default();
-    let to_check = losses.hear(NewsSource::Node, PeerId(6), &told(80), 3, SENT);
+    let to_check = losses.apply_reported(ReportSource::Node, PeerId(6), &told(80), 3, SENT);
     assert_eq!(to_check, [EngineTag::of(&engine())]);
     assert!(!losses.is_dead_since(&engine(), Millis(0), FLEET, SENT));
     assert!(!losses.is_lost_since(&engine(), Millis(0), FLEET));
@@ -104,7 +110,7 @@
     let mut losses = lost();
     losses.note_reached(&engine(), Millis(11_000));
     let hear = |losses: &mut EngineLosses, at: u64| {
-        losses.hear(NewsSource::Relay, PeerId(6), &told(2), 3, Millis(at))
+        losses.apply_reported(ReportSource::Relay, PeerId(6), &told(2), 3, Millis(at))
     };
     assert!(hear(&mut losses, 15_999).is_empty());
     assert_eq!(hear(&mut losses, 16_000).len(), 1);
@@ -114,9 +120,9 @@
 fn a_relay_adds_up_its_zone_and_does_not_pass_zones_round() {
     let now = Millis(10_700);
     let mut losses = lost();
-    losses.hear(NewsSource::Node, PeerId(6), &told(1), 3, now);
-    losses.hear(NewsSource::Node, PeerId(7), &told(1), 3, now);
-    losses.hear(NewsSource::OtherZone, PeerId(8), &told(4), 3, now);
+    losses.apply_reported(ReportSource::Node, PeerId(6), &told(1), 3, now);
+    losses.apply_reported(ReportSource::Node, PeerId(7), &told(1), 3, now);
+    losses.apply_reported(ReportSource::OtherZone, PeerId(8), &told(4), 3, now);
     assert_eq!(losses.own(90), told(1));
     assert_eq!(losses.of_zone(90, now), told(3));
     assert_eq!(losses.of_all(90, now), told(7));
@@ -139,7 +145,7 @@
         }
     }
     let told = losses.own(200);
-    assert_eq!(told.len(), MAX_TOLD);
+    assert_eq!(told.len(), MAX_REPORTED);
     let latest = InstanceId("e-39".to_owned());
     assert_eq!(told[0].engine, EngineTag::of(&latest));
 }
@@ -166,16 +172,16 @@
 fn one_nodes_word_alone_starts_no_check() {
     let mut losses = EngineLosses::default();
     let hear = |losses: &mut EngineLosses, sender| {
-        losses.hear(NewsSource::Node, PeerId(sender), &told(1), 3, SENT)
+        losses.apply_reported(ReportSource::Node, PeerId(sender), &told(1), 3, SENT)
     };
     assert!(hear(&mut losses, 6).is_empty());
     assert!(hear(&mut losses, 6).is_empty());
     assert_eq!(hear(&mut losses, 7).len(), 1);
     // In a large fleet some links are always disturbed.
     let relay = PeerId(9);
-    let by_seven = losses.hear(NewsSource::Relay, relay, &told(7), 80, SENT);
+    let by_seven = losses.apply_reported(ReportSource::Relay, relay, &told(7), 80, SENT);
     assert!(by_seven.is_empty());
-    let by_eight = losses.hear(NewsSource::Relay, relay, &told(8), 80, SENT);
+    let by_eight = losses.apply_reported(ReportSource::Relay, relay, &told(8), 80, SENT);
     assert_eq!(by_eight.len(), 1);
 }
 
@@ -183,7 +189,7 @@
 fn a_connection_that_is_refused_or_a_call_without_an_answer_makes_no_engine_lost() {
     let mut losses = EngineLosses::default();
     for _ in 0..10 {
-        losses.note_doubtful(&engine(), address());
+        losses.note_suspected(&engine(), address());
     }
     losses.note_record_gone(&engine(), address());
     assert_eq!(losses.take_due().len(), 1);
@@ -243,7 +249,7 @@
     assert!(losses.is_current(&old));
     losses.note_reached(&engine(), Millis(11_000));
     assert!(!losses.is_current(&old));
-    losses.note_doubtful(&engine(), address());
+    losses.note_suspected(&engine(), address());
     assert!(!losses.is_current(&old));
     let new = losses.take_due().remove(0);
     assert!(losses.is_current(&new));
--- a/crates/balancing/tests/notice_fleets.rs
+++ b/crates/balancing/tests/notice_fleets.rs
@@ -3,7 +3,7 @@
 //! The nodes run the real exchange; only datagrams and moments are simulated. Up to 20 nodes
 //! tell each other directly, more of them through two relays in each zone.
 
-use ploverlift_balancing::engine_notices::exchange::{Occasion, ToldLeaving, MAX_TOLD};
+use ploverlift_balancing::engine_notices::exchange::{ReportRound, ReportedLeaving, MAX_REPORTED};
 use ploverlift_balancing::engine_notices::{EngineLife, EngineNotices};
 use ploverlift_balancing::names::EngineTag;
 use ploverlift_policy::ids::Millis;
@@ -101,13 +101,13 @@
         if is_period {
             self.periods[node] = now;
         }
-        let occasion = Occasion {
+        let round = ReportRound {
             is_period,
             passes_on: self.is_relay(node),
         };
-        let news = self.nodes[node].news(occasion, now);
+        let news = self.nodes[node].due_reports(round, now);
         let receivers = self.receivers(node);
-        for told in news.chunks(MAX_TOLD) {
+        for told in news.chunks(MAX_REPORTED) {
             let told: Vec<(EngineTag, u64)> = told
                 .iter()
                 .map(|told| (told.life.engine, told.age_ms))
@@ -134,7 +134,7 @@
                 born_ms: 7,
             };
             let age_ms = *age_ms;
-            notices.hear(&ToldLeaving { life, age_ms }, passes_on, now)
+            notices.apply_reported(&ReportedLeaving { life, age_ms }, passes_on, now)
         });
         let news = news.count();
         if news > 0 {
--- a/crates/balancing/tests/relayed_loads.rs
+++ b/crates/balancing/tests/relayed_loads.rs
@@ -5,7 +5,7 @@
 use ploverlift_balancing::peer_loads::{
     present_loads, EngineLoad, EngineTag, LoadReport, PeerId, PeerLoads, ZoneTag,
 };
-use ploverlift_balancing::prefix_holders::{Placement, PlacementNews, PrefixHolders};
+use ploverlift_balancing::prefix_holders::{Placement, PlacementChange, PrefixHolders};
 use ploverlift_balancing::relayed_loads::{RelayedLoads, RelayedReport, RELAY_SILENCE_MS};
 use ploverlift_policy::ids::{Millis, ZoneName};
 use ploverlift_routing::configuration::ServiceName;
@@ -146,13 +146,13 @@
         let others = holders.holders_of(PartKey(1), NOW.plus(after_ms));
         (news, others.map(|engine| engine.0).collect::<Vec<_>>())
     };
-    let kept = |holders| PlacementNews::Kept { holders };
+    let kept = |holders| PlacementChange::Kept { holders };
     assert_eq!(news(1, true, 0), (kept(1), vec![1]));
-    assert_eq!(news(1, true, 10), (PlacementNews::Known, vec![1]));
+    assert_eq!(news(1, true, 10), (PlacementChange::Known, vec![1]));
     assert_eq!(news(2, true, 20), (kept(2), vec![1, 2]));
     assert_eq!(news(1, true, 5_100), (kept(2), vec![1, 2]));
-    assert_eq!(news(1, false, 5_200), (PlacementNews::Dropped, vec![2]));
-    assert_eq!(news(1, false, 5_300), (PlacementNews::Known, vec![2]));
+    assert_eq!(news(1, false, 5_200), (PlacementChange::Dropped, vec![2]));
+    assert_eq!(news(1, false, 5_300), (PlacementChange::Known, vec![2]));
     assert_eq!(news(1, true, 15_050), (kept(1), vec![1]));
 }
 
--- a/crates/balancing/tests/weights.rs
+++ b/crates/balancing/tests/weights.rs
@@ -2,7 +2,7 @@
 //! nodes.
 
 use ploverlift_balancing::weights::{
-    Listed, NamedWeights, ToldVersion, WeightsBounds, WeightsNews,
+    ListedVersions, NamedWeights, ReportedVersion, WeightsBounds, WeightsNews,
 };
 use ploverlift_policy::ids::Millis;
 use proptest::prelude::*;
@@ -12,15 +12,15 @@
     avoid_after_start_ms: 2_500,
 };
 
-fn listed<'a>(versions: &[(&'a str, u64)]) -> Listed<'a> {
-    Listed {
+fn listed<'a>(versions: &[(&'a str, u64)]) -> ListedVersions<'a> {
+    ListedVersions {
         versions: versions.to_vec(),
         is_complete: true,
     }
 }
 
 fn prove(weights: &mut NamedWeights, version: u64, sent: u64) {
-    weights.prove(&listed(&[("m", version)]), Millis(sent), Millis(sent + 4));
+    weights.note_listed(&listed(&[("m", version)]), Millis(sent), Millis(sent + 4));
 }
 
 fn required(weights: &NamedWeights, now: u64) -> Option<u64> {
@@ -31,11 +31,11 @@
 fn old_weights_are_avoided_before_the_bound() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
-    assert!(weights.name("m", 2, Millis(1_100)));
-    assert!(!weights.name("m", 2, Millis(2_000)));
-    assert!(!weights.name("m", 1, Millis(2_000)));
+    assert!(weights.note_version("m", 2, Millis(1_100)));
+    assert!(!weights.note_version("m", 2, Millis(2_000)));
+    assert!(!weights.note_version("m", 1, Millis(2_000)));
     prove(&mut weights, 2, 3_900);
-    assert!(weights.name("m", 3, Millis(4_000)));
+    assert!(weights.note_version("m", 3, Millis(4_000)));
     assert_eq!(required(&weights, 6_999), Some(1));
     assert_eq!(required(&weights, 7_000), Some(2));
     assert_eq!(required(&weights, 9_899), Some(2));
@@ -71,8 +71,8 @@
 #[test]
 fn a_model_that_gets_its_first_version_had_none_until_then() {
     let mut weights = NamedWeights::default();
-    weights.prove(&listed(&[]), Millis(1_000), Millis(1_004));
-    weights.name("m", 1, Millis(2_000));
+    weights.note_listed(&listed(&[]), Millis(1_000), Millis(1_004));
+    weights.note_version("m", 1, Millis(2_000));
     assert_eq!(required(&weights, 6_999), Some(0));
     prove(&mut weights, 1, 3_000);
     assert_eq!(required(&weights, 7_000), Some(1));
@@ -82,7 +82,7 @@
 fn before_any_proof_nothing_may_begin() {
     let mut weights = NamedWeights::default();
     assert_eq!(required(&weights, 1_000), None);
-    weights.name("m", 2, Millis(1_000));
+    weights.note_version("m", 2, Millis(1_000));
     assert_eq!(required(&weights, 1_001), None);
 }
 
@@ -102,7 +102,7 @@
 
 /// What a node tells that has proven version 2 for long, and version 1 before.
 fn news_of_a_settled_node() -> WeightsNews {
-    let told = |version, named_age_ms, proof_age_ms| ToldVersion {
+    let told = |version, named_age_ms, proof_age_ms| ReportedVersion {
         model: "m".to_owned(),
         version,
         named_age_ms: Some(named_age_ms),
@@ -122,7 +122,7 @@
     prove(&mut weights, 2, 10_000);
     assert_eq!(required(&weights, 10_050), Some(0));
     let news = news_of_a_settled_node();
-    weights.hear(&news, Some(Millis(10_060)), Millis(10_100));
+    weights.apply_reported(&news, Some(Millis(10_060)), Millis(10_100));
     assert_eq!(required(&weights, 10_100), Some(1));
     assert_eq!(required(&weights, 10_560), Some(2));
     // Loads are due as if this node had heard of it with the others.
@@ -137,7 +137,7 @@
     prove(&mut weights, 2, 10_000);
     let mut news = news_of_a_settled_node();
     news.versions.remove(0);
-    weights.hear(&news, Some(Millis(10_060)), Millis(10_100));
+    weights.apply_reported(&news, Some(Millis(10_060)), Millis(10_100));
     assert_eq!(required(&weights, 10_100), Some(2));
     assert_eq!(weights.first_newer("m", 1, 1_500), Some(Millis(0)));
 }
@@ -146,7 +146,7 @@
 fn what_answers_no_report_of_this_node_names_versions_and_proves_nothing() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
-    let named = weights.hear(&news_of_a_settled_node(), None, Millis(6_900));
+    let named = weights.apply_reported(&news_of_a_settled_node(), None, Millis(6_900));
     assert_eq!(named.len(), 1);
     assert_eq!(weights.newest("m"), Some((2, Millis(2_100))));
     assert_eq!(weights.proof_age_ms(Millis(6_900)), Some(5_900));
@@ -157,7 +157,7 @@
 fn a_version_that_the_store_shows_no_more_binds_all_the_same() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
-    weights.name("m", 2, Millis(2_000));
+    weights.note_version("m", 2, Millis(2_000));
     // A write of version 1 that got no answer was done once more.
     for sent in [3_000, 5_000, 8_500] {
         prove(&mut weights, 1, sent);
@@ -175,7 +175,7 @@
     let mut news = news_of_a_settled_node();
     news.versions.remove(0);
     // Named 4.8 s before; whether or not the report answers one of this node.
-    weights.hear(&news, None, Millis(10_100));
+    weights.apply_reported(&news, None, Millis(10_100));
     assert_eq!(weights.left_ms("m", 1, &BOUNDS, Millis(10_100)), 1_200);
     prove(&mut weights, 1, 11_000);
     assert_eq!(required(&weights, 11_300), Some(2));
@@ -185,10 +185,10 @@
 fn loads_are_due_from_when_a_version_was_heard_of_in_time() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
-    weights.name("m", 2, Millis(1_900));
+    weights.note_version("m", 2, Millis(1_900));
     assert_eq!(weights.first_newer("m", 1, 1_500), Some(Millis(1_900)));
     // Heard long after the last proof: it may have been named at once.
-    weights.name("m", 3, Millis(9_000));
+    weights.note_version("m", 3, Millis(9_000));
     prove(&mut weights, 2, 2_000);
     assert_eq!(weights.first_newer("m", 2, 1_500), Some(Millis(3_500)));
 }
@@ -198,7 +198,7 @@
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
     for sent in (2_000..20_000).step_by(1_000) {
-        weights.prove(&listed(&[]), Millis(sent), Millis(sent + 4));
+        weights.note_listed(&listed(&[]), Millis(sent), Millis(sent + 4));
     }
     // Nothing newer than 1 was named by 19 s: the lists prove it.
     assert_eq!(required(&weights, 19_500), Some(1));
@@ -208,11 +208,11 @@
 fn a_version_that_cannot_be_read_proves_nothing_of_its_model() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
-    let unreadable = Listed {
+    let unreadable = ListedVersions {
         is_complete: false,
         ..listed(&[("other", 4)])
     };
-    weights.prove(&unreadable, Millis(6_000), Millis(6_004));
+    weights.note_listed(&unreadable, Millis(6_000), Millis(6_004));
     assert_eq!(required(&weights, 7_000), None);
     assert_eq!(weights.required("other", &BOUNDS, Millis(7_000)), Some(4));
     assert_eq!(weights.required("third", &BOUNDS, Millis(7_000)), None);
@@ -225,10 +225,10 @@
     let models: Vec<String> = (0..25).map(|index| format!("model-{index}")).collect();
     let mut teller = NamedWeights::default();
     let newest: Vec<(&str, u64)> = models.iter().map(|model| (model.as_str(), 1)).collect();
-    teller.prove(&listed(&newest), Millis(1_000), Millis(1_004));
+    teller.note_listed(&listed(&newest), Millis(1_000), Millis(1_004));
     let mut told = NamedWeights::default();
-    for news in teller.news(&BOUNDS, Millis(1_100)).parts(24) {
-        told.hear(&news, Some(Millis(1_090)), Millis(1_101));
+    for news in teller.current_report(&BOUNDS, Millis(1_100)).parts(24) {
+        told.apply_reported(&news, Some(Millis(1_090)), Millis(1_101));
     }
     assert_eq!(told.required("model-7", &BOUNDS, Millis(6_900)), Some(1));
     assert!(
@@ -338,7 +338,7 @@
             }
             Step::Watch { node } => {
                 let (version, at) = (self.newest(), self.local(node, now));
-                self.nodes[node].name("m", version, at);
+                self.nodes[node].note_version("m", version, at);
             }
             Step::Exchange {
                 from,
@@ -378,7 +378,7 @@
                 sent,
             } => {
                 let (sent, now) = (self.local(node, sent), self.local(node, now));
-                self.nodes[node].prove(&listed(&[("m", version)]), sent, now);
+                self.nodes[node].note_listed(&listed(&[("m", version)]), sent, now);
             }
             Later::Asked {
                 from,
@@ -386,7 +386,7 @@
                 sent,
                 back_ms,
             } => {
-                let news = self.nodes[to].news(&STRICT, self.local(to, now));
+                let news = self.nodes[to].current_report(&STRICT, self.local(to, now));
                 let answered = Later::Answered {
                     node: from,
                     news,
@@ -396,7 +396,7 @@
             }
             Later::Answered { node, news, sent } => {
                 let (sent, now) = (self.local(node, sent), self.local(node, now));
-                self.nodes[node].hear(&news, Some(sent), now);
+                self.nodes[node].apply_reported(&news, Some(sent), now);
             }
         }
     }
--- a/crates/enginelimit/src/account.rs
+++ b/crates/enginelimit/src/account.rs
@@ -1,6 +1,6 @@
 //! The tokens of one engine, at the node that counts for it.
 
-use ploverlift_balancing::engine_rooms::GrantedRate;
+use ploverlift_balancing::engine_rate_limits::GrantedRate;
 use ploverlift_policy::ids::Millis;
 use ploverlift_ratelimit::bucket::Bucket;
 use ploverlift_routing::rate_limit::{LimitUnit, RateLimit};
--- a/crates/enginelimit/src/exchange.rs
+++ b/crates/enginelimit/src/exchange.rs
@@ -4,7 +4,7 @@
 use crate::limits::{EngineLimits, Group, KnownLimit};
 use crate::news::{GroupNews, ToldLimit, MAX_TOLD};
 use crate::observation::StandingLimit;
-use ploverlift_balancing::engine_rooms::EngineRooms;
+use ploverlift_balancing::engine_rate_limits::EngineRateLimits;
 use ploverlift_balancing::names::EngineTag;
 use ploverlift_policy::ids::Millis;
 use ploverlift_policy::telling::Telling;
@@ -113,7 +113,7 @@
         &mut self,
         news: &GroupNews,
         passes_on: bool,
-        rooms: &mut EngineRooms,
+        rooms: &mut EngineRateLimits,
         now: Millis,
     ) -> bool {
         let telling = match passes_on {
@@ -164,7 +164,7 @@
         &mut self,
         news: &GroupNews,
         telling: Telling,
-        rooms: &mut EngineRooms,
+        rooms: &mut EngineRateLimits,
         now: Millis,
     ) -> bool {
         let mut is_changed = false;
--- a/crates/enginelimit/src/limits.rs
+++ b/crates/enginelimit/src/limits.rs
@@ -6,7 +6,7 @@
 use crate::news::TokenAnswer;
 use crate::observation::{Observation, StandingLimit};
 use crate::retry_schedule::RetrySchedule;
-use ploverlift_balancing::engine_rooms::EngineRooms;
+use ploverlift_balancing::engine_rate_limits::EngineRateLimits;
 use ploverlift_balancing::names::{EngineTag, PeerId};
 use ploverlift_policy::ids::Millis;
 use ploverlift_policy::telling::Telling;
@@ -148,7 +148,7 @@
         &mut self,
         seen: &Observation,
         group: GroupTag,
-        rooms: &mut EngineRooms,
+        rooms: &mut EngineRateLimits,
         now: Millis,
     ) -> Heard {
         let limit_before = self.limit_of(seen.engine);
@@ -181,7 +181,7 @@
         &mut self,
         seen: &Observation,
         group: GroupTag,
-        rooms: &mut EngineRooms,
+        rooms: &mut EngineRateLimits,
         now: Millis,
     ) -> bool {
         let is_held = self.groups.get(&group).is_some_and(|known| known.is_held);
@@ -193,7 +193,7 @@
         &mut self,
         seen: &Observation,
         group: GroupTag,
-        rooms: &mut EngineRooms,
+        rooms: &mut EngineRateLimits,
         now: Millis,
     ) -> bool {
         let is_changed = match self.known.get_mut(&seen.engine) {
@@ -227,7 +227,12 @@
     }
 
     /// Has the choice of engines follow a limit that has changed.
-    pub(crate) fn put_in_force(&mut self, engine: EngineTag, rooms: &mut EngineRooms, now: Millis) {
+    pub(crate) fn put_in_force(
+        &mut self,
+        engine: EngineTag,
+        rooms: &mut EngineRateLimits,
+        now: Millis,
+    ) {
         let ramp_ms = (self.own.node.0 ^ u64::from(engine.0)) % RAMP_MS;
         let Some(known) = self.known.get_mut(&engine) else {
             return;
@@ -293,7 +298,7 @@
     pub fn note_unanswered(
         &mut self,
         group: GroupTag,
-        rooms: &mut EngineRooms,
+        rooms: &mut EngineRateLimits,
         now: Millis,
     ) -> bool {
         let retry_at = now.plus(UNANSWERED_BACKOFF_MS);
@@ -319,7 +324,7 @@
     pub fn expire(
         &mut self,
         is_known: impl Fn(EngineTag) -> bool,
-        rooms: &mut EngineRooms,
+        rooms: &mut EngineRateLimits,
         now: Millis,
     ) {
         self.known.retain(|engine, known| {
--- a/crates/enginelimit/src/tokens.rs
+++ b/crates/enginelimit/src/tokens.rs
@@ -4,7 +4,7 @@
 use crate::group::{GroupTag, NodeAddress};
 use crate::limits::EngineLimits;
 use crate::news::{Denial, TokenAnswer, TokenRequest, Wanted};
-use ploverlift_balancing::engine_rooms::EngineRooms;
+use ploverlift_balancing::engine_rate_limits::EngineRateLimits;
 use ploverlift_balancing::names::EngineTag;
 use ploverlift_policy::ids::Millis;
 
@@ -140,7 +140,7 @@
         &mut self,
         request: &TokenRequest,
         answer: TokenAnswer,
-        rooms: &mut EngineRooms,
+        rooms: &mut EngineRateLimits,
         draw: f64,
         now: Millis,
     ) -> Option<EngineTag> {
@@ -176,7 +176,7 @@
         request: &TokenRequest,
         denial: Denial,
         until: Millis,
-        rooms: &mut EngineRooms,
+        rooms: &mut EngineRateLimits,
         now: Millis,
     ) {
         if let Some(group) = self.groups.get_mut(&request.group) {
@@ -191,7 +191,7 @@
     }
 
     /// The holder knows of no limit where this node does: it has heard of its end.
-    fn lift_wanted(&mut self, request: &TokenRequest, rooms: &mut EngineRooms, now: Millis) {
+    fn lift_wanted(&mut self, request: &TokenRequest, rooms: &mut EngineRateLimits, now: Millis) {
         let group = request.group;
         self.known.retain(|engine, known| {
             let is_meant = match &request.wanted {
--- a/crates/enginelimit/tests/fleets/tokens.rs
+++ b/crates/enginelimit/tests/fleets/tokens.rs
@@ -1,6 +1,6 @@
 //! Questions for tokens that come twice.
 
-use ploverlift_balancing::engine_rooms::EngineRooms;
+use ploverlift_balancing::engine_rate_limits::EngineRateLimits;
 use ploverlift_balancing::names::{EngineTag, PeerId};
 use ploverlift_enginelimit::group::{GroupTag, NodeAddress};
 use ploverlift_enginelimit::limits::EngineLimits;
@@ -23,7 +23,7 @@
         sent_at: Millis(0),
         head_at: Millis(0),
     };
-    limits.observe(&seen, GROUP, &mut EngineRooms::default(), Millis(0));
+    limits.observe(&seen, GROUP, &mut EngineRateLimits::default(), Millis(0));
     limits
 }
 
@@ -68,13 +68,13 @@
         node: PeerId(3),
         ..NodeAddress::NOWHERE
     });
-    let mut rooms = EngineRooms::default();
+    let mut rooms = EngineRateLimits::default();
     for news in holder().everything(Millis(0)) {
         limits.hear(&news, false, &mut rooms, Millis(0));
     }
-    assert!(rooms.has_room(ENGINE, Millis(1_000)));
+    assert!(rooms.has_token(ENGINE, Millis(1_000)));
     limits.note_unanswered(GROUP, &mut rooms, Millis(1_000));
-    assert!(!rooms.has_room(ENGINE, Millis(1_010)));
+    assert!(!rooms.has_token(ENGINE, Millis(1_010)));
     assert!(!limits.may_have_token(GROUP, Millis(1_010)));
-    assert!(rooms.has_room(ENGINE, Millis(1_200)));
+    assert!(rooms.has_token(ENGINE, Millis(1_200)));
 }
--- a/crates/enginelimit/tests/fleets/world.rs
+++ b/crates/enginelimit/tests/fleets/world.rs
@@ -1,6 +1,6 @@
 //! The fleet: its nodes, the network between them, the engines and what they got.
 
-use ploverlift_balancing::engine_rooms::EngineRooms;
+use ploverlift_balancing::engine_rate_limits::EngineRateLimits;
 use ploverlift_balancing::names::{EngineTag, PeerId};
 use ploverlift_enginelimit::group::{group_of, GroupTag, NodeAddress};
 use ploverlift_enginelimit::limits::{EngineLimits, Heard};
@@ -32,7 +32,7 @@
 /// A node.
 struct Node {
     limits: EngineLimits,
-    rooms: EngineRooms,
+    rooms: EngineRateLimits,
     is_up: bool,
     /// Nodes of other sides are neither heard nor reached.
     side: u8,
@@ -133,7 +133,7 @@
         for node in 0..nodes {
             world.nodes.push(Node {
                 limits: EngineLimits::new(address_of(node)),
-                rooms: EngineRooms::default(),
+                rooms: EngineRateLimits::default(),
                 is_up: true,
                 side: 0,
                 told_at: 0,
@@ -178,7 +178,7 @@
         let now = self.millis();
         let started = &mut self.nodes[node];
         started.limits = EngineLimits::new(address_of(node));
-        started.rooms = EngineRooms::default();
+        started.rooms = EngineRateLimits::default();
         for news in told {
             started.limits.hear(&news, false, &mut started.rooms, now);
         }
@@ -334,7 +334,7 @@
         let first = self.random.usize(0..engines);
         let known = &self.nodes[node];
         let mut order = (0..engines.min(64)).map(|step| (first + step) % engines);
-        let has_room = |engine: &usize| known.rooms.has_room(tag(*engine), now);
+        let has_room = |engine: &usize| known.rooms.has_token(tag(*engine), now);
         let is_idle = |engine: &usize| known.limits.limit_of(tag(*engine)).is_some();
         let idle = order
             .clone()
--- a/crates/gateway/src/beliefs.rs
+++ b/crates/gateway/src/beliefs.rs
@@ -14,7 +14,7 @@
 use ploverlift_balancing::cache_stores::CacheStores;
 use ploverlift_balancing::catalogue::{EngineCatalogue, EngineRecord, InstanceId};
 use ploverlift_balancing::engine_caches::EngineCaches;
-use ploverlift_balancing::engine_losses::{EngineLosses, LostEngine, NewsSource};
+use ploverlift_balancing::engine_losses::{EngineLosses, LostEngine, ReportSource};
 use ploverlift_balancing::fleet::{FleetView, StoreView};
 use ploverlift_balancing::health::Outcome;
 use ploverlift_balancing::moves::MovesUnderWay;
@@ -289,7 +289,7 @@
             Outcome::Unreachable => {
                 if let Some(engine) = self.engines.get(instance) {
                     let address = engine.record.address;
-                    self.losses.note_doubtful(instance, address);
+                    self.losses.note_suspected(instance, address);
                 }
             }
             Outcome::Answered | Outcome::Failed | Outcome::Refused => {
@@ -304,18 +304,18 @@
     /// that it knows.
     pub fn hear_of_losses(
         &mut self,
-        source: NewsSource,
+        source: ReportSource,
         sender: PeerId,
         lost: &[LostEngine],
         fleet: usize,
         now: Millis,
     ) {
-        for tag in self.losses.hear(source, sender, lost, fleet, now) {
+        for tag in self.losses.apply_reported(source, sender, lost, fleet, now) {
             let Some(engine) = self.engines.by_tag(tag) else {
                 continue;
             };
             let (instance, address) = (engine.record.instance.clone(), engine.record.address);
-            self.losses.note_doubtful(&instance, address);
+            self.losses.note_suspected(&instance, address);
         }
     }
 
--- a/crates/gateway/src/cache_feeds/engines.rs
+++ b/crates/gateway/src/cache_feeds/engines.rs
@@ -16,7 +16,7 @@
 use crate::time::sleep;
 use ploverlift_balancing::cache_contents::CacheEvents;
 use ploverlift_balancing::cache_followers::{
-    most_feeds, within_budget, Assignment, FollowDuty, FollowingNodes,
+    max_feeds, within_budget, Assignment, FollowDuty, FollowingNodes,
 };
 use ploverlift_balancing::catalogue::{Engine, InstanceId};
 use ploverlift_balancing::health::Outcome;
@@ -97,7 +97,7 @@
     let assigned = match &duty {
         FollowDuty::Shared(nodes) => {
             let assigned = assigned_among(nodes, &beliefs);
-            within_budget(assigned, most_feeds(settings.node.cpu_cores))
+            within_budget(assigned, max_feeds(settings.node.cpu_cores))
         }
         FollowDuty::Kept => beliefs.engine_caches.assignments().clone(),
         FollowDuty::Nothing => HashMap::new(),
@@ -200,7 +200,7 @@
         return;
     }
     let assignment = beliefs.engine_caches.assignment(engine.tag);
-    let tells = assignment.is_some_and(Assignment::tells_drops);
+    let tells = assignment.is_some_and(Assignment::reports_evictions);
     beliefs
         .holders
         .note_dropped(&dropped, engine.tag, tells, now);
--- a/crates/gateway/src/cache_feeds/store.rs
+++ b/crates/gateway/src/cache_feeds/store.rs
@@ -111,7 +111,7 @@
 fn expire_told(gateway: &Gateway, store: &CacheStore) {
     let now = gateway.clock.now();
     let stores = &mut gateway.beliefs().cache_stores;
-    stores.expire_told(store.address, now);
+    stores.expire_reported(store.address, now);
 }
 
 /// Whether relays tell this node what the store keeps.
--- a/crates/gateway/src/engine_signals.rs
+++ b/crates/gateway/src/engine_signals.rs
@@ -68,7 +68,7 @@
     let Some(group) = group else {
         return;
     };
-    let rooms = &mut beliefs.engines.rooms;
+    let rooms = &mut beliefs.engines.rate_limits;
     let heard = beliefs.engine_limits.observe(&seen, group, rooms, now);
     if beliefs.engine_limits.limit_of(engine) != before {
         log_limit(gateway, beliefs, engine, before, "answer");
--- a/crates/gateway/src/forward/choice.rs
+++ b/crates/gateway/src/forward/choice.rs
@@ -8,7 +8,7 @@
 use crate::rollouts::choice::{OwnSeat, SoftwareChoice, VersionedRequest};
 use crate::rollouts::Arrival;
 use ploverlift_balancing::cache_stores::{
-    fill, is_kept_elsewhere, saving_store, CacheStoreState, StoreBelief,
+    fill, is_kept_elsewhere, saving_store, CacheStoreState, KnownStore,
 };
 use ploverlift_balancing::catalogue::{Engine, InstanceId};
 use ploverlift_balancing::cost::{Cost, CostRates};
@@ -216,7 +216,7 @@
     }
 
     /// The KV cache stores that answer.
-    fn stores_in_use<'a>(&'a self, beliefs: &'a Beliefs) -> Vec<(&'a CacheStore, &'a StoreBelief)> {
+    fn stores_in_use<'a>(&'a self, beliefs: &'a Beliefs) -> Vec<(&'a CacheStore, &'a KnownStore)> {
         let is_used = self.gateway.settings().cache.use_store;
         let is_model = self.received.request.prompt.is_some();
         if !is_used || !is_model {
@@ -226,7 +226,7 @@
         beliefs.cache_stores.in_use(configured)
     }
 
-    fn store_views<'a>(&self, stores: &[(&'a CacheStore, &'a StoreBelief)]) -> Vec<StoreView<'a>> {
+    fn store_views<'a>(&self, stores: &[(&'a CacheStore, &'a KnownStore)]) -> Vec<StoreView<'a>> {
         let views = stores.iter().map(|(store, belief)| StoreView {
             address: store.address,
             zone: &store.zone,
@@ -331,8 +331,8 @@
 fn is_to_be_saved(
     prompt: &Prompt,
     salt: &str,
-    (store, belief): (&CacheStore, &StoreBelief),
-    stores: &[(&CacheStore, &StoreBelief)],
+    (store, belief): (&CacheStore, &KnownStore),
+    stores: &[(&CacheStore, &KnownStore)],
 ) -> bool {
     let fill = fill(store, belief);
     let shared = prompt.shared_parts();
--- a/crates/gateway/src/forward/engine_limit.rs
+++ b/crates/gateway/src/forward/engine_limit.rs
@@ -101,7 +101,7 @@
         if let Some(mut token) = self.token.take() {
             token.is_used = true;
             let now = self.gateway.clock.now();
-            let rooms = &mut self.gateway.beliefs().engines.rooms;
+            let rooms = &mut self.gateway.beliefs().engines.rate_limits;
             rooms.note_spent(token.engine, now);
         }
     }
@@ -193,7 +193,7 @@
         let now = self.gateway.clock.now();
         let draw = fastrand::f64();
         let beliefs = &mut *self.gateway.beliefs();
-        let rooms = &mut beliefs.engines.rooms;
+        let rooms = &mut beliefs.engines.rate_limits;
         let limits = &mut beliefs.engine_limits;
         let engine = limits.take_answer(request, answer, rooms, draw, now)?;
         Some(EngineToken {
@@ -211,7 +211,7 @@
         let now = gateway.clock.now();
         let is_taken_over = {
             let beliefs = &mut *gateway.beliefs();
-            let rooms = &mut beliefs.engines.rooms;
+            let rooms = &mut beliefs.engines.rate_limits;
             let limits = &mut beliefs.engine_limits;
             limits.note_unanswered(request.group, rooms, now)
         };
--- a/crates/gateway/src/forward/prospects.rs
+++ b/crates/gateway/src/forward/prospects.rs
@@ -124,8 +124,8 @@
                 && beliefs.engines.backoff(engine, now).is_none();
             wants_requests && engine.health.may_be_chosen(now)
         });
-        let rooms = &beliefs.engines.rooms;
-        let up = up.filter(|engine| rooms.has_room(engine.tag, now));
+        let rooms = &beliefs.engines.rate_limits;
+        let up = up.filter(|engine| rooms.has_token(engine.tag, now));
         let mut places = Places::default();
         for engine in up {
             places.requests += requests_at(&beliefs, engine);
--- a/crates/gateway/src/peers/engine_limits.rs
+++ b/crates/gateway/src/peers/engine_limits.rs
@@ -27,7 +27,7 @@
         .filter(|engine| engines.by_tag(*engine).is_some())
         .collect();
     let is_known = |engine| present.contains(&engine);
-    let rooms = &mut beliefs.engines.rooms;
+    let rooms = &mut beliefs.engines.rate_limits;
     beliefs.engine_limits.expire(is_known, rooms, now);
 }
 
@@ -46,7 +46,7 @@
     };
     let before = limits_of(beliefs);
     let holder_before = beliefs.engine_limits.holder(news.group);
-    let rooms = &mut beliefs.engines.rooms;
+    let rooms = &mut beliefs.engines.rate_limits;
     let is_news = beliefs.engine_limits.hear(news, passes_on, rooms, now);
     let after = limits_of(beliefs);
     for ((told, before), after) in news.limits.iter().zip(before).zip(after) {
@@ -75,7 +75,7 @@
     };
     let beliefs = &mut *gateway.beliefs();
     let before = beliefs.engine_limits.limit_of(told.engine);
-    let rooms = &mut beliefs.engines.rooms;
+    let rooms = &mut beliefs.engines.rate_limits;
     let limits = &mut beliefs.engine_limits;
     if limits.hear_observation(&seen, told.group, rooms, now) {
         log_limit(
--- a/crates/gateway/src/peers/engine_signal_messages.rs
+++ b/crates/gateway/src/peers/engine_signal_messages.rs
@@ -1,7 +1,7 @@
 //! What engines said of themselves in answers, as messages.
 
 use super::engine_limit_messages::{group_message, read_group};
-use ploverlift_balancing::engine_notices::exchange::ToldLeaving;
+use ploverlift_balancing::engine_notices::exchange::ReportedLeaving;
 use ploverlift_balancing::engine_notices::EngineLife;
 use ploverlift_balancing::peer_loads::{EngineTag, PeerId};
 use ploverlift_enginelimit::news::GroupNews;
@@ -15,7 +15,7 @@
     /// Rate limits, by group.
     pub groups: Vec<GroupNews>,
     /// Engines that leave.
-    pub leaving: Vec<ToldLeaving>,
+    pub leaving: Vec<ReportedLeaving>,
     /// Whether the sender knows nothing yet and wants to be told all.
     pub wants_all: bool,
 }
@@ -39,7 +39,7 @@
     }
 }
 
-fn leaving_message(told: &ToldLeaving) -> peers::LeavingEngine {
+fn leaving_message(told: &ReportedLeaving) -> peers::LeavingEngine {
     peers::LeavingEngine {
         engine: told.life.engine.0,
         born_ms: told.life.born_ms,
@@ -47,8 +47,8 @@
     }
 }
 
-fn read_leaving(message: &peers::LeavingEngine) -> ToldLeaving {
-    ToldLeaving {
+fn read_leaving(message: &peers::LeavingEngine) -> ReportedLeaving {
+    ReportedLeaving {
         life: EngineLife {
             engine: EngineTag(message.engine),
             born_ms: message.born_ms,
--- a/crates/gateway/src/peers/engine_signals.rs
+++ b/crates/gateway/src/peers/engine_signals.rs
@@ -12,7 +12,7 @@
 use super::roles::{role, Role};
 use crate::state::Gateway;
 use crate::time::{sleep, within};
-use ploverlift_balancing::engine_notices::exchange::{Occasion, ToldLeaving, MAX_TOLD};
+use ploverlift_balancing::engine_notices::exchange::{ReportRound, ReportedLeaving, MAX_REPORTED};
 use ploverlift_balancing::engine_notices::NoticeSource;
 use ploverlift_balancing::peer_loads::PeerId;
 use ploverlift_enginelimit::news::GroupNews;
@@ -37,7 +37,7 @@
 #[derive(Default)]
 struct News {
     groups: Vec<GroupNews>,
-    leaving: Vec<ToldLeaving>,
+    leaving: Vec<ReportedLeaving>,
 }
 
 impl News {
@@ -64,7 +64,7 @@
 }
 
 async fn tell(gateway: &Gateway, socket: &UdpSocket, is_period: bool, now: Millis) {
-    let occasion = Occasion {
+    let occasion = ReportRound {
         is_period,
         passes_on: role(gateway, now) == Role::Relay,
     };
@@ -72,7 +72,7 @@
         let beliefs = &mut *gateway.beliefs();
         News {
             groups: beliefs.engine_limits.news(is_period, now),
-            leaving: beliefs.engines.notices.news(occasion, now),
+            leaving: beliefs.engines.notices.due_reports(occasion, now),
         }
     };
     let wants_all = !knows_signals(gateway);
@@ -101,12 +101,12 @@
         groups: vec![group],
         ..empty.clone()
     };
-    let of_leaving = |leaving: &[ToldLeaving]| EngineSignalReport {
+    let of_leaving = |leaving: &[ReportedLeaving]| EngineSignalReport {
         leaving: leaving.to_vec(),
         ..empty.clone()
     };
     let mut reports: Vec<EngineSignalReport> = news.groups.into_iter().map(of_group).collect();
-    reports.extend(news.leaving.chunks(MAX_TOLD).map(of_leaving));
+    reports.extend(news.leaving.chunks(MAX_REPORTED).map(of_leaving));
     if reports.is_empty() {
         reports.push(empty);
     }
@@ -163,7 +163,7 @@
         let beliefs = gateway.beliefs();
         News {
             groups: beliefs.engine_limits.everything(now),
-            leaving: beliefs.engines.notices.everything(now),
+            leaving: beliefs.engines.notices.all_leaving(now),
         }
     };
     for answer in reports(gateway, news, false) {
@@ -172,12 +172,12 @@
 }
 
 /// Takes in which engines leave; tells whether it was news.
-fn take_leaving(gateway: &Gateway, told: &[ToldLeaving], passes_on: bool, now: Millis) -> bool {
+fn take_leaving(gateway: &Gateway, told: &[ReportedLeaving], passes_on: bool, now: Millis) -> bool {
     let mut beliefs = gateway.beliefs();
     let notices = &mut beliefs.engines.notices;
-    let news: Vec<&ToldLeaving> = told
+    let news: Vec<&ReportedLeaving> = told
         .iter()
-        .filter(|told| notices.hear(told, passes_on, now))
+        .filter(|told| notices.apply_reported(told, passes_on, now))
         .collect();
     let engines = &beliefs.engines;
     let known = news
--- a/crates/gateway/src/peers/follower.rs
+++ b/crates/gateway/src/peers/follower.rs
@@ -10,7 +10,7 @@
 use crate::rollouts::{rollout_settings, OrderNews};
 use crate::state::Gateway;
 use crate::weights::knowledge::{hear_weights, NewsOrigin};
-use ploverlift_balancing::engine_losses::NewsSource;
+use ploverlift_balancing::engine_losses::ReportSource;
 use ploverlift_policy::ids::Millis;
 use ploverlift_rollout::settings::RolloutSettings;
 use std::borrow::Cow;
@@ -49,7 +49,7 @@
     let (placements, loaded) = (&report.placements, &report.loaded);
     beliefs.note_reported(placements, loaded, report.lease, now);
     for told in &report.stores {
-        beliefs.cache_stores.take_told(told, now);
+        beliefs.cache_stores.apply_reported(told, now);
     }
     beliefs.followed.hear(report, from, sent_at, now);
     take_proof(&mut beliefs, report, sent_at);
@@ -57,7 +57,7 @@
     if refused.is_some_and(|refused| beliefs.quarantine.refused() >= refused as usize) {
         beliefs.quarantine.set_known();
     }
-    beliefs.hear_of_losses(NewsSource::Relay, sender, &report.lost, fleet, now);
+    beliefs.hear_of_losses(ReportSource::Relay, sender, &report.lost, fleet, now);
     let before = beliefs.catalogue_log.through();
     for change in beliefs.followed.next_changes(report) {
         beliefs.take_engine_change(change.clone(), now);
--- a/crates/gateway/src/peers/incoming.rs
+++ b/crates/gateway/src/peers/incoming.rs
@@ -7,9 +7,9 @@
 use crate::leases::LeaseName;
 use crate::rollouts::exchange::Reporter;
 use crate::state::Gateway;
-use ploverlift_balancing::engine_losses::NewsSource;
+use ploverlift_balancing::engine_losses::ReportSource;
 use ploverlift_balancing::peer_loads::{EngineTag, LoadReport, PeerId};
-use ploverlift_balancing::prefix_holders::PlacementNews;
+use ploverlift_balancing::prefix_holders::PlacementChange;
 use ploverlift_policy::ids::Millis;
 use std::net::SocketAddr;
 
@@ -25,7 +25,7 @@
     let fleet = gateway.address_book().listed_nodes();
     let mut beliefs = gateway.beliefs();
     if !report.lost.is_empty() {
-        beliefs.hear_of_losses(NewsSource::Node, sender, &report.lost, fleet, now);
+        beliefs.hear_of_losses(ReportSource::Node, sender, &report.lost, fleet, now);
         gateway.engine_check_due.notify(usize::MAX);
     }
     if report.wants_relay_reports {
@@ -76,7 +76,7 @@
     apply_loads(gateway, &mut beliefs, &loads, now);
     if !report.lost.is_empty() {
         let zone = loads.sender;
-        beliefs.hear_of_losses(NewsSource::OtherZone, zone, &report.lost, fleet, now);
+        beliefs.hear_of_losses(ReportSource::OtherZone, zone, &report.lost, fleet, now);
         gateway.engine_check_due.notify(usize::MAX);
     }
     take_news(&mut beliefs, report, false, now);
@@ -127,7 +127,7 @@
     for placement in &report.placements {
         let news = beliefs.holders.note(*placement, now);
         let others: Vec<EngineTag> = match news {
-            PlacementNews::Dropped => {
+            PlacementChange::Dropped => {
                 let others = beliefs.holders.holders_of(placement.part, now);
                 others.take(HOLDERS_TOLD).collect()
             }
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -15,7 +15,7 @@
 use super::roles::{role, Role};
 use crate::state::Gateway;
 use crate::time::{sleep, within};
-use ploverlift_balancing::prefix_holders::PlacementNews;
+use ploverlift_balancing::prefix_holders::PlacementChange;
 use ploverlift_policy::ids::Millis;
 use ploverlift_wire::peers::peer_message::Body;
 use smol::net::UdpSocket;
@@ -103,12 +103,12 @@
         let mut beliefs = self.gateway.beliefs();
         let (placements, next) = beliefs
             .holders
-            .news_after(self.own_placements_from, MAX_WAITING_PLACEMENTS);
+            .changes_after(self.own_placements_from, MAX_WAITING_PLACEMENTS);
         self.own_placements_from = next;
         for placement in placements {
             let news = match placement.is_kept {
-                true => PlacementNews::Kept { holders: 1 },
-                false => PlacementNews::Dropped,
+                true => PlacementChange::Kept { holders: 1 },
+                false => PlacementChange::Dropped,
             };
             let duties = &mut beliefs.relaying;
             duties.pass_on(placement, news, &[], true);
--- a/crates/gateway/src/peers/relay_contents.rs
+++ b/crates/gateway/src/peers/relay_contents.rs
@@ -141,7 +141,9 @@
                 _ => None,
             };
             if part.is_none() && portion.is_none() && told.is_none() {
-                let weights = beliefs.weights.news(&gateway.weights_bounds(0), now);
+                let weights = beliefs
+                    .weights
+                    .current_report(&gateway.weights_bounds(0), now);
                 header.changes_through = beliefs.catalogue_log.through();
                 header.changes_after = header.changes_through;
                 self.tell_weights(&mut reports, &header, weights);
--- a/crates/gateway/src/peers/relay_duties.rs
+++ b/crates/gateway/src/peers/relay_duties.rs
@@ -4,7 +4,7 @@
 use super::message_fields::IncludedReport;
 use super::store_contents::StoreChanges;
 use ploverlift_balancing::peer_loads::{EngineTag, PeerId};
-use ploverlift_balancing::prefix_holders::{Placement, PlacementNews};
+use ploverlift_balancing::prefix_holders::{Placement, PlacementChange};
 use ploverlift_policy::ids::Millis;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -113,14 +113,14 @@
     pub(super) fn pass_on(
         &mut self,
         placement: Placement,
-        news: PlacementNews,
+        news: PlacementChange,
         others: &[EngineTag],
         is_from_zone: bool,
     ) {
         let concerns_others = match news {
-            PlacementNews::Known => return,
-            PlacementNews::Kept { holders } => holders <= HOLDERS_TOLD,
-            PlacementNews::Dropped => true,
+            PlacementChange::Known => return,
+            PlacementChange::Kept { holders } => holders <= HOLDERS_TOLD,
+            PlacementChange::Dropped => true,
         };
         push_bounded(&mut self.for_zone, placement);
         if !is_from_zone || !concerns_others {
--- a/crates/gateway/src/peers/relay_messages.rs
+++ b/crates/gateway/src/peers/relay_messages.rs
@@ -9,13 +9,13 @@
 use super::store_contents::{read_store, store_message};
 use super::weights_messages::{read_weights, weights_message};
 use crate::leases::LeaseRenewal;
-use ploverlift_balancing::cache_stores::ToldContents;
+use ploverlift_balancing::cache_stores::StoreUpdate;
 use ploverlift_balancing::catalogue::{EngineRecord, Heartbeat, InstanceId};
 use ploverlift_balancing::engine_losses::LostEngine;
 use ploverlift_balancing::peer_loads::{EngineLoad, EngineTag, LoadedWeights, PeerId, ZoneTag};
 use ploverlift_balancing::prefix_holders::Placement;
 use ploverlift_balancing::relayed_loads::RelayedReport;
-use ploverlift_balancing::weights::{ToldVersion, WeightsNews};
+use ploverlift_balancing::weights::{ReportedVersion, WeightsNews};
 use ploverlift_policy::ids::{StoreEra, ZoneName};
 use ploverlift_routing::configuration::ServiceName;
 use ploverlift_routing::software::SoftwareVersion;
@@ -86,7 +86,7 @@
     /// Orders of rollouts; nothing when this report does not tell.
     pub rollouts: Option<RolloutNews>,
     /// What KV cache stores of other regions keep.
-    pub stores: Vec<ToldContents>,
+    pub stores: Vec<StoreUpdate>,
     /// Engines that are lost, as all nodes have found.
     pub lost: Vec<LostEngine>,
     /// Requests that are refused everywhere; nothing while the relay does not know what the
@@ -298,12 +298,15 @@
     if let Some(weights) = &message.weights {
         return read_weights(weights);
     }
-    let versions = message.target_versions.iter().map(|target| ToldVersion {
-        model: target.model.clone(),
-        version: target.version,
-        named_age_ms: None,
-        proof_age_ms: None,
-    });
+    let versions = message
+        .target_versions
+        .iter()
+        .map(|target| ReportedVersion {
+            model: target.model.clone(),
+            version: target.version,
+            named_age_ms: None,
+            proof_age_ms: None,
+        });
     WeightsNews {
         versions: versions.collect(),
         ..WeightsNews::default()
--- a/crates/gateway/src/peers/reports.rs
+++ b/crates/gateway/src/peers/reports.rs
@@ -148,7 +148,7 @@
         self.gateway.metrics.peers.set(peers as i64);
         let lost = beliefs.losses.own(beliefs.engines.len());
         let room = room_for_placements(MAX_PLACEMENTS, &lost);
-        let news = beliefs.holders.news_after(self.placements_from, room);
+        let news = beliefs.holders.changes_after(self.placements_from, room);
         let (placements, placements_from) = news;
         let lease = beliefs.leases.of(LeaseName::Weights).held;
         let loaded = beliefs.loaded_lately(now);
--- a/crates/gateway/src/peers/store_contents.rs
+++ b/crates/gateway/src/peers/store_contents.rs
@@ -6,7 +6,7 @@
 //! nodes that have just started.
 
 use ploverlift_balancing::cache_contents::{CacheContents, CacheEvent, KeyShare};
-use ploverlift_balancing::cache_stores::{CacheStoreState, CacheStores, StoreTag, ToldContents};
+use ploverlift_balancing::cache_stores::{CacheStoreState, CacheStores, StoreTag, StoreUpdate};
 use ploverlift_routing::prompt::PartKey;
 use ploverlift_wire::peers;
 use std::collections::{BTreeMap, VecDeque};
@@ -48,7 +48,7 @@
 
     /// What is to be told of the stores in a period, in pieces of one datagram each. A
     /// store that does not answer is not told of.
-    pub fn next(&mut self, stores: &CacheStores, period: u64) -> Vec<ToldContents> {
+    pub fn next(&mut self, stores: &CacheStores, period: u64) -> Vec<StoreUpdate> {
         let mut pieces = Vec::new();
         for (address, waiting) in &mut self.waiting {
             let belief = stores.of(*address);
@@ -73,11 +73,11 @@
     contents: &CacheContents,
     changes: &[(PartKey, u32)],
     period: u64,
-) -> Vec<ToldContents> {
+) -> Vec<StoreUpdate> {
     let Some(epoch) = contents.epoch() else {
         return Vec::new();
     };
-    let piece = |parts: &[(PartKey, u32)], share| ToldContents {
+    let piece = |parts: &[(PartKey, u32)], share| StoreUpdate {
         store: StoreTag::of(address),
         epoch,
         parts: parts.to_vec(),
@@ -86,7 +86,7 @@
     let share = share_of(contents, period);
     let kept: Vec<(PartKey, u32)> = contents.kept_in(share).collect();
     let changes = changes.chunks(MAX_TOLD_PARTS);
-    let mut pieces: Vec<ToldContents> = changes.map(|parts| piece(parts, None)).collect();
+    let mut pieces: Vec<StoreUpdate> = changes.map(|parts| piece(parts, None)).collect();
     // A share that is too large by chance is told without what it lacks.
     let whole = (kept.len() <= MAX_TOLD_PARTS).then_some(share);
     pieces.push(piece(&kept[..kept.len().min(MAX_TOLD_PARTS)], whole));
@@ -103,7 +103,7 @@
 }
 
 /// The message for what is told of a store.
-pub fn store_message(told: &ToldContents) -> peers::StoreContents {
+pub fn store_message(told: &StoreUpdate) -> peers::StoreContents {
     peers::StoreContents {
         store: told.store.0,
         epoch: told.epoch,
@@ -116,9 +116,9 @@
 
 /// Reads what is told of a store; of lists that are not equally long, as many as the
 /// shorter has.
-pub fn read_store(message: &peers::StoreContents) -> ToldContents {
+pub fn read_store(message: &peers::StoreContents) -> StoreUpdate {
     let parts = message.parts.iter().copied().map(PartKey);
-    ToldContents {
+    StoreUpdate {
         store: StoreTag(message.store),
         epoch: message.epoch,
         parts: parts.zip(message.kept_tokens.iter().copied()).collect(),
--- a/crates/gateway/src/peers/weights_messages.rs
+++ b/crates/gateway/src/peers/weights_messages.rs
@@ -1,7 +1,7 @@
 //! What nodes tell each other of the newest weights, as messages.
 
 use super::message_fields::{less_one, plus_one, read_included, IncludedReport};
-use ploverlift_balancing::weights::{ToldVersion, WeightsNews};
+use ploverlift_balancing::weights::{ReportedVersion, WeightsNews};
 use ploverlift_wire::peers;
 
 /// Versions in one datagram. Beside a few loads they stay within one unfragmented
@@ -61,7 +61,7 @@
 }
 
 pub(super) fn read_weights(message: &peers::WeightsNews) -> WeightsNews {
-    let versions = message.versions.iter().map(|told| ToldVersion {
+    let versions = message.versions.iter().map(|told| ReportedVersion {
         model: told.model.clone(),
         version: told.version,
         named_age_ms: less_one(told.named_age_plus_one),
--- a/crates/gateway/src/peers/weights_reports.rs
+++ b/crates/gateway/src/peers/weights_reports.rs
@@ -47,7 +47,9 @@
     // Under one lock, and the time last: no report that came after the ages were worked
     // out may be named as answered.
     let now = gateway.clock.now();
-    let news = beliefs.weights.news(&gateway.weights_bounds(0), now);
+    let news = beliefs
+        .weights
+        .current_report(&gateway.weights_bounds(0), now);
     let sequence = beliefs.weights_exchange.next_sequence(now);
     let parts = news.parts(MAX_TOLD_VERSIONS);
     let reports = receivers.into_iter().flat_map(|receiver| {
--- a/crates/gateway/src/weights/knowledge.rs
+++ b/crates/gateway/src/weights/knowledge.rs
@@ -14,7 +14,7 @@
 use crate::store::feed::{Feed, EVERY_REVISION};
 use crate::time::sleep;
 use ploverlift_balancing::peer_loads::PeerId;
-use ploverlift_balancing::weights::{Listed, WeightsNews};
+use ploverlift_balancing::weights::{ListedVersions, WeightsNews};
 use ploverlift_policy::ids::Millis;
 use std::sync::Arc;
 
@@ -163,7 +163,7 @@
     origin: NewsOrigin,
 ) {
     let now = gateway.clock.now();
-    let named = gateway.beliefs().weights.hear(news, sent, now);
+    let named = gateway.beliefs().weights.apply_reported(news, sent, now);
     for told in &named {
         note_named(gateway, &told.model, told.version, None, origin);
     }
@@ -178,12 +178,12 @@
     }
     let newest = versions.iter();
     let newest = newest.map(|stored| (stored.model.as_str(), stored.version));
-    let listed = Listed {
+    let listed = ListedVersions {
         versions: newest.collect(),
         is_complete: versions.len() == objects.len(),
     };
     let now = gateway.clock.now();
-    gateway.beliefs().weights.prove(&listed, sent, now);
+    gateway.beliefs().weights.note_listed(&listed, sent, now);
     // The others need not ask for it.
     gateway.weights_report_due.notify(usize::MAX);
 }
@@ -212,7 +212,7 @@
 fn name(gateway: &Gateway, stored: &StoredVersion, origin: NewsOrigin) {
     let now = gateway.clock.now();
     let (model, version) = (&stored.model, stored.version);
-    if gateway.beliefs().weights.name(model, version, now) {
+    if gateway.beliefs().weights.note_version(model, version, now) {
         note_named(gateway, model, version, Some(stored.revision), origin);
     }
 }
--- a/crates/gateway/tests/engine_limits/messages.rs
+++ b/crates/gateway/tests/engine_limits/messages.rs
@@ -1,6 +1,8 @@
 //! Limits and tokens on the wire.
 
-use ploverlift_balancing::engine_notices::exchange::{ToldLeaving, MAX_TOLD as MAX_LEAVING};
+use ploverlift_balancing::engine_notices::exchange::{
+    ReportedLeaving, MAX_REPORTED as MAX_LEAVING,
+};
 use ploverlift_balancing::engine_notices::EngineLife;
 use ploverlift_balancing::names::{EngineTag, PeerId};
 use ploverlift_enginelimit::group::{GroupTag, Holder, NodeAddress};
@@ -43,7 +45,7 @@
 
 #[test]
 fn reports_of_engines_that_leave_fit_one_datagram_and_survive_the_wire() {
-    let leaving = (0..MAX_LEAVING as u32).map(|number| ToldLeaving {
+    let leaving = (0..MAX_LEAVING as u32).map(|number| ReportedLeaving {
         life: EngineLife {
             engine: EngineTag(u32::MAX - number),
             born_ms: 1 << 42,
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use ploverlift_balancing::catalogue::InstanceId;
-use ploverlift_balancing::engine_losses::{LostEngine, MAX_TOLD};
+use ploverlift_balancing::engine_losses::{LostEngine, MAX_REPORTED};
 use ploverlift_balancing::peer_loads::{
     EngineLoad, EngineTag, LoadReport, LoadedWeights, ModelTag, PeerId, ZoneTag,
 };
@@ -97,7 +97,7 @@
             engine: EngineTag(u32::MAX),
             nodes: 79,
         };
-        MAX_TOLD
+        MAX_REPORTED
     ];
     for report in [largest_report(Vec::new()), largest_report(lost)] {
         let datagram = encode(&report);
--- a/crates/gateway/tests/planned_work.rs
+++ b/crates/gateway/tests/planned_work.rs
@@ -198,8 +198,8 @@
             beliefs.engines.upsert(record("a", 2, 1));
             beliefs.engines.upsert(record("b", 3, 2));
             beliefs.engines.upsert(record("c", 1, 3));
-            beliefs.weights.name("m", 2, now);
-            beliefs.weights.name("m", 3, now.plus(3_000));
+            beliefs.weights.note_version("m", 2, now);
+            beliefs.weights.note_version("m", 3, now.plus(3_000));
         }
         let outdated = outdated_engines(&gateway, now.plus(4_000));
         let order: Vec<&str> = outdated
@@ -225,7 +225,7 @@
             for (name, port) in [("a", 1), ("b", 2), ("c", 3)] {
                 beliefs.engines.upsert(record(name, 1, port));
             }
-            beliefs.weights.name("m", 2, now);
+            beliefs.weights.note_version("m", 2, now);
             let busy = InstanceId("a".to_owned());
             beliefs.engines.begin(&busy, 10, now);
             beliefs.engines.begin(&busy, 10, now);
--- a/crates/gateway/tests/relays/sizes.rs
+++ b/crates/gateway/tests/relays/sizes.rs
@@ -3,13 +3,13 @@
 use crate::reports::{engine_change, relay_report, NOW};
 use crate::support::fleet::LARGEST_RENEWAL;
 use ploverlift_balancing::cache_contents::KeyShare;
-use ploverlift_balancing::cache_stores::{StoreTag, ToldContents};
-use ploverlift_balancing::engine_losses::{LostEngine, MAX_TOLD};
+use ploverlift_balancing::cache_stores::{StoreTag, StoreUpdate};
+use ploverlift_balancing::engine_losses::{LostEngine, MAX_REPORTED};
 use ploverlift_balancing::peer_loads::{
     EngineLoad, EngineTag, LoadedWeights, ModelTag, PeerId, ZoneTag,
 };
 use ploverlift_balancing::prefix_holders::Placement;
-use ploverlift_balancing::weights::{ToldVersion, WeightsNews};
+use ploverlift_balancing::weights::{ReportedVersion, WeightsNews};
 use ploverlift_gateway::catalogue_log::CatalogueLog;
 use ploverlift_gateway::peers::message_fields::IncludedReport;
 use ploverlift_gateway::peers::messages::{
@@ -29,7 +29,7 @@
 
 #[test]
 fn the_largest_report_of_a_relay_fits_one_datagram_and_survives_the_wire() {
-    let lost = (0..MAX_TOLD as u32).map(|engine| LostEngine {
+    let lost = (0..MAX_REPORTED as u32).map(|engine| LostEngine {
         engine: EngineTag(u32::MAX - engine),
         nodes: 79,
     });
@@ -104,7 +104,7 @@
         };
         report.loads.loads.push((EngineTag(1 << 30), load));
     }
-    let versions = (0..MAX_TOLD_VERSIONS as u64).map(|version| ToldVersion {
+    let versions = (0..MAX_TOLD_VERSIONS as u64).map(|version| ReportedVersion {
         model: "model-with-a-name".to_owned(),
         version: 900 + version,
         named_age_ms: Some(9_999),
@@ -127,7 +127,7 @@
     let mut report = relay_report(u64::MAX >> 20, 1 << 30, Vec::new());
     report.loads.loading = (0..28).map(EngineTag).collect();
     report.loads.zones = (0..13).map(ZoneTag).collect();
-    report.stores = vec![ToldContents {
+    report.stores = vec![StoreUpdate {
         store: StoreTag(u32::MAX),
         epoch: u64::MAX,
         parts: (0..MAX_TOLD_PARTS as u64)
--- a/crates/gateway/tests/silent_connections.rs
+++ b/crates/gateway/tests/silent_connections.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use ploverlift_balancing::catalogue::InstanceId;
-use ploverlift_balancing::engine_losses::{LostEngine, NewsSource};
+use ploverlift_balancing::engine_losses::{LostEngine, ReportSource};
 use ploverlift_balancing::peer_loads::{EngineTag, PeerId};
 use ploverlift_gateway::http_call::{connect, ConnectFailure};
 use ploverlift_gateway::time::sleep;
@@ -47,7 +47,7 @@
     let now = fixture.gateway.clock.now();
     let mut beliefs = fixture.gateway.beliefs();
     for node in [8, 9] {
-        beliefs.hear_of_losses(NewsSource::Node, PeerId(node), &lost, 3, now);
+        beliefs.hear_of_losses(ReportSource::Node, PeerId(node), &lost, 3, now);
     }
     drop(beliefs);
     fixture.gateway.engine_check_due.notify(usize::MAX);
@@ -275,7 +275,7 @@
             .gateway
             .beliefs()
             .losses
-            .note_doubtful(&instance, app.address);
+            .note_suspected(&instance, app.address);
         let asked = request("patient.test", "r1");
         let connection = caller::open(fixture.running().callers, &asked).await;
         app.happened.recv().await.expect("the request arrived");
--- a/crates/gateway/tests/store_contents.rs
+++ b/crates/gateway/tests/store_contents.rs
@@ -1,7 +1,7 @@
 //! What relays tell their zone of KV cache stores of other regions.
 
 use ploverlift_balancing::cache_contents::{CacheEvent, CacheEvents};
-use ploverlift_balancing::cache_stores::{CacheStoreState, CacheStores, ToldContents};
+use ploverlift_balancing::cache_stores::{CacheStoreState, CacheStores, StoreUpdate};
 use ploverlift_gateway::peers::store_contents::{
     read_store, store_message, StoreChanges, MAX_TOLD_PARTS,
 };
@@ -58,7 +58,7 @@
         });
     }
 
-    fn tell(&mut self) -> Vec<ToldContents> {
+    fn tell(&mut self) -> Vec<StoreUpdate> {
         self.period += 1;
         self.changes.next(&self.stores, self.period)
     }
@@ -71,9 +71,9 @@
     stores
 }
 
-fn take(stores: &mut CacheStores, told: &[ToldContents], now: Millis) {
+fn take(stores: &mut CacheStores, told: &[StoreUpdate], now: Millis) {
     for told in told {
-        stores.take_told(&read_store(&store_message(told)), now);
+        stores.apply_reported(&read_store(&store_message(told)), now);
     }
 }
 
@@ -168,7 +168,7 @@
 
 /// Length of the message on the wire, in bytes: 8 for each part, up to 3 for its
 /// tokens, 4 and 8 for the store and its life, and the tags.
-fn prost_length(told: &ToldContents) -> usize {
+fn prost_length(told: &StoreUpdate) -> usize {
     let message = store_message(told);
     message.parts.len() * 8 + message.kept_tokens.len() * 3 + 4 + 8 + 12
 }
@@ -182,12 +182,12 @@
     take(&mut follower, &relay.tell(), NOW);
     // A relay tells that the store answers even where nothing changes.
     take(&mut follower, &relay.tell(), NOW.plus(1_500));
-    follower.expire_told(address(1), NOW.plus(3_000));
+    follower.expire_reported(address(1), NOW.plus(3_000));
     assert!(has(&follower, 1));
     let belief = relay.stores.of_mut(address(1));
     belief.note_state(CacheStoreState::Lost);
     take(&mut follower, &relay.tell(), NOW.plus(3_200));
-    follower.expire_told(address(1), NOW.plus(3_400));
+    follower.expire_reported(address(1), NOW.plus(3_400));
     let known = follower.of(address(1)).expect("known");
     assert_eq!(known.state(), CacheStoreState::Lost);
     assert!(!has(&follower, 1));
