--- a/crates/balancing/src/cache_contents.rs
+++ b/crates/balancing/src/cache_contents.rs
@@ -1,50 +1,50 @@
-//! What an engine or a KV cache store holds, as its events tell.
+//! The contents of an engine's cache or a KV cache store, as known from its events.
 //!
-//! Events come late and some never come. A part that is believed to be kept and
-//! is not costs a look-up; one that is kept and not believed to be costs a
-//! second copy. Neither can give a wrong answer: a part is found only under the
-//! salt that names its weights and its scope.
+//! Events arrive late and some are lost. A part that is assumed to be held but is not costs
+//! a look-up; a part that is held but not assumed to be costs a second copy. Neither can
+//! give a wrong answer: a part is found only under the salt that identifies its weights and
+//! its scope.
 
 use ploverlift_routing::prompt::{PartKey, PromptPart};
 use std::collections::{HashMap, HashSet};
 
-/// Parts that are remembered; beyond it nothing more is taken in.
+/// Maximum number of parts that are remembered; once it is reached, events only remove parts.
 const MAX_PARTS: usize = 200_000;
 
-/// One change of what is kept.
+/// A change of the tokens that are held of one part.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// The name under which the part is filed.
+    /// The salt under which the part is stored.
     pub salt: String,
-    /// The part.
+    /// The ID of the part.
     pub part: u64,
-    /// Tokens of it that are kept from now on; 0 when it is dropped whole.
+    /// Tokens of the part that are held after the change; 0 when it was evicted entirely.
     pub kept_tokens: u64,
 }
 
 /// A batch of changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CacheEvents {
-    /// The life of the store: another one began empty.
+    /// The epoch of the cache or store; each new epoch begins with empty contents.
     pub epoch: u64,
-    /// Where the next batch begins.
+    /// The position at which the next batch begins.
     pub next: u64,
     /// Whether changes before this batch are missing.
     pub has_gap: bool,
-    /// Changes in order.
+    /// The changes, in order.
     pub events: Vec<CacheEvent>,
 }
 
-/// Tokens that a part may lack and still count as kept whole: memory is given
-/// out in blocks, and the last block of a part need not be full.
+/// Block size of the cache memory, in tokens. A part that lacks fewer tokens than this still
+/// counts as complete, since its last block need not be full.
 const BLOCK_TOKENS: u64 = 16;
 
-/// A share of all parts, by their keys.
+/// One of several equal shares of all parts, divided by their keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyShare {
-    /// Shares that all parts are divided into; at least 1.
+    /// Number of shares that all parts are divided into; at least 1.
     pub shares: u32,
-    /// Which of them.
+    /// Index of this share.
     pub share: u32,
 }
 
@@ -54,11 +54,11 @@
     }
 }
 
-/// What one engine or one store holds.
+/// The known contents of one engine's cache or one store.
 #[derive(Clone, Debug, Default)]
 pub struct CacheContents {
     epoch: Option<u64>,
-    /// The life before, of which a node that lags behind may still tell.
+    /// The previous epoch, which nodes that lag behind may still report.
     ended_epoch: Option<u64>,
     next: u64,
     kept_tokens: HashMap<PartKey, u32>,
@@ -66,13 +66,13 @@
 }
 
 impl CacheContents {
-    /// Where the next batch of events begins.
+    /// The position at which the next batch of events begins.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Takes in a batch; tells the parts of which fewer tokens are kept than
-    /// before. After a gap nothing that was believed before counts.
+    /// Applies a batch; returns the parts of which fewer tokens are held than before. After
+    /// a gap or in a new epoch the former contents are discarded first.
     pub fn apply(&mut self, batch: &CacheEvents) -> Vec<PartKey> {
         if self.epoch != Some(batch.epoch) || batch.has_gap {
             self.epoch = Some(batch.epoch);
@@ -90,7 +90,7 @@
         dropped.collect()
     }
 
-    /// Sets how much of a part is kept; tells what was believed before.
+    /// Sets the tokens that are held of a part; returns the former value, if known.
     fn set(&mut self, part: PartKey, kept_tokens: u32) -> Option<u32> {
         let before = match kept_tokens {
             0 => self.kept_tokens.remove(&part),
@@ -107,8 +107,8 @@
         self.total_tokens = 0;
     }
 
-    /// This node has had a part read or saved there. It counts as kept until an
-    /// event says otherwise, or for good where events are not followed.
+    /// Records that this node has had a part read or saved there. It counts as held until an
+    /// event reports otherwise, or permanently when events are not followed.
     pub fn note_kept(&mut self, salt: &str, part: &PromptPart) {
         if self.kept_tokens.len() >= MAX_PARTS {
             self.clear();
@@ -116,13 +116,13 @@
         self.set(PartKey::of(salt, part.id), saturated(part.tokens));
     }
 
-    /// Its life, once an event or another node has told of it.
+    /// The epoch, once it is known from an event or another node.
     pub fn epoch(&self) -> Option<u64> {
         self.epoch
     }
 
-    /// Takes in what another node that follows the events knows of some parts. Where
-    /// these are a whole share of all, the others of the share are not kept.
+    /// Applies what another node that follows the events reports of some parts. When the
+    /// report covers a whole `share`, parts of that share that it lacks are not held.
     pub fn apply_parts(&mut self, epoch: u64, parts: &[(PartKey, u32)], share: Option<KeyShare>) {
         if self.ended_epoch == Some(epoch) {
             return;
@@ -145,47 +145,47 @@
         }
     }
 
-    /// The parts of a share that are kept.
+    /// The parts of a share that are held, with their tokens.
     pub fn kept_in(&self, share: KeyShare) -> impl Iterator<Item = (PartKey, u32)> + '_ {
         let kept = self.kept_tokens.iter();
         let of_share = kept.filter(move |(part, _)| share.has(**part));
         of_share.map(|(part, tokens)| (*part, *tokens))
     }
 
-    /// The engine or the store was lost: it may come back empty.
+    /// Discards everything, because the engine or store was lost and may come back empty.
     pub fn forget(&mut self) {
         *self = Self::default();
     }
 
-    /// Whether a whole part is believed to be kept under a salt.
+    /// Whether a part is assumed to be held completely under a salt.
     pub fn has(&self, salt: &str, part: &PromptPart) -> bool {
         self.has_part(PartKey::of(salt, part.id), part.tokens)
     }
 
-    /// Whether a part of so many tokens is believed to be kept whole.
+    /// Whether a part with this number of tokens is assumed to be held completely.
     pub fn has_part(&self, part: PartKey, tokens: u64) -> bool {
         let known = self.kept_tokens.get(&part);
         known.is_some_and(|kept| u64::from(*kept) + BLOCK_TOKENS > tokens)
     }
 
-    /// Tokens at the beginning of a prompt that are believed to be kept: a part is
-    /// of use only when every part before it is kept whole.
+    /// Number of tokens at the beginning of a prompt that are assumed to be held. A part can
+    /// only be used when all parts before it are held completely.
     pub fn prefix_tokens(&self, salt: &str, parts: &[PromptPart]) -> u64 {
         let whole = parts.iter().take_while(|part| self.has(salt, part));
         whole.map(|part| part.tokens).sum()
     }
 
-    /// Tokens of all parts that are believed to be kept.
+    /// Number of tokens of all parts that are assumed to be held.
     pub fn total_tokens(&self) -> u64 {
         self.total_tokens
     }
 
-    /// Parts that are believed to be kept.
+    /// Number of parts that are assumed to be held.
     pub fn len(&self) -> usize {
         self.kept_tokens.len()
     }
 
-    /// Whether nothing is believed to be kept.
+    /// Whether no part is assumed to be held.
     pub fn is_empty(&self) -> bool {
         self.kept_tokens.is_empty()
     }
--- a/crates/balancing/src/cache_followers.rs
+++ b/crates/balancing/src/cache_followers.rs
@@ -1,24 +1,24 @@
-//! How nodes divide among themselves which engines' caches each of them follows.
+//! Assignment of engines to the nodes that follow the events of their caches.
 //!
-//! No node asks another one: each ranks itself among those that it knows of. So it has
-//! to know them. Hearing nobody shows no absence: a node that knows nobody, by what it
-//! was told lately or by the list of the site's nodes, follows no engine and does
-//! without what their caches would tell.
+//! Nodes do not negotiate: each one ranks itself among the nodes that it knows of, and
+//! therefore has to know them. Silence does not prove that there are no other nodes. A node
+//! that knows no other node, from recent reports or from the list of the site's nodes,
+//! follows no engine and does without the information from cache events.
 
 use crate::engine_caches::{followers_before, FOLLOWERS};
 use crate::names::{EngineTag, PeerId, ZoneTag};
 use std::collections::{HashMap, HashSet};
 
-/// The nodes that divide the engines, as one of them knows the others.
+/// The nodes among which the engines are divided, as known to one of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FollowingNodes {
     /// This node.
     pub own: PeerId,
     /// Its zone.
     pub zone: ZoneTag,
-    /// The others of its zone.
+    /// The other nodes of its zone.
     pub near: Vec<PeerId>,
-    /// Nodes of other zones that divide with it the engines of zones without a node.
+    /// Nodes of other zones that share the engines of zones without a node with it.
     pub far: Vec<PeerId>,
     /// Zones that have a node.
     pub zones: HashSet<ZoneTag>,
@@ -26,39 +26,38 @@
     pub follows_other_zones: bool,
 }
 
-/// What a node may follow now.
+/// The engines that a node may follow now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FollowDuty {
     /// Its share among these nodes.
     Shared(FollowingNodes),
-    /// What it follows already, and nothing more: it is about to stop.
+    /// The engines that it already follows and no others, because it is shutting down.
     Kept,
-    /// Nothing: it knows of no other node, or serves no requests any more.
+    /// None, because it knows no other node or no longer serves requests.
     Nothing,
 }
 
-/// An engine whose cache a node follows.
+/// A node's role in following an engine's cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Assignment {
-    /// The node's place among the engine's followers, 0 for the first.
+    /// The node's rank among the engine's followers, 0 for the first.
     pub rank: usize,
 }
 
 impl Assignment {
-    /// Whether this node tells the others what the engine has dropped: the first of its
-    /// followers does.
+    /// Whether this node reports the engine's evictions to the other nodes; the first
+    /// follower does.
     pub fn reports_evictions(self) -> bool {
         self.rank == 0
     }
 }
 
-/// Feeds that a node with a whole core has. Each takes about two calls a second; at an
-/// estimated 0.02% of a core, not measured, feeds take 2% of what a node has, however many
-/// engines there are.
+/// Maximum number of event feeds for a node with one core. Each feed takes about two calls
+/// per second, estimated (not measured) at 0.02% of a core, so that feeds take 2% of a node's
+/// CPU time regardless of the number of engines.
 const FEEDS_PER_CORE: f64 = 100.0;
 
-/// Feeds that a node has at most; as many as fall to it where its share of a core is not
-/// known.
+/// Maximum number of feeds of a node; unlimited when its share of CPU cores is not known.
 pub fn max_feeds(cpu_cores: f64) -> usize {
     match cpu_cores > 0.0 {
         true => (cpu_cores * FEEDS_PER_CORE).ceil() as usize,
@@ -66,8 +65,8 @@
     }
 }
 
-/// The engines that a node follows of those that fall to it: those whose first follower it
-/// is before the others.
+/// Limits the assigned engines to `most`, preferring those for which the node has a low
+/// rank among the followers.
 pub fn within_budget(
     assigned: HashMap<EngineTag, Assignment>,
     most: usize,
@@ -91,7 +90,7 @@
         }
     }
 
-    /// This node's part in following an engine; nothing when others follow it.
+    /// This node's role in following an engine; `None` when other nodes follow it.
     pub fn assignment(
         &self,
         engine: EngineTag,
@@ -103,9 +102,9 @@
         is_follower.then_some(Assignment { rank })
     }
 
-    /// The node's place among an engine's followers, counted up to the last of them: of
-    /// the 200 nodes of a zone some 20 are looked at on average. Engines are followed from
-    /// their own zone; those of a zone without a node from elsewhere.
+    /// The node's rank among an engine's followers, counted up to the last follower only: of
+    /// 200 nodes of a zone about 20 are examined on average. Engines are followed by nodes of
+    /// their own zone, and engines of a zone without a node by nodes of other zones.
     fn rank(&self, engine: EngineTag, zone: ZoneTag) -> Option<usize> {
         let near = self.near.iter().copied();
         if zone == self.zone {
--- a/crates/balancing/src/cache_stores.rs
+++ b/crates/balancing/src/cache_stores.rs
@@ -1,8 +1,9 @@
-//! What is known of the KV cache stores, one by one, and which of them saves a prompt.
+//! The known state of each KV cache store, and the choice of the store that saves a prompt.
 //!
-//! The stores of a region share its prompts by rendezvous hashing of the prompt's
-//! key: together they hold what one cannot. Once a store is filled, it gets no copy of
-//! a prompt that another store, which was used while this one was lost, keeps whole.
+//! The prompts of a region are distributed over its stores by rendezvous hashing of the
+//! prompt's key, so that the stores add up in capacity. A full store gets no copy of a
+//! prompt that another store holds completely, because that one was used while this store
+//! was lost.
 
 use crate::cache_contents::{CacheContents, KeyShare};
 use crate::store_room::StoreFill;
@@ -14,48 +15,48 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What is known of a KV cache store.
+/// Whether a KV cache store answers, and whether its events are followed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CacheStoreState {
-    /// It does not answer: nothing is fetched from it or saved to it.
+    /// The store does not answer: nothing is fetched from it or saved to it.
     #[default]
     Lost,
-    /// It works, and has no room for this node's calls for events: what it holds
-    /// is not known, but for what this node has had saved.
+    /// The store works, but has no capacity for this node's event calls: of its contents
+    /// only the parts are known that this node has had saved.
     Unobserved,
-    /// Its events are followed.
+    /// The store's events are followed.
     Followed,
 }
 
-/// Time after which a store that relays tell of no longer is taken to be lost, in
-/// milliseconds: as long as their silence is borne.
+/// Time without a relay's report on a store after which the store counts as lost, in
+/// milliseconds; the same time for which silence of the relays is tolerated.
 const REPORT_SILENCE_MS: u64 = 1_800;
 
-/// A short name of a store's address, the same on all nodes.
+/// A hash of a store's address, the same on all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreTag(pub u32);
 
 impl StoreTag {
-    /// The short name of an address.
+    /// The tag of the store at an address.
     pub fn of(address: SocketAddr) -> Self {
         Self(xxh3_64_with_seed(address.to_string().as_bytes(), 0) as u32)
     }
 }
 
-/// What a node that follows a store tells of it.
+/// A report on a store's contents by a node that follows its events.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreUpdate {
     /// The store.
     pub store: StoreTag,
-    /// Its life.
+    /// The store's epoch.
     pub epoch: u64,
-    /// Some of its parts, and the tokens that are kept of each; 0 when it was dropped.
+    /// Some of its parts, with the tokens that are held of each; 0 for an evicted part.
     pub parts: Vec<(PartKey, u32)>,
-    /// The share of which these are all parts; nothing where they are changes.
+    /// The share that the parts cover completely; `None` when they are changes only.
     pub share: Option<KeyShare>,
 }
 
-/// What this node believes of one KV cache store.
+/// The known state and contents of one KV cache store.
 #[derive(Clone, Debug, Default)]
 pub struct KnownStore {
     state: CacheStoreState,
@@ -64,24 +65,24 @@
 }
 
 impl KnownStore {
-    /// What is known of the store itself.
+    /// The state of the store.
     pub fn state(&self) -> CacheStoreState {
         self.state
     }
 
-    /// What it holds.
+    /// The known contents.
     pub fn contents(&self) -> &CacheContents {
         &self.contents
     }
 
-    /// What it holds, to be changed.
+    /// The known contents, mutable.
     pub fn contents_mut(&mut self) -> &mut CacheContents {
         &mut self.contents
     }
 
-    /// Takes in what a call showed; tells what was known before. What a lost store held is
-    /// not used. If it comes back in another life its events tell so and nothing of it is
-    /// believed; nor is it where they cannot be heard.
+    /// Sets the state that a call has shown; returns the former one. The contents of a lost
+    /// store are kept but not used. They are discarded if the store comes back in a new epoch,
+    /// as its events show, or if its events cannot be followed.
     pub fn note_state(&mut self, state: CacheStoreState) -> CacheStoreState {
         if state == CacheStoreState::Unobserved && self.state != state {
             self.contents.forget();
@@ -90,24 +91,24 @@
     }
 }
 
-/// What this node believes of all KV cache stores.
+/// The known state of all KV cache stores, by address.
 #[derive(Clone, Debug, Default)]
 pub struct CacheStores {
     by_address: BTreeMap<SocketAddr, KnownStore>,
 }
 
 impl CacheStores {
-    /// What is believed of the store at an address; nothing when it is not in use.
+    /// The store at an address; `None` when nothing is known of it.
     pub fn of(&self, address: SocketAddr) -> Option<&KnownStore> {
         self.by_address.get(&address)
     }
 
-    /// What is believed of the store at an address, to be changed.
+    /// The store at an address, mutable; added when it is not known yet.
     pub fn of_mut(&mut self, address: SocketAddr) -> &mut KnownStore {
         self.by_address.entry(address).or_default()
     }
 
-    /// Takes in what a relay tells of a store that this node does not follow by itself.
+    /// Applies a relay's report on a store whose events this node does not follow itself.
     pub fn apply_reported(&mut self, told: &StoreUpdate, now: Millis) {
         let mut stores = self.by_address.iter_mut();
         let known = stores.find(|(address, _)| StoreTag::of(**address) == told.store);
@@ -119,8 +120,8 @@
         }
     }
 
-    /// A store is known by what relays tell alone: it is taken to be lost when they
-    /// have not told of it for a while.
+    /// Marks a store that is known from relays' reports only as lost when there was no recent
+    /// report on it.
     pub fn expire_reported(&mut self, address: SocketAddr, now: Millis) {
         let record = self.of_mut(address);
         let is_fresh = |at| now.since(at) < REPORT_SILENCE_MS;
@@ -129,12 +130,12 @@
         }
     }
 
-    /// Forgets the stores that are no longer configured.
+    /// Removes the stores that are no longer configured.
     pub fn retain(&mut self, is_configured: impl Fn(SocketAddr) -> bool) {
         self.by_address.retain(|address, _| is_configured(*address));
     }
 
-    /// The stores among `configured` that answer, with what is believed of them.
+    /// The stores among `configured` that answer, with their known state.
     pub fn in_use<'a>(
         &'a self,
         configured: impl Iterator<Item = &'a CacheStore>,
@@ -145,9 +146,9 @@
     }
 }
 
-/// The store in which the prompts that engines of a zone read are saved: of the stores
-/// of its region the one that rendezvous hashing gives the prompt. Nothing where the
-/// region has none that answers: moves to other regions would keep links busy.
+/// The store that saves a prompt read by an engine of this zone: the one of the region's
+/// stores that rendezvous hashing selects for the prompt. `None` when the region has no
+/// store that answers, since transfers to other regions would load the links.
 pub fn saving_store<'a>(
     stores: &[(&'a CacheStore, &'a KnownStore)],
     topology: &Topology,
@@ -162,7 +163,7 @@
     near.max_by_key(|(store, _)| weight(store))
 }
 
-/// How full a store is believed to be.
+/// The assumed fill level of a store.
 pub fn fill(store: &CacheStore, record: &KnownStore) -> StoreFill {
     StoreFill {
         kept_tokens: record.contents.total_tokens(),
@@ -170,7 +171,7 @@
     }
 }
 
-/// Whether another store keeps the whole shared prompt.
+/// Whether a store other than the one at `but` holds the shared prompt completely.
 pub fn is_kept_elsewhere(
     stores: &[(&CacheStore, &KnownStore)],
     but: SocketAddr,
--- a/crates/balancing/src/catalogue.rs
+++ b/crates/balancing/src/catalogue.rs
@@ -1,5 +1,5 @@
-//! The engines of all services, as their records and this node's own traffic
-//! show them.
+//! The engines of all services, as known from their records and from this node's own
+//! traffic.
 
 use crate::engine_notices::{Backoff, EngineNotices, LeavingNotice};
 use crate::engine_rate_limits::EngineRateLimits;
@@ -15,27 +15,27 @@
 pub use crate::engine::{Engine, EngineRecord, LoadedWeights};
 pub use crate::names::InstanceId;
 
-/// How long an engine's address is taken to lead to another engine after that one
-/// answered, in milliseconds. The entry of an engine that was replaced lapses sooner
-/// (three heartbeats of 1.2 s). Where the entry stays, the engine may be well and its
-/// requests were led astray for a time: it is asked again.
+/// Time for which an engine is excluded after a different engine answered at its address,
+/// in milliseconds. The record of an engine that was replaced expires sooner (after three
+/// heartbeats of 1.2 s). If the record remains, the misrouting may have been temporary, so
+/// the engine is tried again.
 const MISDIRECTED_MS: u64 = 5_000;
 
-/// An engine that is passed over for what it said in answers.
+/// An engine that is not chosen because of a notice in one of its answers.
 #[derive(Clone, Copy, Debug)]
 pub struct PassedOver<'a> {
     /// The engine.
     pub instance: &'a InstanceId,
-    /// What it said.
+    /// The notice that excludes it.
     pub reason: PassedOverReason,
 }
 
-/// What an engine said for which it is passed over.
+/// The notice because of which an engine is not chosen.
 #[derive(Clone, Copy, Debug)]
 pub enum PassedOverReason {
-    /// It leaves.
+    /// The engine is shutting down.
     Leaving(LeavingNotice),
-    /// It asked this node to back off.
+    /// The engine asked this node to back off.
     Backoff(Backoff),
 }
 
@@ -46,24 +46,24 @@
     by_service: BTreeMap<ServiceName, ServiceIndex>,
     by_tag: HashMap<EngineTag, InstanceId>,
     gone: HashMap<InstanceId, GoneRecord>,
-    /// Room at the engines that advertise a rate limit.
+    /// Tokens of the engines that advertise a rate limit.
     pub rate_limits: EngineRateLimits,
-    /// What engines said of themselves in answers.
+    /// Notices that engines sent in their answers.
     pub notices: EngineNotices,
 }
 
-/// What is remembered of a record that is gone.
+/// What is kept of a removed record.
 #[derive(Clone, Copy, Debug)]
 struct GoneRecord {
-    /// Revision of the store at which it was gone.
+    /// Store revision at which the record was removed.
     revision: u64,
-    /// The last heartbeat that was known.
+    /// The last known heartbeat of the engine.
     heartbeat: Heartbeat,
 }
 
 impl GoneRecord {
-    /// Whether a record that is later only because the store came back from a copy tells
-    /// no more than was known when it went.
+    /// Whether a record has a higher revision only because the store was restored from a
+    /// copy, and carries the heartbeat that was already known at the removal.
     fn is_in_copy(&self, record: &EngineRecord) -> bool {
         let era = |revision| StoreRevision::of_packed(revision).era;
         let is_told = self.heartbeat != Heartbeat::default();
@@ -72,14 +72,15 @@
     }
 }
 
-/// Engines that are remembered as gone; older news of them is ignored.
+/// Maximum number of removed engines that are remembered, in order to ignore their older
+/// records.
 const MAX_GONE: usize = 4_096;
 
 impl EngineCatalogue {
-    /// Takes in a new or changed record; tells whether it was news. Records come
-    /// from the store and from other nodes, so an older one may come after a newer
-    /// one, and an older heartbeat after a newer one. Within a life weights
-    /// never go back by a record: records lag behind what answers have shown.
+    /// Applies a new or changed record; returns whether it was newer than the known one.
+    /// Records come from the store and from other nodes, so records and heartbeats can arrive
+    /// out of order. Within one life of an engine a record never lowers the version of its
+    /// weights, because records lag behind what its answers have shown.
     pub fn upsert(&mut self, record: EngineRecord) -> bool {
         if !self.is_newer(&record) {
             return false;
@@ -98,7 +99,7 @@
         true
     }
 
-    /// Lists an engine under its service and zone, and under no other ones.
+    /// Indexes an engine under its current service and zone only.
     fn list_by_service(&mut self, record: &EngineRecord) {
         let known = self.engines.get(&record.instance);
         if let Some(known) = known.map(|engine| &engine.record) {
@@ -111,12 +112,13 @@
         service.insert(record);
     }
 
-    /// Whether a record is newer than what is known, by the store and by its engine.
+    /// Whether a record is newer than the known one, by both the store's revision and the
+    /// engine's heartbeat.
     fn is_newer(&self, record: &EngineRecord) -> bool {
         if let Some(engine) = self.engines.get(&record.instance) {
             let known = engine.record.heartbeat;
             let is_late = record.heartbeat.is_of_earlier_start(known)
-                // That an engine leaves is believed from any heartbeat of its life.
+                // A notice of leaving is accepted from any heartbeat of the same life.
                 || (record.heartbeat.precedes(known) && !record.is_leaving);
             return record.revision > engine.record.revision && !is_late;
         }
@@ -129,8 +131,9 @@
         record.revision > gone.revision && !is_late
     }
 
-    /// The engine itself told when its present life began; tells whether that is a later
-    /// one than was known. What a late record of the former life says is ignored then.
+    /// Records the start time of an engine's current life, as reported by the engine itself.
+    /// Returns whether this life is later than the known one; late records of the former
+    /// life are ignored from then on.
     pub fn note_life(&mut self, instance: &InstanceId, born_ms: u64) -> bool {
         let Some(engine) = self.engines.get_mut(instance) else {
             return false;
@@ -147,8 +150,8 @@
         is_later
     }
 
-    /// Forgets an engine whose record is gone since that revision; tells whether
-    /// it was news.
+    /// Removes an engine whose record was deleted at this revision; returns whether the
+    /// engine was known and its record was not newer.
     pub fn remove(&mut self, instance: &InstanceId, revision: u64) -> bool {
         let known = self.engines.get(instance);
         if known.is_none_or(|engine| engine.record.revision > revision) {
@@ -174,7 +177,7 @@
         true
     }
 
-    /// Known engines that a list of records lacks.
+    /// Known engines that are missing in a list of records.
     pub fn missing_in(&self, records: &[EngineRecord]) -> Vec<InstanceId> {
         let listed: HashSet<&InstanceId> = records.iter().map(|record| &record.instance).collect();
         let known = self.engines.keys();
@@ -182,29 +185,29 @@
         missing.cloned().collect()
     }
 
-    /// One engine.
+    /// The engine with this instance ID.
     pub fn get(&self, instance: &InstanceId) -> Option<&Engine> {
         self.engines.get(instance)
     }
 
-    /// Whether an engine is about to end and wants no new work, by its record or by its
-    /// own answers.
+    /// Whether an engine is shutting down and accepts no new work, according to its record or
+    /// to its answers.
     pub fn is_leaving(&self, engine: &Engine) -> bool {
         engine.record.is_leaving || self.leaving_notice(engine).is_some()
     }
 
-    /// An engine's notice, in an answer, that it leaves.
+    /// The notice in an engine's answers that it is shutting down, if any.
     pub fn leaving_notice(&self, engine: &Engine) -> Option<LeavingNotice> {
         self.notices.leaving(engine.tag, engine.record.heartbeat)
     }
 
-    /// The backoff that an engine asked for, while it lasts.
+    /// The backoff that an engine asked for, if it is still in effect.
     pub fn backoff(&self, engine: &Engine, now: Millis) -> Option<Backoff> {
         self.notices
             .backoff(engine.tag, engine.record.heartbeat, now)
     }
 
-    /// Engines of a service that are passed over for what they said in answers.
+    /// Engines of a service that are not chosen because of notices in their answers.
     pub fn passed_over<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -223,7 +226,7 @@
         })
     }
 
-    /// Forgets notices that do not hold any more.
+    /// Removes notices that no longer apply.
     pub fn expire_notices(&mut self, now: Millis) {
         let (by_tag, engines) = (&self.by_tag, &self.engines);
         let heartbeat_of = |tag| {
@@ -233,19 +236,19 @@
         self.notices.expire(heartbeat_of, now);
     }
 
-    /// The engines of a service in the order of their instances.
+    /// The engines of a service, ordered by instance ID.
     pub fn of_service<'a>(&'a self, service: &ServiceName) -> impl Iterator<Item = &'a Engine> {
         let index = self.by_service.get(service).into_iter();
         let instances = index.flat_map(ServiceIndex::instances);
         instances.filter_map(|instance| self.engines.get(instance))
     }
 
-    /// The engines of a service, in the orders of a choice; nothing when it has none.
+    /// The index of a service's engines; `None` when the service has none.
     pub fn service_index(&self, service: &ServiceName) -> Option<&ServiceIndex> {
         self.by_service.get(service)
     }
 
-    /// Engines of a service.
+    /// Number of engines of a service.
     pub fn count_of(&self, service: &ServiceName) -> usize {
         self.service_index(service).map_or(0, ServiceIndex::len)
     }
@@ -271,7 +274,7 @@
         self.engines.is_empty()
     }
 
-    /// A request with so many prompt tokens is about to be sent.
+    /// Counts a request with `prompt_tokens` tokens that is about to be sent.
     pub fn begin(&mut self, instance: &InstanceId, prompt_tokens: u64, now: Millis) {
         if let Some(engine) = self.engines.get_mut(instance) {
             engine.in_flight += 1;
@@ -280,15 +283,15 @@
         }
     }
 
-    /// The engine has begun to answer: the prompt was read.
+    /// The engine has begun to answer, so it has processed the prompt.
     pub fn first_answer(&mut self, instance: &InstanceId, prompt_tokens: u64) {
         if let Some(engine) = self.engines.get_mut(instance) {
             engine.waiting_tokens = engine.waiting_tokens.saturating_sub(prompt_tokens);
         }
     }
 
-    /// The request is over. `unanswered_tokens` are those that
-    /// [`EngineCatalogue::first_answer`] has not taken off.
+    /// The request has ended. `unanswered_tokens` are the prompt tokens that
+    /// [`EngineCatalogue::first_answer`] has not subtracted yet.
     pub fn end(&mut self, instance: &InstanceId, unanswered_tokens: u64) {
         self.first_answer(instance, unanswered_tokens);
         if let Some(engine) = self.engines.get_mut(instance) {
@@ -296,40 +299,41 @@
         }
     }
 
-    /// Takes in how a request went.
+    /// Records the outcome of a request.
     pub fn note_outcome(&mut self, instance: &InstanceId, outcome: Outcome, now: Millis) {
         if let Some(engine) = self.engines.get_mut(instance) {
             engine.health.on_outcome(outcome, now);
         }
     }
 
-    /// The engine takes no connection; requests go elsewhere until then.
+    /// The engine accepts no connections: it is not chosen before `until`.
     pub fn put_aside(&mut self, instance: &InstanceId, until: Millis) {
         if let Some(engine) = self.engines.get_mut(instance) {
             engine.health.put_aside(until);
         }
     }
 
-    /// The engine takes connections again.
+    /// The engine accepts connections again.
     pub fn allow_trial(&mut self, instance: &InstanceId, now: Millis) {
         if let Some(engine) = self.engines.get_mut(instance) {
             engine.health.allow_trial(now);
         }
     }
 
-    /// The engine with this short name.
+    /// The engine with this tag.
     pub fn by_tag(&self, tag: EngineTag) -> Option<&Engine> {
         self.engines.get(self.by_tag.get(&tag)?)
     }
 
-    /// The engine said which weights it has.
+    /// Records the version of a model's weights that the engine reported.
     pub fn note_weights(&mut self, instance: &InstanceId, model: &str, version: u64) {
         if let Some(engine) = self.engines.get_mut(instance) {
             engine.record.weights.insert(model.to_owned(), version);
         }
     }
 
-    /// Another node had the engine load these weights; tells whether that was news.
+    /// Another node had the engine load these weights; returns whether the version is higher
+    /// than the known one.
     pub fn note_loaded_weights(&mut self, loaded: &LoadedWeights) -> bool {
         let instance = self.by_tag.get(&loaded.engine);
         let engine = instance.and_then(|instance| self.engines.get_mut(instance));
@@ -346,28 +350,29 @@
         is_news
     }
 
-    /// The engine is taken to be loading weights until then.
+    /// The engine is considered to be loading weights until `until`.
     pub fn note_loading(&mut self, instance: &InstanceId, until: Millis) {
         if let Some(engine) = self.engines.get_mut(instance) {
             engine.loading_until = Some(until);
         }
     }
 
-    /// The engine is slow until then, having just started. The first word stands.
+    /// The engine has just started and is slow until `until`. Only the first call in a life
+    /// has an effect.
     pub fn note_cold(&mut self, instance: &InstanceId, until: Millis) {
         if let Some(engine) = self.engines.get_mut(instance) {
             engine.cold_until.get_or_insert(until);
         }
     }
 
-    /// The engine has loaded.
+    /// The engine has finished loading weights.
     pub fn note_loaded(&mut self, instance: &InstanceId) {
         if let Some(engine) = self.engines.get_mut(instance) {
             engine.loading_until = None;
         }
     }
 
-    /// Another engine answered at this one's address.
+    /// A different engine answered at this engine's address.
     pub fn note_misdirected(&mut self, instance: &InstanceId, now: Millis) {
         if let Some(engine) = self.engines.get_mut(instance) {
             engine.misdirected_until = Some(now.plus(MISDIRECTED_MS));
--- a/crates/balancing/src/engine.rs
+++ b/crates/balancing/src/engine.rs
@@ -1,4 +1,4 @@
-//! One engine, as its record and this node's own traffic show it.
+//! One engine, as known from its record and from this node's own traffic.
 
 use crate::engine_notices::EngineLife;
 use crate::health::EngineHealth;
@@ -10,35 +10,35 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What an engine says of itself in the catalogue.
+/// The record that an engine publishes of itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineRecord {
     /// The engine.
     pub instance: InstanceId,
-    /// Revision of the record's last change.
+    /// Store revision of the record's last change.
     pub revision: u64,
-    /// The heartbeat that wrote it.
+    /// The heartbeat that wrote the record.
     pub heartbeat: Heartbeat,
-    /// The service it belongs to.
+    /// The service that the engine belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: ZoneName,
-    /// The version of its software; versions that are not told are all alike.
+    /// The version of its software; all engines that do not report one count as equal.
     pub software: SoftwareVersion,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Time for which it stays slow after its start, as the record told, in
+    /// Time for which it stays slow after its start, according to the record, in
     /// milliseconds.
     pub cold_ms: u64,
-    /// Whether it is about to end and wants no new work.
+    /// Whether it is shutting down and accepts no new work.
     pub is_leaving: bool,
-    /// The version of each model's weights.
+    /// The version of its weights by model.
     pub weights: BTreeMap<String, u64>,
 }
 
-/// The weights that an engine has loaded.
+/// A version of a model's weights that an engine has loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadedWeights {
     /// The engine.
@@ -49,29 +49,29 @@
     pub version: u64,
 }
 
-/// An engine with what this node knows of it.
+/// An engine's record and the state that this node keeps of it.
 #[derive(Clone, Debug)]
 pub struct Engine {
     /// Its record.
     pub record: EngineRecord,
-    /// Its short name between nodes.
+    /// Its tag in messages between nodes.
     pub tag: EngineTag,
-    /// Requests of this node at the engine.
+    /// Number of this node's requests in flight at the engine.
     pub in_flight: u32,
-    /// Prompt tokens of those requests that have not answered yet.
+    /// Prompt tokens of those requests for which no answer has begun yet.
     pub waiting_tokens: u64,
-    /// How its answers have been.
+    /// Its health, judged by the outcomes of requests.
     pub health: EngineHealth,
-    /// Until when it is taken to be loading weights.
+    /// The time until which it is considered to be loading weights.
     pub loading_until: Option<Millis>,
-    /// Until when it is slow after its start.
+    /// The time until which it is slow after its start.
     pub cold_until: Option<Millis>,
-    /// Until when its address is taken to lead to another engine.
+    /// The time until which its address is considered to lead to a different engine.
     pub misdirected_until: Option<Millis>,
 }
 
 impl Engine {
-    /// An engine of which no traffic has shown anything.
+    /// An engine that this node has sent no traffic to yet.
     pub(crate) fn new(record: EngineRecord) -> Self {
         Self {
             tag: EngineTag::of(&record.instance),
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Takes in a newer record.
+    /// Replaces the record by a newer one.
     pub(crate) fn update(&mut self, record: EngineRecord) {
         let known = std::mem::replace(&mut self.record, record);
         self.misdirected_until = None;
@@ -94,7 +94,8 @@
             return;
         }
         if known.heartbeat.born_ms == self.record.heartbeat.born_ms {
-            // An older heartbeat that it leaves makes those between no newer.
+            // An older heartbeat is accepted when it reports that the engine leaves. The
+            // highest sequence is kept, so that heartbeats in between do not count as newer.
             let sequence = &mut self.record.heartbeat.sequence;
             *sequence = known.heartbeat.sequence.max(*sequence);
         }
@@ -104,8 +105,8 @@
         }
     }
 
-    /// The engine has started again: nothing that was seen of its former life holds but
-    /// that requests of this node are on their way to it.
+    /// The engine has restarted: resets all state of its former life, except for the counts
+    /// of this node's requests in flight.
     pub(crate) fn begin_life(&mut self) {
         self.health = EngineHealth::default();
         self.loading_until = None;
@@ -113,7 +114,7 @@
         self.misdirected_until = None;
     }
 
-    /// Its present life, as notices name it.
+    /// Its current life, as identified in notices.
     pub fn life(&self) -> EngineLife {
         EngineLife {
             engine: self.tag,
@@ -121,7 +122,7 @@
         }
     }
 
-    /// The version of a model's weights, 0 when it does not serve the model.
+    /// The version of a model's weights; 0 when the engine does not serve the model.
     pub fn weights_of(&self, model: &str) -> u64 {
         self.record.weights.get(model).copied().unwrap_or(0)
     }
@@ -131,12 +132,12 @@
         self.cold_until.is_some_and(|until| now < until)
     }
 
-    /// Whether its address is taken to lead to another engine.
+    /// Whether its address is considered to lead to a different engine.
     pub fn is_misdirected(&self, now: Millis) -> bool {
         self.misdirected_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it is taken to be loading weights.
+    /// Whether it is considered to be loading weights.
     pub fn is_loading(&self, now: Millis) -> bool {
         self.loading_until.is_some_and(|until| now < until)
     }
--- a/crates/balancing/src/engine_caches.rs
+++ b/crates/balancing/src/engine_caches.rs
@@ -1,8 +1,9 @@
-//! What the engines keep of prompts, as their own events tell.
+//! The contents of the engines' prefix caches, as known from their events.
 //!
-//! A node follows the events of engines of its zone. What those drop, one node
-//! tells the others, who know of what is read by the reports that they exchange
-//! anyway ([`crate::prefix_holders`]): far fewer bytes than the events themselves.
+//! A node follows the events of engines of its zone. One follower of each engine reports
+//! evictions to the other nodes, which know the parts that were read from the reports that
+//! nodes exchange anyway ([`crate::prefix_holders`]). This takes far fewer bytes than the
+//! events themselves.
 
 use crate::cache_contents::CacheContents;
 use crate::cache_followers::Assignment;
@@ -10,7 +11,7 @@
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Contents of the engines whose events are followed.
+/// The engines assigned to this node, and the contents of those whose events are followed.
 #[derive(Clone, Debug, Default)]
 pub struct EngineCaches {
     assigned: HashMap<EngineTag, Assignment>,
@@ -18,44 +19,44 @@
 }
 
 impl EngineCaches {
-    /// What an engine keeps; nothing when its events are not followed.
+    /// The contents of an engine's cache; `None` when its events are not followed.
     pub fn of(&self, engine: EngineTag) -> Option<&CacheContents> {
         self.followed.get(&engine)
     }
 
-    /// What a followed engine keeps, to be changed.
+    /// The contents of an engine's cache, mutable; `None` when its events are not followed.
     pub fn of_mut(&mut self, engine: EngineTag) -> Option<&mut CacheContents> {
         self.followed.get_mut(&engine)
     }
 
-    /// The engine's events are followed from now on.
+    /// Begins to follow the engine's events.
     pub fn follow(&mut self, engine: EngineTag) -> &mut CacheContents {
         self.followed.entry(engine).or_default()
     }
 
-    /// The engine's events are no longer followed.
+    /// Stops following the engine's events and drops its contents.
     pub fn forget(&mut self, engine: EngineTag) {
         self.followed.remove(&engine);
     }
 
-    /// This node follows these engines from now on; what the others keep is forgotten.
+    /// Sets the engines that this node follows; drops the contents of all others.
     pub fn assign(&mut self, assigned: HashMap<EngineTag, Assignment>) {
         self.followed
             .retain(|engine, _| assigned.contains_key(engine));
         self.assigned = assigned;
     }
 
-    /// The engines that this node follows.
+    /// The engines that are assigned to this node.
     pub fn assignments(&self) -> &HashMap<EngineTag, Assignment> {
         &self.assigned
     }
 
-    /// This node's part in following an engine; nothing when it does not.
+    /// This node's role in following an engine; `None` when the engine is not assigned to it.
     pub fn assignment(&self, engine: EngineTag) -> Option<Assignment> {
         self.assigned.get(&engine).copied()
     }
 
-    /// Engines whose events are followed.
+    /// Number of engines whose events are followed.
     pub fn len(&self) -> usize {
         self.followed.len()
     }
@@ -66,12 +67,12 @@
     }
 }
 
-/// Nodes that follow one engine's events, when there are so many in its zone.
+/// Number of nodes that follow one engine's events, if its zone has that many.
 pub const FOLLOWERS: usize = 4;
 
-/// The nodes that follow an engine before this one does; as many as there are give its
-/// place among the followers, 0 for the first. All nodes agree on it, by rendezvous hashing
-/// over the nodes that they know.
+/// The nodes that precede this one as followers of an engine; their number is this node's
+/// rank among the followers, 0 for the first. The order results from rendezvous hashing, so
+/// all nodes that know the same nodes agree on it.
 pub fn followers_before(
     own: PeerId,
     others: impl Iterator<Item = PeerId>,
--- a/crates/balancing/src/engine_load.rs
+++ b/crates/balancing/src/engine_load.rs
@@ -1,11 +1,11 @@
-//! Requests at one engine, and sums of them.
+//! The load at one engine, and sums of loads.
 
-/// Requests at one engine.
+/// The load at one engine, of one node or of several.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Requests there.
+    /// Number of requests in flight.
     pub requests: u32,
-    /// Prompt tokens that are still to be read.
+    /// Prompt tokens that have not been processed yet.
     pub waiting_tokens: u64,
 }
 
@@ -14,7 +14,7 @@
         *self == Self::default()
     }
 
-    /// Adds requests.
+    /// Adds another load.
     pub fn add(&mut self, other: EngineLoad) {
         self.requests += other.requests;
         self.waiting_tokens += other.waiting_tokens;
--- a/crates/balancing/src/engine_losses.rs
+++ b/crates/balancing/src/engine_losses.rs
@@ -1,14 +1,14 @@
-//! Which engines are lost: they take no connection any more.
+//! Detection of lost engines: engines that accept no connections any more.
 //!
-//! An engine whose machine lost its power resets nothing. Each request that is sent
-//! there finds out by its own time-out, and each request that waits there waits to its
-//! end. So the first connection that does not come about starts checks by connections
-//! alone, which carry no request. Other nodes hear which engines are lost and check by
-//! themselves: news starts a check and nothing else, or an engine that one node alone
-//! cannot reach would be lost to all.
+//! An engine whose machine has lost power does not reset its connections. Each new request
+//! to it would run into its own time-out, and each request in flight would wait until its
+//! deadline. Therefore the first failed connection attempt starts checks, which open
+//! connections without sending a request. Nodes report lost engines to each other, and
+//! each node checks for itself: a report only starts a check, because otherwise an engine
+//! that a single node cannot reach would be lost for all nodes.
 //!
 //! ```text
-//! no connection, or report, or record gone ─▶ due ─▶ checks ─▶ lost, or reached again
+//! failed connection, report or removed record ─▶ due ─▶ checks ─▶ lost, or reached again
 //! ```
 
 use crate::names::{EngineTag, InstanceId, PeerId};
@@ -16,67 +16,71 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Connections in a row that must time out before an engine is lost.
+/// Number of consecutive connection time-outs after which an engine is lost.
 const FAILURES_UNTIL_LOST: usize = 3;
-/// Time that must pass between the first and the last of them, in milliseconds: a link
-/// that is disturbed for a moment fails several at once.
+/// Minimum time between the first and the last of these time-outs, in milliseconds: a
+/// short disturbance of a link makes several connections fail at once.
 const FAILING_FOR_MS: u64 = 500;
-/// Failures that are remembered of a suspect. A burst of requests fails within one
-/// connection time-out, and checks go on at their own pace after it.
+/// Maximum number of failures that are remembered for a suspected engine. A burst of
+/// requests fails within one connection time-out, and the checks continue after it at
+/// their own interval.
 const MAX_FAILURES: usize = 32;
-/// Part of all engines beyond which losses are this node's own fault: it is out of
-/// ports, starved, or its link is cut. It gives up no request for any of them then.
+/// Share of all engines above which losses are attributed to this node itself: it has run
+/// out of ports, is starved of resources, or its link is cut. It then aborts no request
+/// because of a loss.
 const DISTRUST_SHARE: f64 = 0.5;
-/// Time for which what other nodes told counts, in milliseconds: some ten reports.
+/// Time for which another node's report counts, in milliseconds: about ten report periods.
 const REPORT_VALID_MS: u64 = 2_000;
-/// Time after an engine was reached in which news of its loss starts no check, in
-/// milliseconds. What this node sees itself goes before what it is told.
+/// Time after a successful connection during which reports of the engine's loss start no
+/// check, in milliseconds: this node's own observations take precedence over reports.
 const REACHED_MS: u64 = 5_000;
-/// Part of all engines from which on a node that cannot reach them takes its own links
-/// to be at fault, and tells of none.
+/// Share of all engines above which a node that cannot reach them attributes this to its
+/// own links, and reports none of them.
 const OWN_FAULT_SHARE: f64 = 0.34;
-/// Nodes that must have lost an engine before their word starts a check elsewhere, at
-/// least, and as a part of all nodes. Each check of an engine that lives is a connection
-/// that it has to take, and nodes with disturbed links are never few in a large fleet.
+/// Minimum number of nodes that must report an engine as lost before other nodes check it;
+/// [`NODES_UNTIL_CHECK_SHARE`] is the same as a share of all nodes. Each check costs a live
+/// engine a connection, and a large fleet always contains several nodes with disturbed
+/// links.
 const NODES_UNTIL_CHECK: u32 = 2;
 const NODES_UNTIL_CHECK_SHARE: f64 = 0.1;
-/// Lost engines in one report; the latest ones go first. With them a report stays
-/// within one datagram.
+/// Maximum number of lost engines in one report, the most recent ones first, so that the
+/// report fits into one datagram.
 pub const MAX_REPORTED: usize = 16;
 
-/// An engine to be checked.
+/// An engine that is due to be checked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DueCheck {
     /// The engine.
     pub instance: InstanceId,
-    /// Where it listens, or listened.
+    /// The last known address of the engine.
     pub address: SocketAddr,
-    /// The suspicion that it belongs to: one that was dispelled and comes up again is
-    /// checked anew.
+    /// The suspicion that caused the check. An engine that was reached and is suspected
+    /// again gets a new suspicion and a new check.
     suspicion: u64,
 }
 
-/// What a node tells of an engine that is lost.
+/// A lost engine as nodes report it to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LostEngine {
     /// The engine.
     pub engine: EngineTag,
-    /// Nodes that cannot reach it, as far as the sender knows; the sender counts.
+    /// Number of nodes that cannot reach it, as far as the sender knows, including the
+    /// sender.
     pub nodes: u32,
 }
 
-/// Whose reports tell of lost engines.
+/// The kind of sender of a report on lost engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ReportSource {
-    /// A node, of what it has found itself.
+    /// A node, reporting its own observations.
     Node,
-    /// A relay of another zone, of what the nodes there have found.
+    /// A relay of another zone, reporting what the nodes of that zone have observed.
     OtherZone,
-    /// A relay, of what all nodes have found, the receiver among them.
+    /// A relay, reporting what all nodes have observed, including the receiver.
     Relay,
 }
 
-/// A connection that timed out.
+/// A connection attempt that timed out.
 #[derive(Clone, Copy, Debug)]
 struct FailedConnection {
     began: Millis,
@@ -93,7 +97,7 @@
 }
 
 impl Suspect {
-    /// Whether enough connections failed that all were begun at or after `heard`.
+    /// Whether enough connection attempts have failed that all began at or after `heard`.
     fn is_lost_since(&self, heard: Millis) -> bool {
         let later = self.failures.iter().filter(|failed| failed.began >= heard);
         let first = later.clone().map(|failed| failed.began).min();
@@ -112,7 +116,7 @@
     heard_at: Millis,
 }
 
-/// Engines that are lost or may be.
+/// Engines that are lost or suspected to be lost.
 #[derive(Clone, Debug, Default)]
 pub struct EngineLosses {
     suspects: HashMap<InstanceId, Suspect>,
@@ -123,8 +127,8 @@
 }
 
 impl EngineLosses {
-    /// A connection to the engine that was begun at `began` has timed out. One that was
-    /// refused shows that its machine is there, and is [`Self::note_suspected`].
+    /// A connection attempt to the engine that began at `began` has timed out. A refused
+    /// connection shows that the machine is up; use [`Self::note_suspected`] for it.
     pub fn note_unreachable(
         &mut self,
         instance: &InstanceId,
@@ -144,25 +148,25 @@
         }
     }
 
-    /// Something speaks against the engine: another node cannot reach it, it refused a
-    /// connection, or it left a call without an answer. It is to be checked.
+    /// Schedules a check of an engine that may be lost: another node cannot reach it, it
+    /// refused a connection, or it did not answer a call.
     pub fn note_suspected(&mut self, instance: &InstanceId, address: SocketAddr) {
         self.suspect(instance, address);
     }
 
-    /// The engine's record is gone while requests are there.
+    /// The engine's record was removed while requests are in flight to it.
     pub fn note_record_gone(&mut self, instance: &InstanceId, address: SocketAddr) {
         self.suspect(instance, address).record_is_gone = true;
     }
 
-    /// The engine's record has come back: entries go at times while the store is down.
+    /// The engine's record has reappeared: records may expire while the store is down.
     pub fn note_record_back(&mut self, instance: &InstanceId) {
         if let Some(suspect) = self.suspects.get_mut(instance) {
             suspect.record_is_gone = false;
         }
     }
 
-    /// The engine took a connection or answered; tells whether it was suspected.
+    /// The engine accepted a connection or answered; returns whether it was suspected.
     pub fn note_reached(&mut self, instance: &InstanceId, now: Millis) -> bool {
         if self.suspects.is_empty() {
             return false;
@@ -174,7 +178,7 @@
         was_suspected
     }
 
-    /// The engine is a suspect, and is due to be checked if it was not.
+    /// Marks the engine as suspected and schedules a check if none is scheduled yet.
     fn suspect(&mut self, instance: &InstanceId, address: SocketAddr) -> &mut Suspect {
         let entry = self.suspects.entry(instance.clone());
         let suspicions = &mut self.suspicions;
@@ -198,31 +202,31 @@
         suspect
     }
 
-    /// Checks to be begun now.
+    /// Removes and returns the checks that are due.
     pub fn take_due(&mut self) -> Vec<DueCheck> {
         std::mem::take(&mut self.due)
     }
 
-    /// Whether the engine is to be checked further.
+    /// Whether the engine is still suspected, so that checks continue.
     pub fn is_suspected(&self, instance: &InstanceId) -> bool {
         self.suspects.contains_key(instance)
     }
 
-    /// Whether the suspicion that this check belongs to still stands.
+    /// Whether the suspicion that caused this check still exists.
     pub fn is_current(&self, check: &DueCheck) -> bool {
         let suspect = self.suspects.get(&check.instance);
         suspect.is_some_and(|suspect| suspect.suspicion == check.suspicion)
     }
 
-    /// Whether any engine is lost to this node.
+    /// Whether this node considers any engine to be lost.
     pub fn has_lost(&self) -> bool {
         self.suspects
             .values()
             .any(|suspect| suspect.lost_at.is_some())
     }
 
-    /// Whether so many engines are lost, of those in the catalogue and those that have
-    /// gone from it, that this node is at fault itself.
+    /// Whether the share of lost engines, among those in the catalogue and those removed
+    /// from it, is so high that the fault lies with this node.
     fn is_own_fault(&self, engines: usize) -> bool {
         let is_lost = |suspect: &&Suspect| suspect.lost_at.is_some();
         let lost = self.suspects.values().filter(is_lost);
@@ -231,21 +235,21 @@
         lost.count() as f64 > (all as f64 * DISTRUST_SHARE).max(1.0)
     }
 
-    /// Nobody needs to know about the engine any more.
+    /// Drops the state of an engine that is no longer needed.
     pub fn forget(&mut self, instance: &InstanceId) {
         self.suspects.remove(instance);
     }
 
-    /// Whether this node has found that the engine is lost, by connections that were
-    /// all begun at or after `heard`, when it gave its last sign of life. `engines` is
-    /// how many are in the catalogue.
+    /// Whether this node has found the engine to be lost, by connection attempts that all
+    /// began at or after `heard`, the time of its last sign of life. `engines` is the number
+    /// of engines in the catalogue.
     pub fn is_lost_since(&self, instance: &InstanceId, heard: Millis, engines: usize) -> bool {
         let suspect = self.suspects.get(instance);
         suspect.is_some_and(|suspect| suspect.is_lost_since(heard)) && !self.is_own_fault(engines)
     }
 
-    /// Whether, besides, its record is gone or another node cannot reach it either:
-    /// then it is not this node's link that is at fault.
+    /// Like [`Self::is_lost_since`], and in addition the engine's record is gone or another
+    /// node cannot reach the engine either, which rules out a fault of this node's link.
     pub fn is_dead_since(
         &self,
         instance: &InstanceId,
@@ -261,8 +265,8 @@
         is_confirmed && self.is_lost_since(instance, heard, engines)
     }
 
-    /// Nodes besides this one that cannot reach the engine. What a relay tells includes
-    /// this node where it `has_told`.
+    /// Number of other nodes that cannot reach the engine. A relay's count includes this
+    /// node if it `has_told` the relay of the loss itself.
     fn others(&self, engine: EngineTag, has_told: bool, now: Millis) -> u32 {
         let direct: u32 = self.reported_by(engine, ReportSource::Node, now).sum();
         let zones: u32 = self.reported_by(engine, ReportSource::OtherZone, now).sum();
@@ -271,7 +275,7 @@
         relayed.max(direct + zones)
     }
 
-    /// What each sender of a kind told lately.
+    /// The node counts in the valid reports of each sender of the wanted kind.
     fn reported_by(
         &self,
         engine: EngineTag,
@@ -285,8 +289,8 @@
         fresh.map(|(_, report)| report.nodes)
     }
 
-    /// Takes in what another node of a fleet of so many told; gives the engines that
-    /// this node should check.
+    /// Applies a report of another node; returns the engines that this node should check.
+    /// `fleet` is the number of nodes.
     pub fn apply_reported(
         &mut self,
         source: ReportSource,
@@ -314,7 +318,7 @@
         to_check
     }
 
-    /// Forgets news that no longer counts.
+    /// Removes expired reports.
     pub fn expire(&mut self, now: Millis) {
         self.reports.retain(|_, senders| {
             senders.retain(|_, report| now.since(report.heard_at) < REPORT_VALID_MS);
@@ -323,8 +327,8 @@
         self.reached.retain(|_, at| now.since(*at) < REACHED_MS);
     }
 
-    /// What this node has found itself, the latest first, of so many engines that it
-    /// knows.
+    /// The losses that this node has found itself, the most recent first. `engines` is the
+    /// number of engines that it knows.
     pub fn own(&self, engines: usize) -> Vec<LostEngine> {
         let lost = self.suspects.iter().filter_map(|(instance, suspect)| {
             let lost_at = suspect.lost_at?;
@@ -342,13 +346,13 @@
         told.collect()
     }
 
-    /// What a relay tells the nodes of its zone: what it has found itself, and what
-    /// nodes and other zones have told it.
+    /// The losses that a relay reports to the nodes of its zone: its own findings and those
+    /// that nodes and other zones have reported to it.
     pub fn of_all(&self, engines: usize, now: Millis) -> Vec<LostEngine> {
         self.summed(&[ReportSource::Node, ReportSource::OtherZone], engines, now)
     }
 
-    /// What a relay tells other zones: what the nodes of its own have found.
+    /// The losses that a relay reports to other zones: the findings of its own zone's nodes.
     pub fn of_zone(&self, engines: usize, now: Millis) -> Vec<LostEngine> {
         self.summed(&[ReportSource::Node], engines, now)
     }
--- a/crates/balancing/src/engine_notices/exchange.rs
+++ b/crates/balancing/src/engine_notices/exchange.rs
@@ -1,43 +1,45 @@
-//! What a node tells the others of engines that leave, and what it takes in from them.
+//! Exchange of notices of leaving engines between nodes.
 //!
-//! That an engine leaves holds for all. A backoff was asked of one node alone, and is told to
-//! nobody.
+//! A notice that an engine leaves concerns all nodes. A backoff concerns only the node that
+//! was asked for it, and is not reported to others.
 
 use super::{EngineLife, EngineNotices, LeavingNotice, NoticeSource, KEPT_MS};
 use crate::names::EngineTag;
 use ploverlift_policy::ids::Millis;
 use ploverlift_policy::telling::Telling;
 
-/// Engines in one message: with them it stays within one datagram.
+/// Maximum number of engines in one message, so that it fits into one datagram.
 pub const MAX_REPORTED: usize = 32;
-/// Engines that are told of at one time, beyond which the others wait for the next one.
+/// Maximum number of engines that are reported at one time; the others wait for the next
+/// time.
 const MAX_DUE: usize = 16 * MAX_REPORTED;
-/// Engines that are told of again in one period, though nothing has changed.
+/// Maximum number of engines with unchanged notices that are reported again in one period.
 const MAX_REPEATED: usize = 8 * MAX_REPORTED;
-/// Time for which a notice is told again now and then, in milliseconds: nodes may be cut off.
+/// Time for which a notice is reported repeatedly, in milliseconds, so that it also reaches
+/// nodes that were cut off for a while.
 const REPEATED_FOR_MS: u64 = 30_000;
 
-/// An engine that leaves, as one node tells another.
+/// A leaving engine as one node reports it to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLeaving {
-    /// The life that said so.
+    /// The life of the engine that sent the notice.
     pub life: EngineLife,
-    /// Time since a node first had it, in milliseconds.
+    /// Time since any node first received the notice, in milliseconds.
     pub age_ms: u64,
 }
 
-/// When something is told.
+/// The occasion for a set of reports.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReportRound {
-    /// Whether some of what has not changed is told again, in turn.
+    /// Whether some unchanged notices are reported again, in rotation.
     pub is_period: bool,
-    /// Whether this node passes on what others tell.
+    /// Whether this node relays the reports of others.
     pub passes_on: bool,
 }
 
 impl EngineNotices {
-    /// What is told now: what is due, and in each period some of what this node has heard
-    /// from the engine itself, or passes on.
+    /// The reports to send now: all notices that are due, and once in each period some of
+    /// the notices that this node received from the engine itself or relays.
     pub fn due_reports(&mut self, round: ReportRound, now: Millis) -> Vec<ReportedLeaving> {
         let mut told = self.due(now);
         for engine in &told {
@@ -55,7 +57,7 @@
         told.filter_map(|engine| self.told(engine, now)).collect()
     }
 
-    /// All engines that are known to leave, for a node that knows nothing yet.
+    /// Reports of all engines that are known to leave, for a node that has no state yet.
     pub fn all_leaving(&self, now: Millis) -> Vec<ReportedLeaving> {
         let engines = self.notices.keys();
         engines
@@ -100,8 +102,9 @@
         })
     }
 
-    /// Takes in what another node tells; tells whether it was news. A relay `passes_on` what
-    /// is. What is older than an engine is remembered would never be forgotten otherwise.
+    /// Applies another node's report; returns whether it was new. A relay `passes_on` new
+    /// reports. Reports that are older than the retention time of notices are ignored, since
+    /// nodes would otherwise keep each other's notices alive for ever.
     pub fn apply_reported(&mut self, told: &ReportedLeaving, passes_on: bool, now: Millis) -> bool {
         if told.age_ms >= KEPT_MS {
             return false;
--- a/crates/balancing/src/engine_notices/mod.rs
+++ b/crates/balancing/src/engine_notices/mod.rs
@@ -1,9 +1,10 @@
-//! What engines said of themselves in answers and what outlasts the answer: that they leave,
-//! and until when this node is to back off.
+//! Notices that engines sent in answers and that remain valid after the answer: that the
+//! engine leaves, and until when this node has to back off.
 //!
-//! Kept beside the records of the catalogue and by life: no record of the same life undoes
-//! it, whether it lags behind, lapses or comes back. A life that is known to have begun later
-//! ends it. Where engines do not tell when their lives began, a name is one life.
+//! Notices are kept separately from the catalogue's records, by the engine's life. No record
+//! of the same life overrides them, whether it lags behind, expires or reappears; they end
+//! with a life that is known to have begun later. If an engine does not report when its life
+//! began, all lives under its name count as one.
 
 pub mod exchange;
 
@@ -13,30 +14,30 @@
 use ploverlift_policy::telling::Telling;
 use std::collections::BTreeMap;
 
-/// Time for which a notice is remembered after its engine was known last, in milliseconds:
-/// an entry that lapses while the store is away comes back with it.
+/// Time for which a notice is kept after its engine was last in the catalogue, in
+/// milliseconds: a record that expires while the store is down reappears with the store.
 const KEPT_MS: u64 = 120_000;
-/// Notices that are kept at most: more than a fleet has engines.
+/// Maximum number of engines with notices: more than a fleet has engines.
 const MAX_NOTICES: usize = 16_384;
-/// Longest backoff that is believed, in milliseconds.
+/// Maximum backoff, in milliseconds; longer ones are cut to it.
 const LONGEST_BACKOFF_MS: u64 = 24 * 60 * 60 * 1_000;
-/// Part of a time to back off within which nodes send to the engine again, each from a moment
-/// of its own: all at once would fill it.
+/// Divisor of the backoff that gives the ramp after it. Nodes resume at random times within
+/// the ramp, because the engine would be overloaded if all resumed at once.
 const RAMP_SHARE: u64 = 4;
-/// Longest time within which they do, in milliseconds.
+/// Maximum length of that ramp, in milliseconds.
 const LONGEST_RAMP_MS: u64 = 500;
 
-/// Who told that an engine leaves.
+/// The source of a notice that an engine leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoticeSource {
-    /// The engine, in an answer to this node.
+    /// The engine itself, in an answer to this node.
     Answer,
     /// Another node.
     Node,
 }
 
 impl NoticeSource {
-    /// The name, for logs.
+    /// The name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Answer => "answer",
@@ -45,43 +46,43 @@
     }
 }
 
-/// One life of an engine, as a notice names it.
+/// One life of an engine, as identified in notices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineLife {
     /// The engine.
     pub engine: EngineTag,
-    /// When the life began, in Unix milliseconds; 0 where that is not told.
+    /// Start of the life, in Unix milliseconds; 0 when the engine does not report it.
     pub born_ms: u64,
 }
 
-/// An engine's notice that it leaves.
+/// A notice that an engine leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeavingNotice {
-    /// When a node first had it.
+    /// The time at which any node first received the notice.
     pub since: Millis,
-    /// Who told this node.
+    /// The source from which this node has the notice.
     pub source: NoticeSource,
     telling: Telling,
 }
 
-/// A time for which this node sends an engine nothing, as the engine asked.
+/// A backoff that an engine asked for: this node sends it no requests during that time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    /// When this node first had it.
+    /// The time at which this node was first asked to back off.
     pub since: Millis,
-    /// The end of the time that it named, the latest one of several.
+    /// The end of the requested backoff; the latest end if there were several.
     pub until: Millis,
-    /// When this node sends to it again.
+    /// The time at which this node resumes sending requests.
     pub resumes_at: Millis,
 }
 
-/// What one life of an engine said.
+/// The notices of one life of an engine.
 #[derive(Clone, Copy, Debug)]
 struct Notice {
     born_ms: u64,
     leaving: Option<LeavingNotice>,
     backoff: Option<Backoff>,
-    /// When the engine was last known to be in the catalogue.
+    /// The time at which the engine was last in the catalogue.
     known_at: Millis,
 }
 
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Whether it was said by the life of this heartbeat, or a later one.
+    /// Whether the notice is from the life of this heartbeat, or from a later one.
     fn holds_for(&self, heartbeat: Heartbeat) -> bool {
         let said_by = Heartbeat {
             born_ms: self.born_ms,
@@ -113,27 +114,27 @@
 }
 
 impl EngineNotices {
-    /// Whether there are none.
+    /// Whether no engine has a notice.
     pub fn is_empty(&self) -> bool {
         self.notices.is_empty()
     }
 
-    /// Engines that have some.
+    /// Number of engines that have notices.
     pub fn len(&self) -> usize {
         self.notices.len()
     }
 
-    /// The engines that have some.
+    /// The engines that have notices.
     pub(crate) fn engines(&self) -> impl Iterator<Item = EngineTag> + '_ {
         self.notices.keys().copied()
     }
 
-    /// The notice of the engine in the life of this heartbeat that it leaves.
+    /// The engine's notice of leaving that applies to the life of this heartbeat.
     pub fn leaving(&self, engine: EngineTag, heartbeat: Heartbeat) -> Option<LeavingNotice> {
         self.of(engine, heartbeat)?.leaving
     }
 
-    /// The backoff that the engine in the life of this heartbeat asked for, while it lasts.
+    /// The backoff that applies to the life of this heartbeat, if it is still in effect.
     pub fn backoff(&self, engine: EngineTag, heartbeat: Heartbeat, now: Millis) -> Option<Backoff> {
         let backoff = self.of(engine, heartbeat)?.backoff?;
         (now < backoff.resumes_at).then_some(backoff)
@@ -144,7 +145,8 @@
         notice.holds_for(heartbeat).then_some(notice)
     }
 
-    /// The engine said in an answer to this node that it leaves; tells whether that is news.
+    /// Records that the engine announced in an answer to this node that it leaves; returns
+    /// whether that is new.
     pub fn note_leaving(&mut self, life: EngineLife, now: Millis) -> bool {
         let notice = LeavingNotice {
             since: now,
@@ -154,7 +156,7 @@
         self.take_leaving(life, notice, now)
     }
 
-    /// Takes in that an engine leaves; tells whether that is news.
+    /// Records a notice of leaving; returns whether it is new.
     fn take_leaving(&mut self, life: EngineLife, notice: LeavingNotice, now: Millis) -> bool {
         let Some(known) = self.entry(life, now) else {
             return false;
@@ -170,9 +172,9 @@
         false
     }
 
-    /// The engine turned a request of this node away and asked it to back off for so long.
-    /// The latest end counts. `draw`, a random number, places the node among those that come
-    /// back.
+    /// The engine rejected a request of this node and asked it to back off for `duration_ms`.
+    /// Of several backoffs the latest end counts. `draw` is a random number that determines
+    /// this node's resumption time within the ramp.
     pub fn note_backoff(&mut self, life: EngineLife, duration_ms: u64, draw: u64, now: Millis) {
         let duration_ms = duration_ms.min(LONGEST_BACKOFF_MS);
         let until = now.plus(duration_ms);
@@ -191,8 +193,8 @@
         });
     }
 
-    /// What this life said; begun anew when it is a later one than was known. Nothing for an
-    /// earlier life, and when too many engines have notices.
+    /// The entry for this life; replaced by an empty one when the life is later than the
+    /// known one. `None` for an earlier life, and when too many engines have notices.
     fn entry(&mut self, life: EngineLife, now: Millis) -> Option<&mut Notice> {
         let is_full = self.notices.len() >= MAX_NOTICES;
         let begun = Notice::begin(life.born_ms, now);
@@ -220,7 +222,7 @@
         Some(known)
     }
 
-    /// Forgets what does not hold any more. `heartbeat_of` tells the last heartbeat of an
+    /// Removes notices that no longer apply. `heartbeat_of` returns the last heartbeat of an
     /// engine that is in the catalogue.
     pub fn expire(&mut self, heartbeat_of: impl Fn(EngineTag) -> Option<Heartbeat>, now: Millis) {
         self.notices.retain(|engine, notice| {
--- a/crates/balancing/src/engine_rate_limits.rs
+++ b/crates/balancing/src/engine_rate_limits.rs
@@ -1,37 +1,39 @@
-//! Which engines that advertise a rate limit have state for another request, as far as this
-//! node knows: whoever counts for the fleet told it when it asked last.
+//! Token availability at engines that advertise a rate limit, as this node last learned it
+//! from the holder of the engine's limit, which counts tokens for the whole fleet.
 
 use crate::names::EngineTag;
 use ploverlift_policy::ids::Millis;
 use std::collections::HashMap;
 
-/// Tokens that an engine's bucket holds at most.
+/// Capacity of an engine's token bucket.
 const BURST_TOKENS: f64 = 2.0;
-/// Rate below which an engine is asked now and then whether its limit still holds, in
-/// requests a second: an engine that gets nothing says nothing.
+/// Minimum granted rate, in requests per second. An engine with a lower limit still receives
+/// occasional requests that show whether the limit still applies: without requests there
+/// are no answers that advertise a change.
 const LOWEST_PER_SECOND: f64 = 1.0;
-/// Tokens beyond which none is scarce: a full bucket wastes what comes next.
+/// Number of tokens above which tokens are not scarce: a full bucket would lose the next one.
 const NOT_SCARCE_TOKENS: f64 = 1.5;
-/// Cost of the last token of an engine, in milliseconds: it falls to nothing as the bucket
-/// fills, so a token goes to whom it saves this much, or else to anyone.
+/// Cost of an engine's last token, in milliseconds. The cost falls to zero as the bucket
+/// fills, so that a scarce token goes to a request that saves at least as much by it, and
+/// a plentiful one to any request.
 const SCARCITY_MS: f64 = 120.0;
-/// Longest time for which an engine is taken to have no token without asking, in
+/// Maximum time for which an engine is assumed to have no token without requesting one, in
 /// milliseconds.
 const MAX_ASSUMED_EMPTY_MS: f64 = 1_000.0;
-/// Milliseconds in a second, as a factor of rates.
+/// Milliseconds per second, for conversions of rates.
 const MS_PER_SECOND: f64 = 1_000.0;
 
-/// What is granted under a limit.
+/// The rate and burst that are granted under a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GrantedRate {
-    /// Requests a second.
+    /// Rate in requests per second.
     pub per_second: f64,
-    /// Tokens that the bucket holds at most.
+    /// Capacity of the bucket in tokens.
     pub burst: f64,
 }
 
 impl GrantedRate {
-    /// What is granted under this limit, in requests a second. At a limit of zero the bucket
+    /// The rate granted under `limit`, in requests per second. At a limit of zero the bucket
     /// holds one token: five requests in four seconds, and never two at once.
     pub fn under(limit: f64) -> Self {
         Self {
@@ -44,38 +46,38 @@
     }
 }
 
-/// What is known of the state at one engine.
+/// The known state of one engine's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct RateLimitState {
     rate: GrantedRate,
-    /// Tokens that were left at `known_at`.
+    /// Tokens that were left in the bucket at `known_at`.
     tokens: f64,
     known_at: Millis,
-    /// Before this moment it is not asked for.
+    /// The engine is not chosen before this time.
     not_before: Millis,
-    /// Whether the limit has ended: the entry is kept until `not_before`.
+    /// Whether the limit was lifted; the entry is then kept until `not_before`.
     is_lifted: bool,
 }
 
-/// The state at all engines that advertise a limit, or did so a moment ago.
+/// The rate limits of all engines that advertise one, or did so until recently.
 #[derive(Clone, Debug, Default)]
 pub struct EngineRateLimits {
     states: HashMap<EngineTag, RateLimitState>,
 }
 
 impl EngineRateLimits {
-    /// Engines that are listed here.
+    /// Number of engines with an entry.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// Whether no engine has a limit.
+    /// Whether no engine has an entry.
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
 
-    /// An engine advertises this rate, in requests a second; 0 is a rate. What was known of
-    /// its tokens does not hold any more.
+    /// Sets the limit that an engine advertises, in requests per second; 0 is a valid limit.
+    /// Discards the known number of tokens.
     pub fn limit(&mut self, engine: EngineTag, limit: f64, now: Millis) {
         let state = RateLimitState {
             rate: GrantedRate::under(limit),
@@ -87,7 +89,7 @@
         self.states.insert(engine, state);
     }
 
-    /// So many tokens are left at an engine, and it is not asked for before then.
+    /// Records the tokens that are left at an engine, which is not chosen before `not_before`.
     pub fn note_tokens(&mut self, engine: EngineTag, tokens: f64, not_before: Millis, now: Millis) {
         if let Some(state) = self.states.get_mut(&engine) {
             state.tokens = tokens;
@@ -96,7 +98,7 @@
         }
     }
 
-    /// A token of an engine is used: it is not asked for before the next one has come.
+    /// A token of an engine was used: the engine is not chosen before the next one is due.
     pub fn note_spent(&mut self, engine: EngineTag, now: Millis) {
         if let Some(state) = self
             .states
@@ -110,14 +112,14 @@
         }
     }
 
-    /// An engine is not asked for before then.
+    /// The engine is not chosen before `not_before`.
     pub fn back_off(&mut self, engine: EngineTag, not_before: Millis) {
         if let Some(state) = self.states.get_mut(&engine) {
             state.not_before = state.not_before.max(not_before);
         }
     }
 
-    /// An engine has no limit any more, and is sent to from then on.
+    /// An engine's limit was lifted; the engine may be chosen from `from` on.
     pub fn lift(&mut self, engine: EngineTag, from: Millis, now: Millis) {
         if let Some(state) = self.states.get_mut(&engine) {
             state.is_lifted = true;
@@ -139,7 +141,7 @@
         state.is_none_or(|state| state.not_before <= now)
     }
 
-    /// Cost of taking a token of the engine from those who gain more there, in
+    /// Cost of using a token of the engine that other requests may gain more from, in
     /// milliseconds.
     pub fn scarcity_ms(&self, engine: EngineTag, now: Millis) -> f64 {
         let state = self.states.get(&engine);
--- a/crates/balancing/src/heartbeat.rs
+++ b/crates/balancing/src/heartbeat.rs
@@ -1,28 +1,28 @@
 //! The order of an engine's heartbeats.
 
-/// The heartbeat that wrote a record. Heartbeats may arrive late and in another order than
-/// they were sent, so the store's revision does not tell which of two is the newer one.
+/// The heartbeat that wrote a record. Heartbeats may arrive late and out of order, so the
+/// store's revision does not show which of two heartbeats is the newer one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// When this life of the engine began, in Unix milliseconds; 0 where it does not tell.
-    /// An engine that starts again under its name has a later one.
+    /// Start of the engine's current life, in Unix milliseconds; 0 when the engine does not
+    /// report it. An engine that restarts under the same name has a later one.
     pub born_ms: u64,
-    /// Its number in this life; 0 where the engine does not tell.
+    /// Sequence number within this life; 0 when the engine does not report it.
     pub sequence: u64,
 }
 
 impl Heartbeat {
-    /// Whether it is from an earlier life than the other one.
+    /// Whether this heartbeat is from an earlier life than `other`.
     pub(crate) fn is_of_earlier_start(self, other: Self) -> bool {
         self.born_ms != 0 && self.born_ms < other.born_ms
     }
 
-    /// Whether it is from a later life than the other one.
+    /// Whether this heartbeat is from a later life than `other`.
     pub fn is_of_later_start(self, other: Self) -> bool {
         other.is_of_earlier_start(self)
     }
 
-    /// Whether the same life said the other one later.
+    /// Whether `other` is a later heartbeat of the same life.
     pub(crate) fn precedes(self, other: Self) -> bool {
         self.born_ms == other.born_ms && self.sequence != 0 && self.sequence < other.sequence
     }
--- a/crates/balancing/src/named_nodes.rs
+++ b/crates/balancing/src/named_nodes.rs
@@ -1,19 +1,20 @@
-//! The nodes that relays named lately.
+//! The nodes that relays listed recently.
 //!
-//! A relay that has just begun names few nodes, one that is gone names none, and
-//! neither shows that the others left. So a node counts until nobody has named it for
-//! a while.
+//! A relay that has just started lists few nodes, and one that is gone lists none; neither
+//! shows that the other nodes have left. A node therefore counts until no relay has listed
+//! it for `KEPT_MS`.
 
 use crate::names::{PeerId, ZoneTag};
 use ploverlift_policy::ids::Millis;
 use std::collections::HashMap;
 
-/// Time for which a node counts after a relay named it last, in milliseconds: other
-/// relays are in place 1 s after the former ones, and name all nodes within 1 s more. A
-/// node that left costs its engines one follower of four for so long.
+/// Time for which a node counts after a relay last listed it, in milliseconds. New relays
+/// are in place 1 s after the former ones have gone, and list all nodes within 1 s more.
+/// For this time, a node that has left costs its engines one of their four followers.
 const KEPT_MS: u64 = 5_000;
 
-/// Nodes of the own zone, and the zones that have any, each with when it was named last.
+/// Nodes of the own zone and zones that have any node, each with the time at which it was
+/// last listed.
 #[derive(Clone, Debug, Default)]
 pub struct NamedNodes {
     members: HashMap<PeerId, Millis>,
@@ -21,7 +22,7 @@
 }
 
 impl NamedNodes {
-    /// A relay names nodes of the own zone, and the zones that have any.
+    /// Records the nodes of the own zone and the zones with nodes that a relay has listed.
     pub fn note_named(&mut self, members: &[PeerId], zones: &[ZoneTag], now: Millis) {
         self.expire(now);
         let members = members.iter().map(|member| (*member, now));
@@ -30,7 +31,7 @@
         self.zones.extend(zones);
     }
 
-    /// Forgets those that nobody has named lately.
+    /// Removes the nodes and zones that no relay has listed recently.
     pub fn expire(&mut self, now: Millis) {
         self.members.retain(|_, named_at| is_kept(*named_at, now));
         self.zones.retain(|_, named_at| is_kept(*named_at, now));
@@ -41,7 +42,7 @@
         self.members.len()
     }
 
-    /// Nodes of the own zone; none when no relay has named any lately.
+    /// Nodes of the own zone; empty when no relay has listed any recently.
     pub fn members(&self, now: Millis) -> impl Iterator<Item = PeerId> + '_ {
         let members = self.members.iter();
         let kept = members.filter(move |(_, named_at)| is_kept(**named_at, now));
--- a/crates/balancing/src/peer_loads.rs
+++ b/crates/balancing/src/peer_loads.rs
@@ -1,10 +1,10 @@
-//! What the other nodes have at the engines, as their reports tell.
+//! The load that other nodes put on the engines, according to their reports.
 //!
-//! Each node knows its own requests only, and a prompt in front of a request
-//! delays it whoever sent it. So nodes tell each other their loads. Reports are
-//! advice: one that is lost, late or never sent costs a worse choice and nothing
-//! else, so they go without answers and without retries; a full report every so
-//! often repairs what was lost.
+//! Each node knows its own requests only, but a request is delayed by every prompt that
+//! is queued before it, whichever node sent that. Nodes therefore report their loads to
+//! each other. Reports are advisory: a report that is lost, late or never sent leads to a
+//! worse choice and nothing else. They are sent without acknowledgements and retries, and
+//! periodic full reports make up for lost ones.
 //!
 //! ```text
 //! catalogue ─▶ ReportBuilder ─▶ LoadReport ── datagram ──▶ PeerLoads ─▶ selection
@@ -21,30 +21,30 @@
 pub use crate::engine_load::EngineLoad;
 pub use crate::names::{EngineTag, ModelTag, PeerId, ZoneTag};
 
-/// Time after which a node that was not heard of no longer counts, in
-/// milliseconds.
+/// Time without a report after which a node no longer counts, in milliseconds.
 const SILENCE_MS: u64 = 1_800;
 /// Time between two full reports, in milliseconds.
 pub const FULL_REPORT_PERIOD_MS: u64 = 600;
-/// Engines in one report; those with the most load go first.
+/// Maximum number of engines in one report, those with the highest load first.
 pub const MAX_LOADS: usize = 48;
 
-/// One report on a node's loads.
+/// A report on one node's loads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// The node that reports.
+    /// The reporting node.
     pub sender: PeerId,
     /// Its zone.
     pub zone: ZoneTag,
-    /// Its life, by the time of day at its start: see [`ReportPosition`].
+    /// The sender's life, identified by the time of day at its start; see
+    /// [`ReportPosition`].
     pub life: u64,
-    /// Rises with each report of a life.
+    /// Sequence number, which rises with each report of a life.
     pub sequence: u64,
-    /// Whether engines that are not named have no load.
+    /// Whether engines that the report does not contain have no load.
     pub is_full: bool,
     /// Loads by engine.
     pub loads: Vec<(EngineTag, EngineLoad)>,
-    /// Engines that load weights by the sender's order.
+    /// Engines that load weights on the sender's request.
     pub loading: Vec<EngineTag>,
 }
 
@@ -56,19 +56,19 @@
     loading: Vec<EngineTag>,
 }
 
-/// The loads of all other nodes that were heard of lately.
+/// The loads of all other nodes with recent reports.
 #[derive(Clone, Debug, Default)]
 pub struct PeerLoads {
     peers: BTreeMap<PeerId, Peer>,
     totals: HashMap<EngineTag, EngineLoad>,
-    /// What relays tell, where there are any. It goes before what single nodes
-    /// told: they are in its sums.
+    /// Loads reported by relays, if there are any. They take precedence over the reports
+    /// of single nodes, since their sums include those nodes.
     pub relayed: RelayedLoads,
 }
 
 impl PeerLoads {
-    /// Takes in a report; tells whether it was news. Reports overtake each
-    /// other: one that is older than the last one taken in is left out.
+    /// Applies a report; returns whether it was applied. Reports may arrive out of order: one
+    /// that is older than the last one applied is ignored.
     pub fn apply(&mut self, report: &LoadReport, now: Millis) -> bool {
         let known = self.peers.get(&report.sender);
         let known = known.map(|peer| peer.position);
@@ -99,7 +99,7 @@
         true
     }
 
-    /// Forgets nodes and relays that were not heard of lately.
+    /// Removes nodes and relays without recent reports.
     pub fn expire(&mut self, now: Millis) {
         self.relayed.expire(now);
         let silent: Vec<PeerId> = self
@@ -114,14 +114,14 @@
         }
     }
 
-    /// The load of all other nodes at an engine.
+    /// The total load of all other nodes at an engine.
     pub fn at(&self, engine: EngineTag) -> EngineLoad {
         let relayed = self.relayed.at(engine);
         relayed.unwrap_or_else(|| self.totals.get(&engine).copied().unwrap_or_default())
     }
 
-    /// Age of the loads of other nodes, in milliseconds: as a relay told them, or of
-    /// the report in the middle of all that were heard. Nothing where none was.
+    /// Age of the loads of other nodes, in milliseconds: the age of the relayed loads, or
+    /// without a relay the median age of the nodes' reports. `None` without reports.
     pub fn age_ms(&self, now: Millis) -> Option<u64> {
         if self.relayed.has_relay() {
             return self.relayed.age_ms(now);
@@ -135,12 +135,12 @@
         ages.get(ages.len() / 2).copied()
     }
 
-    /// The loads of all nodes that reported to this one, by engine.
+    /// The summed loads of all nodes that reported to this one, by engine.
     pub fn totals(&self) -> impl Iterator<Item = (EngineTag, EngineLoad)> + '_ {
         self.totals.iter().map(|(engine, load)| (*engine, *load))
     }
 
-    /// The loads of the nodes of one zone that reported to this one, by engine.
+    /// The summed loads of one zone's nodes that reported to this one, by engine.
     pub fn zone_totals(&self, zone: ZoneTag) -> HashMap<EngineTag, EngineLoad> {
         let mut totals: HashMap<EngineTag, EngineLoad> = HashMap::new();
         for peer in self.peers.values().filter(|peer| peer.zone == zone) {
@@ -151,8 +151,8 @@
         totals
     }
 
-    /// Engines that load weights by the order of any node that reported to this
-    /// one and that `counts`.
+    /// Engines that load weights on request of any node that reported to this one and whose
+    /// zone `counts`.
     pub fn loading_of(&self, counts: impl Fn(ZoneTag) -> bool) -> Vec<EngineTag> {
         let peers = self.peers.values().filter(|peer| counts(peer.zone));
         let mut loading: Vec<EngineTag> = peers.flat_map(|peer| peer.loading.clone()).collect();
@@ -161,24 +161,25 @@
         loading
     }
 
-    /// Whether another node has the engine load weights.
+    /// Whether the engine loads weights on another node's request.
     pub fn is_loading(&self, engine: EngineTag) -> bool {
         let mut peers = self.peers.values();
         self.relayed.is_loading(engine) || peers.any(|peer| peer.loading.contains(&engine))
     }
 
-    /// The place of a node in the order of all nodes that were heard of lately;
-    /// nodes that hear of each other agree on it.
+    /// The rank of a node among all nodes with recent reports, by their IDs. Nodes that
+    /// receive each other's reports agree on it.
     pub fn rank(&self, own: PeerId) -> usize {
         self.peers.range(..own).count()
     }
 
-    /// The nodes that were heard of lately, and their zones.
+    /// The nodes with recent reports, and their zones.
     pub fn peers(&self) -> impl Iterator<Item = (PeerId, ZoneTag)> + '_ {
         self.peers.iter().map(|(id, peer)| (*id, peer.zone))
     }
 
-    /// Nodes that were heard of lately, by their own reports or a relay's.
+    /// Number of nodes with recent reports of their own, or as reported by relays; the higher
+    /// of both.
     pub fn peer_count(&self) -> usize {
         self.peers.len().max(self.relayed.member_count())
     }
@@ -195,8 +196,7 @@
     }
 }
 
-/// Makes the reports of this node: what has changed, and everything every so
-/// often.
+/// Builds the reports of this node: changed loads each time, and all loads periodically.
 #[derive(Clone, Debug)]
 pub struct ReportBuilder {
     sender: PeerId,
@@ -208,7 +208,7 @@
 }
 
 impl ReportBuilder {
-    /// Reports of a node's life.
+    /// Creates a builder for the reports of one life of a node.
     pub fn new(sender: PeerId, zone: ZoneTag, life: u64) -> Self {
         Self {
             sender,
@@ -220,9 +220,9 @@
         }
     }
 
-    /// The next report; nothing when there is no news. `has_other_news` says that
-    /// the report is to carry something besides loads. `sequence` rises with all
-    /// reports of this life, also of other builders.
+    /// The next report; `None` when there is nothing to report. `has_other_news` is true when
+    /// the report has to carry data besides loads. `sequence` must rise with all reports of
+    /// this life, including those of other builders.
     pub fn next(
         &mut self,
         sequence: u64,
@@ -262,7 +262,7 @@
     }
 }
 
-/// This node's own requests by engine.
+/// This node's own load by engine.
 pub fn present_loads(catalogue: &EngineCatalogue) -> HashMap<EngineTag, EngineLoad> {
     let engines = catalogue.iter().filter(|engine| engine.in_flight > 0);
     let loads = engines.map(|engine| {
--- a/crates/balancing/src/prefix_holders.rs
+++ b/crates/balancing/src/prefix_holders.rs
@@ -1,71 +1,71 @@
-//! Where parts of prompts were read, as the nodes tell each other.
+//! Which engines hold which parts of prompts in their prefix caches.
 //!
-//! Known from the traffic of this node and, by their reports, of the others. An
-//! engine may have dropped a part meanwhile; a node that follows the engine's
-//! events tells the others. Relying on a dropped part costs a look-up there and
-//! reading the prompt. It can never give a wrong answer, because a part's key
-//! spells out the weights and the scope of the cache.
+//! Known from this node's traffic and from other nodes' reports of theirs. An engine may
+//! have evicted a part since; a node that follows the engine's cache events reports this
+//! to the others. Relying on an evicted part costs a look-up at the engine and the
+//! processing of the prompt. It can never give a wrong answer, because the key of a part
+//! includes the weights and the scope of the cache.
 
 use crate::names::EngineTag;
 use ploverlift_policy::ids::Millis;
 use ploverlift_routing::prompt::PartKey;
 use std::collections::{HashMap, VecDeque};
 
-/// Time for which an engine counts as a holder, in milliseconds.
-const HELD_MS: u64 = 15_000;
-/// Time after which a holder that is still used is reported again, in
+/// Time after the last use for which an engine counts as a holder of a part, in
 /// milliseconds.
+const HELD_MS: u64 = 15_000;
+/// Time after which a holder that is still in use is reported again, in milliseconds.
 const REPORT_AGAIN_MS: u64 = 5_000;
-/// Time after which a relay passes on a holder again that a node reported again,
-/// in milliseconds. Shorter than the nodes' own period, so that each of their
-/// reports passes once.
+/// Time after which a relay forwards a repeated report of a holder, in milliseconds. It is
+/// shorter than the period in which nodes repeat reports, so that each repetition is
+/// forwarded once.
 const RELAY_AGAIN_MS: u64 = REPORT_AGAIN_MS / 2;
-/// Engines that are remembered for each part: the latest ones. A part with which
-/// many prompts begin is kept by most engines.
+/// Maximum number of engines that are remembered for each part, the latest ones. A part
+/// that many prompts begin with is held by most engines.
 const MAX_HOLDERS: usize = 128;
-/// Parts that are remembered.
+/// Maximum number of parts that are remembered.
 const MAX_PARTS: usize = 20_000;
-/// Changes that can be reported: the latest ones.
+/// Maximum number of changes that are kept for reports, the latest ones.
 const MAX_CHANGES: usize = 256;
-/// Time that an engine's events lag behind, in milliseconds: a part that was read
-/// again within it was not dropped since.
+/// Delay of an engine's cache events, in milliseconds: an eviction event does not concern
+/// a part that was used again within this time.
 const EVENT_LAG_MS: u64 = 80;
-/// Time between two sweeps, in milliseconds.
+/// Time between two removals of expired holders, in milliseconds.
 const SWEEP_PERIOD_MS: u64 = 5_000;
 
-/// An engine that keeps a part.
+/// An engine that holds a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Holder {
     engine: EngineTag,
     used_at: Millis,
 }
 
-/// What an engine does with a part.
+/// A change of an engine's cache: it now holds a part or has evicted it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Placement {
     /// The part.
     pub part: PartKey,
     /// The engine.
     pub engine: EngineTag,
-    /// Whether it has read the part, or else has dropped it.
+    /// True when the engine has read the part, false when it has evicted it.
     pub is_kept: bool,
 }
 
-/// What a placement that another node told changes.
+/// The change that another node's placement report makes to the known holders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementChange {
-    /// Nothing.
+    /// No change.
     Known,
-    /// The engine keeps the part, as so many do with it.
+    /// The engine holds the part.
     Kept {
-        /// Engines that keep the part.
+        /// Number of engines that hold the part, including this one.
         holders: usize,
     },
-    /// The engine no longer keeps it.
+    /// The engine no longer holds the part.
     Dropped,
 }
 
-/// Holders by part.
+/// The known holders by part, and the changes to report to other nodes.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixHolders {
     holders: HashMap<PartKey, Vec<Holder>>,
@@ -75,7 +75,7 @@
 }
 
 impl PrefixHolders {
-    /// An engine has read these parts for this node.
+    /// Records that an engine has read these parts for a request of this node.
     pub fn note_own(&mut self, parts: &[PartKey], engine: EngineTag, now: Millis) {
         for part in parts {
             let before = self.note_read(*part, engine, now);
@@ -90,8 +90,9 @@
         }
     }
 
-    /// An engine whose events this node follows has dropped these parts. With
-    /// `tells` the other nodes hear of those that any request has used.
+    /// Records that an engine whose cache events this node follows has evicted these parts.
+    /// With `is_reported`, evictions of parts that any request has used are reported to the
+    /// other nodes.
     pub fn note_dropped(
         &mut self,
         parts: &[PartKey],
@@ -110,14 +111,14 @@
         }
     }
 
-    /// The engine has started again: it keeps nothing.
+    /// Removes an engine as a holder of all parts, because it has restarted.
     pub fn forget_engine(&mut self, engine: EngineTag) {
         for holders in self.holders.values_mut() {
             holders.retain(|holder| holder.engine != engine);
         }
     }
 
-    /// Takes in what another node tells; says what that changes.
+    /// Applies a placement that another node reported; returns the change that it makes.
     pub fn note(&mut self, placement: Placement, now: Millis) -> PlacementChange {
         if !placement.is_kept {
             return match self.forget(placement.part, placement.engine, now) {
@@ -134,14 +135,14 @@
         }
     }
 
-    /// Engines that are taken to keep a part, those that kept it first in front.
+    /// Engines that are assumed to hold a part, in the order in which they became holders.
     pub fn holders_of(&self, part: PartKey, now: Millis) -> impl Iterator<Item = EngineTag> + '_ {
         let holders = self.holders.get(&part).into_iter().flatten();
         let live = holders.filter(move |holder| now.since(holder.used_at) < HELD_MS);
         live.map(|holder| holder.engine)
     }
 
-    /// An engine has read a part; tells when it was last known to have.
+    /// Records that an engine has read a part; returns the previous time of use, if known.
     fn note_read(&mut self, part: PartKey, engine: EngineTag, now: Millis) -> Option<Millis> {
         self.sweep(now);
         let holders = self.holders.entry(part).or_default();
@@ -159,7 +160,7 @@
         None
     }
 
-    /// An engine has dropped a part; tells whether it was taken to keep it.
+    /// Records that an engine has evicted a part; returns whether it was a holder until now.
     fn forget(&mut self, part: PartKey, engine: EngineTag, now: Millis) -> bool {
         let Some(holders) = self.holders.get_mut(&part) else {
             return false;
@@ -178,16 +179,16 @@
         }
     }
 
-    /// Time since an engine last used a part, in milliseconds; nothing when it is
-    /// not taken to keep it any longer.
+    /// Time since an engine last used a part, in milliseconds; `None` when it no longer
+    /// counts as a holder.
     pub fn age_ms(&self, part: PartKey, engine: EngineTag, now: Millis) -> Option<u64> {
         let mut holders = self.holders.get(&part)?.iter();
         let holder = holders.find(|holder| holder.engine == engine)?;
         Some(now.since(holder.used_at)).filter(|age_ms| *age_ms < HELD_MS)
     }
 
-    /// Changes that this node tells after a position, at most so many, and the
-    /// position after them. The first position is 0.
+    /// Changes to report that follow a position, at most `limit`, and the position after
+    /// them. The first position is 0.
     pub fn changes_after(&self, position: u64, limit: usize) -> (Vec<Placement>, u64) {
         let first = position.max(self.changes_dropped);
         let skipped = (first - self.changes_dropped) as usize;
@@ -202,7 +203,7 @@
         (changes, next)
     }
 
-    /// Parts that are remembered.
+    /// Number of parts that are remembered.
     pub fn len(&self) -> usize {
         self.holders.len()
     }
--- a/crates/balancing/src/relayed_loads.rs
+++ b/crates/balancing/src/relayed_loads.rs
@@ -1,9 +1,9 @@
-//! Loads of the whole fleet as relays report them to the nodes of their zone.
+//! Loads of the whole fleet, as relays report them to the nodes of their zone.
 //!
-//! A mesh of reports costs the square of the number of nodes, so in large fleets
-//! each node reports to the relays of its zone, and those report sums. A sum
-//! contains the receiver's own requests as of one of its reports; the receiver
-//! remembers what it reported and takes just that off.
+//! A full mesh of reports costs the square of the number of nodes. In large fleets each
+//! node therefore reports to the relays of its zone, which report sums. A sum includes the
+//! receiver's own requests as of one of its reports; the receiver remembers its reports
+//! and subtracts exactly the loads of that one.
 
 use crate::engine_load::EngineLoad;
 use crate::named_nodes::NamedNodes;
@@ -12,32 +12,33 @@
 use ploverlift_policy::ids::Millis;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Time after which a relay that was not heard of no longer counts, in
-/// milliseconds: eight of its report periods.
+/// Time without a report after which a relay no longer counts, in milliseconds: eight of
+/// its report periods.
 pub const RELAY_SILENCE_MS: u64 = 800;
-/// Own reports that are remembered: those of about two seconds.
+/// Maximum number of own reports that are remembered: those of about two seconds.
 const MAX_OWN_REPORTS: usize = 32;
 
-/// One report of a relay on the loads of all nodes.
+/// A relay's report on the loads of all nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayedReport {
     /// The relay.
     pub sender: PeerId,
-    /// Its life, by the time of day at its start: see [`ReportPosition`].
+    /// The relay's life, identified by the time of day at its start; see
+    /// [`ReportPosition`].
     pub life: u64,
-    /// Rises with each report of a life.
+    /// Sequence number, which rises with each report of a life.
     pub sequence: u64,
-    /// Requests of all nodes at some engines.
+    /// Loads of all nodes together at some of the engines.
     pub loads: Vec<(EngineTag, EngineLoad)>,
-    /// Engines that load weights by anybody's order.
+    /// Engines that load weights on any node's request.
     pub loading: Vec<EngineTag>,
-    /// Some nodes of the zone; nothing when this report does not tell.
+    /// Some nodes of the zone; empty when the report does not list any.
     pub members: Vec<PeerId>,
-    /// Zones that have any node; nothing when this report does not tell.
+    /// Zones that have any node; empty when the report does not list them.
     pub zones: Vec<ZoneTag>,
 }
 
-/// What this node told relays in one report.
+/// One of this node's reports to its relays.
 #[derive(Clone, Debug)]
 struct OwnReport {
     sequence: u64,
@@ -50,22 +51,22 @@
     position: ReportPosition,
     totals: HashMap<EngineTag, EngineLoad>,
     own_included: HashMap<EngineTag, EngineLoad>,
-    /// When this node sent the report that the sums contain.
+    /// The time at which this node sent the report that the sums include.
     included_sent_at: Option<Millis>,
     loading: Vec<EngineTag>,
 }
 
-/// The tables of all relays that were heard of lately.
+/// The loads reported by all relays with recent reports.
 #[derive(Clone, Debug, Default)]
 pub struct RelayedLoads {
     relays: BTreeMap<PeerId, Relay>,
     own_reports: VecDeque<OwnReport>,
-    /// The nodes that relays named lately, silent relays too.
+    /// The nodes that relays listed recently, including relays that are silent by now.
     pub named_nodes: NamedNodes,
 }
 
 impl RelayedLoads {
-    /// This node is about to report these loads of its own to relays.
+    /// Remembers a report of this node's own loads that is about to be sent to relays.
     pub fn note_own_report(
         &mut self,
         sequence: u64,
@@ -82,8 +83,8 @@
         });
     }
 
-    /// When this node sent the report with this number; nothing when that is
-    /// longer ago than is remembered.
+    /// The time at which this node sent the report with this sequence number; `None` when
+    /// the report is no longer remembered.
     pub fn own_report_sent_at(&self, sequence: u64) -> Option<Millis> {
         self.own_report(sequence).map(|report| report.sent_at)
     }
@@ -93,8 +94,8 @@
         reports.find(|report| report.sequence == sequence)
     }
 
-    /// Takes in a report whose sums contain this node's report with the number
-    /// `included`; tells whether it was not overtaken by a newer one.
+    /// Applies a report whose sums include this node's report with the sequence number
+    /// `included`; returns false when a newer report has overtaken it.
     pub fn apply(&mut self, report: &RelayedReport, included: Option<u64>, now: Millis) -> bool {
         let own = included.and_then(|sequence| self.own_report(sequence));
         let included_sent_at = own.map(|report| report.sent_at);
@@ -133,20 +134,20 @@
         true
     }
 
-    /// Forgets relays that were not heard of lately.
+    /// Removes relays without recent reports.
     pub fn expire(&mut self, now: Millis) {
         self.relays
             .retain(|_, relay| now.since(relay.position.heard_at()) < RELAY_SILENCE_MS);
         self.named_nodes.expire(now);
     }
 
-    /// Whether any relay was heard of lately.
+    /// Whether there is a relay with a recent report.
     pub fn has_relay(&self) -> bool {
         !self.relays.is_empty()
     }
 
-    /// The load of all other nodes at an engine, as the relay tells that was heard
-    /// of last; nothing when none is heard.
+    /// The load of all other nodes at an engine, according to the relay with the most recent
+    /// report; `None` when there is no such relay.
     pub fn at(&self, engine: EngineTag) -> Option<EngineLoad> {
         let relay = self.newest()?;
         let mut load = relay.totals.get(&engine).copied().unwrap_or_default();
@@ -156,21 +157,22 @@
         Some(load)
     }
 
-    /// Age of the loads that [`RelayedLoads::at`] tells, in milliseconds: the sums
-    /// contain what nodes reported up to about the time of this node's own report in
-    /// them. Nothing where no relay answers.
+    /// Age of the loads that [`RelayedLoads::at`] returns, in milliseconds: the sums include
+    /// the nodes' reports up to about the time of this node's own report in them. `None` when
+    /// no relay has included a report of this node.
     pub fn age_ms(&self, now: Millis) -> Option<u64> {
         let sent_at = self.newest()?.included_sent_at?;
         Some(now.since(sent_at))
     }
 
-    /// Whether any relay tells that the engine loads weights.
+    /// Whether any relay reports that the engine loads weights.
     pub fn is_loading(&self, engine: EngineTag) -> bool {
         let mut relays = self.relays.values();
         relays.any(|relay| relay.loading.contains(&engine))
     }
 
-    /// Nodes of the own zone that relays have named, while one is heard.
+    /// Number of nodes of the own zone that relays have listed; 0 without a recent report of
+    /// any relay.
     pub fn member_count(&self) -> usize {
         match self.has_relay() {
             true => self.named_nodes.member_count(),
--- a/crates/balancing/src/report_position.rs
+++ b/crates/balancing/src/report_position.rs
@@ -1,22 +1,22 @@
-//! Which of a sender's reports is the newest.
+//! Ordering of the reports of one sender.
 
 use ploverlift_policy::ids::Millis;
 use std::cmp::Ordering;
 
-/// Time after which no report of a sender's earlier life is still on its way, in
-/// milliseconds: datagrams between nodes take a few milliseconds, a queue that a full
-/// link holds up some hundred. A process that ended is back later than that.
+/// Time after which no report of a sender's earlier life is in transit any more, in
+/// milliseconds. Datagrams between nodes take a few milliseconds, or some hundred in the
+/// queue of a congested link. A restart of a process takes longer than that.
 const DELAYED_MS: u64 = 500;
 
-/// Life and number of the last report of a sender, and when it came.
+/// Life, sequence number and arrival time of the last report of a sender.
 ///
-/// Each place that hears reports of nodes, of relays or of the sums of a zone has one
-/// for each sender.
+/// Each receiver of reports of nodes, of relays or of zone sums keeps one position for each
+/// sender.
 ///
-/// A node names its life by the time of day at its start, which may be set back: a
-/// node that restarts then would not be heard for as long as its last life is
-/// remembered. So a lower life counts as an earlier one only as long as a report of
-/// that may still be on its way.
+/// A node identifies its life by the time of day at its start. If its clock is set back, the
+/// reports after a restart would be ignored for as long as its last life is remembered.
+/// Therefore a lower life counts as an earlier one only while reports of that life may still
+/// be in transit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportPosition {
     life: u64,
@@ -24,30 +24,30 @@
     heard_at: Millis,
 }
 
-/// A report that none of its sender's has overtaken.
+/// A report that no later report of its sender has overtaken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NewReport {
     /// Its position.
     pub position: ReportPosition,
-    /// Whether its sender runs in another life than at its last report.
+    /// Whether the sender's life has changed since its last report.
     pub life: LifeChange,
 }
 
-/// The life of a sender's report beside that of the last one.
+/// The life of a sender's report compared to that of its last one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifeChange {
-    /// It is the same, or the sender is heard for the first time.
+    /// The same life, or the first report of the sender.
     Same,
-    /// It is a later one.
+    /// A later life.
     Later,
-    /// It is a lower one: the sender's clock was set back, or a report of an earlier
-    /// life was held up for long.
+    /// A lower life: the sender's clock was set back, or a report of an earlier life was
+    /// delayed for a long time.
     Lower,
 }
 
 impl ReportPosition {
-    /// How a report that comes now follows the last one that was taken in from its
-    /// sender, if any; nothing where it was overtaken.
+    /// The position of a report that arrives at `now`, compared to the sender's last applied
+    /// report, if any; `None` when the report was overtaken.
     pub fn follow(known: Option<Self>, life: u64, sequence: u64, now: Millis) -> Option<NewReport> {
         if known.is_some_and(|known| known.overtakes(life, sequence, now)) {
             return None;
@@ -67,13 +67,13 @@
         })
     }
 
-    /// When the report came.
+    /// The time at which the report arrived.
     pub fn heard_at(&self) -> Millis {
         self.heard_at
     }
 
-    /// Whether this report was sent after one that comes now, or is the same. Of a
-    /// lower life that is so for half a second only.
+    /// Whether this report was sent after the one that arrives at `now`, or is the same one.
+    /// A report of a lower life counts as overtaken for [`DELAYED_MS`] only.
     fn overtakes(&self, life: u64, sequence: u64, now: Millis) -> bool {
         if life < self.life {
             return now.since(self.heard_at) < DELAYED_MS;
--- a/crates/balancing/src/weights.rs
+++ b/crates/balancing/src/weights.rs
@@ -1,58 +1,58 @@
 //! Which versions of a model's weights a request may begin on.
 //!
-//! A newer version must be in use everywhere within a bound that runs from its
-//! acknowledgement by the store, whether or not this node has heard of it. So what counts
-//! is a proof with an age: a version was the newest when a call was sent whose answer
-//! told no newer one. Whatever replaced it was acknowledged after that moment. For the
-//! length of the bound from then on, less the time that a request may wait at an engine,
-//! requests may begin on the version, and nothing that happens to this node makes that
-//! longer. Proofs of other nodes count as much as its own ([`WeightsNews`]).
+//! A newer version must be in use everywhere within a bound that starts with its
+//! acknowledgement by the store, whether or not this node has learned of it. The decision
+//! therefore rests on proofs with an age: a version was the newest when a store call was
+//! sent whose answer contained no newer one, so any successor was acknowledged after that
+//! moment. From then on requests may begin on the version for the length of the bound,
+//! less the time that a request may wait at an engine. No event on this node extends that
+//! time. Proofs of other nodes count as much as its own ([`WeightsNews`]).
 
 use ploverlift_policy::ids::Millis;
 use std::collections::BTreeMap;
 
-/// How the bound on old weights is kept.
+/// Time limits for requests on old weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WeightsBounds {
-    /// Time from the last proof that a version was the newest for which requests may
-    /// begin on it, in milliseconds.
+    /// Time for which requests may begin on a version after the last proof that it was the
+    /// newest, in milliseconds.
     pub avoid_after_ms: u64,
-    /// Time from the first proof of all for which requests may begin on weights from
-    /// before it, in milliseconds: how long ago they were replaced is not known.
+    /// Time for which requests may begin on older weights after the very first proof, in
+    /// milliseconds: how long ago those were replaced is not known.
     pub avoid_after_start_ms: u64,
 }
 
-/// A version that a node tells others.
+/// A version of a model's weights that a node reports to others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReportedVersion {
     /// The model.
     pub model: String,
     /// The version.
     pub version: u64,
-    /// Time since the node learned of it, in milliseconds; nothing for one that it only
-    /// has a proof of.
+    /// Time since the node learned of the version, in milliseconds; `None` when it only has
+    /// a proof of it.
     pub named_age_ms: Option<u64>,
-    /// Age of the last proof that it was the newest, in milliseconds; nothing when it
-    /// was named and not proven yet.
+    /// Age of the last proof that the version was the newest, in milliseconds; `None` when
+    /// it is known but not proven yet.
     pub proof_age_ms: Option<u64>,
 }
 
-/// What a node tells others of the newest weights.
+/// A node's report on the newest weights.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WeightsNews {
     /// Versions on which requests may begin, and the newest of each model.
     pub versions: Vec<ReportedVersion>,
     /// Age of the last proof, in milliseconds.
     pub proof_age_ms: Option<u64>,
-    /// Age of the last proof of which models have a version at all, in milliseconds. It
-    /// is told only beside all of them.
+    /// Age of the last proof of which models have a version at all, in milliseconds. Set
+    /// only when the report contains all models.
     pub all_models_age_ms: Option<u64>,
-    /// Age of the first proof of all, in milliseconds.
+    /// Age of the very first proof, in milliseconds.
     pub known_for_ms: Option<u64>,
 }
 
 impl WeightsNews {
-    /// The same in parts of at most so many versions each.
+    /// Splits the report into parts of at most `most` versions each.
     pub fn parts(self, most: usize) -> Vec<WeightsNews> {
         if self.versions.len() <= most {
             return vec![self];
@@ -67,28 +67,30 @@
     }
 }
 
-/// A version and when it was known at the latest, to this node or to one that told it.
+/// A version and the latest time by which this node, or the node that reported it, knew of
+/// it.
 #[derive(Clone, Copy, Debug)]
 struct Named {
     version: u64,
     heard_at: Millis,
 }
 
-/// A version was the newest when a call was sent.
+/// Proof that a version was the newest at the time when a store call was sent.
 #[derive(Clone, Copy, Debug)]
 struct NewestProof {
     version: u64,
     at: Millis,
 }
 
-/// One model; both lists rise, the proofs in version and time.
+/// The versions and proofs of one model. Both lists are in ascending order of versions; the
+/// proofs ascend in time too.
 #[derive(Clone, Debug, Default)]
 struct ModelWeights {
     named: Vec<Named>,
     proofs: Vec<NewestProof>,
 }
 
-/// The versions that were named for each model, and the proofs of what was the newest.
+/// The known versions of each model, and the proofs of which one was the newest.
 #[derive(Clone, Debug, Default)]
 pub struct NamedWeights {
     by_model: BTreeMap<String, ModelWeights>,
@@ -99,27 +101,28 @@
     known_since: Option<Millis>,
 }
 
-/// What a call of the store told of the newest versions.
+/// The newest versions as listed by a store call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedVersions<'a> {
     /// The newest version of each model.
     pub versions: Vec<(&'a str, u64)>,
-    /// Whether these are all models that have one: nothing was unreadable.
+    /// Whether the list contains every model that has a version: no entry was unreadable.
     pub is_complete: bool,
 }
 
-/// Versions that are remembered for each model.
+/// Maximum number of versions that are remembered for each model.
 const MAX_REMEMBERED: usize = 16;
-/// Versions of a model that others are told, the highest ones. Who is not told of a lower
-/// one avoids it earlier.
+/// Maximum number of versions that are reported for each model, the highest ones. A node
+/// that does not receive a lower version stops using it earlier.
 const MAX_REPORTED_PER_MODEL: usize = 4;
 
 impl NamedWeights {
-    /// A version was named. Lower and repeated ones change nothing.
+    /// Records a version of a model's weights; returns whether it is higher than all known
+    /// ones. Repeated versions are not recorded twice.
     pub fn note_version(&mut self, model: &str, version: u64, now: Millis) -> bool {
         let proven_at = self.all_models_at;
         let weights = self.by_model.entry(model.to_owned()).or_insert_with(|| {
-            // Until its first version came, the model had none.
+            // Before its first version the model provably had none.
             let proofs = proven_at.map(|at| NewestProof { version: 0, at });
             ModelWeights {
                 proofs: proofs.into_iter().collect(),
@@ -129,7 +132,7 @@
         weights.note_version(version, now)
     }
 
-    /// A call that was sent at `sent` told the newest versions.
+    /// Records the newest versions that a store call sent at `sent` has listed.
     pub fn note_listed(&mut self, listed: &ListedVersions<'_>, sent: Millis, now: Millis) {
         for (model, version) in &listed.versions {
             self.note_version(model, *version, now);
@@ -143,7 +146,7 @@
         }
         if listed.is_complete {
             let is_listed = |model: &str| listed.versions.iter().any(|(name, _)| *name == model);
-            // The version of a model was taken back: none replaces the one that it had.
+            // The version of the model was withdrawn, and no newer one replaces it.
             let unlisted = self
                 .by_model
                 .iter_mut()
@@ -159,9 +162,9 @@
         self.note_proven(sent, sent);
     }
 
-    /// Takes in what another node tells. Ages count from `sent`, when this node sent the
-    /// report that the other one answers; without it they count for nothing. Tells which
-    /// versions were news.
+    /// Applies another node's report. Proof ages count back from `sent`, the time at which
+    /// this node sent the report that the other node answers; without it the proofs are
+    /// ignored. Returns the versions that are higher than the known ones.
     pub fn apply_reported(
         &mut self,
         news: &WeightsNews,
@@ -170,7 +173,8 @@
     ) -> Vec<ReportedVersion> {
         let mut named = Vec::new();
         for told in &news.versions {
-            // A report takes time: the other node learned of it then or before.
+            // Since the report took time to arrive, the other node learned of the version at
+            // this time or earlier.
             let named_at = now.before(told.named_age_ms.unwrap_or(0));
             if self.note_version(&told.model, told.version, named_at) {
                 named.push(told.clone());
@@ -194,7 +198,8 @@
         named
     }
 
-    /// What to tell other nodes; proofs that are older than the bound help nobody.
+    /// The report for other nodes, without proofs that are older than the bound: those are of
+    /// no use to any node.
     pub fn current_report(&self, bounds: &WeightsBounds, now: Millis) -> WeightsNews {
         let models = self.by_model.iter();
         let versions =
@@ -207,12 +212,12 @@
         }
     }
 
-    /// Whether it was ever proven, to this node or by another one, which are the newest.
+    /// Whether this node ever had a proof of the newest versions, its own or another node's.
     pub fn is_proven(&self) -> bool {
         self.proven_at.is_some()
     }
 
-    /// Time since the last proof, in milliseconds; nothing before the first.
+    /// Time since the last proof, in milliseconds; `None` before the first one.
     pub fn proof_age_ms(&self, now: Millis) -> Option<u64> {
         self.proven_at.map(|at| now.since(at))
     }
@@ -223,9 +228,10 @@
         Some((newest.version, newest.heard_at))
     }
 
-    /// When the first version above `version` was named, as far as this node can tell;
-    /// nothing when there is none. A node that learned of it over `late_ms` after the
-    /// last proof that `version` was the newest takes it to have been named by then.
+    /// The time at which the first version above `version` became known, as far as this node
+    /// can tell; `None` when there is none. When this node learned of it more than `late_ms`
+    /// after the last proof that `version` was the newest, the result is that proof's time
+    /// plus `late_ms`.
     pub fn first_newer(&self, model: &str, version: u64, late_ms: u64) -> Option<Millis> {
         let weights = self.by_model.get(model)?;
         let mut named = weights.named.iter();
@@ -238,14 +244,14 @@
         Some(heard_at.min(latest))
     }
 
-    /// Time for which requests may still begin on a version, in milliseconds.
+    /// Remaining time for which requests may begin on a version, in milliseconds.
     pub fn left_ms(&self, model: &str, version: u64, bounds: &WeightsBounds, now: Millis) -> u64 {
         let until = self.begins_until(model, version, bounds);
         until.map_or(0, |until| until.since(now))
     }
 
-    /// The lowest version on which a request may begin; nothing when it is not known
-    /// well enough which versions are in force.
+    /// The lowest version on which a request may begin; `None` when there is no recent enough
+    /// proof of which versions are in force.
     pub fn required(&self, model: &str, bounds: &WeightsBounds, now: Millis) -> Option<u64> {
         let may_begin = |version: &u64| self.left_ms(model, *version, bounds, now) > 0;
         let known = self.by_model.get(model);
@@ -265,7 +271,7 @@
         }
         let after_ms = bounds.avoid_after_start_ms.min(bounds.avoid_after_ms);
         let at_start = self.known_since?.plus(after_ms);
-        // Never longer than on a version that came later.
+        // At most as long as on any later version.
         let lowest = weights.and_then(|weights| weights.proofs.first());
         let later = lowest.map(|proof| proof.at.plus(bounds.avoid_after_ms));
         Some(later.map_or(at_start, |later| later.min(at_start)))
@@ -287,13 +293,13 @@
 impl ModelWeights {
     fn note_version(&mut self, version: u64, heard_at: Millis) -> bool {
         if version == 0 {
-            // No version was named yet.
+            // 0 stands for no version.
             return false;
         }
         let at = self.named.partition_point(|named| named.version < version);
         let next = self.named.get(at).copied();
         if next.is_none_or(|next| next.version > version) {
-            // One that was skipped was named before the ones above it.
+            // A skipped version was published before the versions above it.
             let heard_at = next.map_or(heard_at, |next| heard_at.min(next.heard_at));
             self.named.insert(at, Named { version, heard_at });
         }
@@ -304,8 +310,8 @@
         next.is_none()
     }
 
-    /// Versions rise: those up to this one were named by then, and what is below it was
-    /// not the newest any more.
+    /// Applies that the version at `index` was known by `known_at`. Versions only rise, so all
+    /// lower versions were known by then too, and were no longer the newest.
     fn note_known_by(&mut self, index: usize, known_at: Millis) {
         for named in &mut self.named[..=index] {
             named.heard_at = named.heard_at.min(known_at);
@@ -320,17 +326,17 @@
         }
     }
 
-    /// When a version, or one below it, was last proven to be the newest: nothing above
-    /// `version` had been acknowledged by then.
+    /// The time of the last proof that `version` or a lower one was the newest: no version
+    /// above `version` had been acknowledged by then.
     fn proven_at(&self, version: u64) -> Option<Millis> {
         let proofs = self.proofs.iter();
         let mut lower = proofs.rev().filter(|proof| proof.version <= version);
         lower.next().map(|proof| proof.at)
     }
 
-    /// Takes in a proof. Where a higher version was known before it, the store has lost
-    /// that one to a write that was done late: the higher one stays in force, and it is
-    /// the higher one that is proven.
+    /// Records a proof. If a higher version was known before the proof, a delayed write has
+    /// overwritten that version in the store: the higher version stays in force, and the proof
+    /// counts for it.
     fn note_proof(&mut self, proof: NewestProof) {
         let is_known_before = |named: &&Named| named.heard_at < proof.at;
         let known_before = self.named.iter().filter(is_known_before);
@@ -357,7 +363,7 @@
         {
             return;
         }
-        // Proofs of later versions that are no younger say nothing more.
+        // Proofs of later versions that are not more recent are implied by this one.
         let is_implied =
             |known: &NewestProof| known.version >= proof.version && known.at <= proof.at;
         self.proofs.retain(|known| !is_implied(known));
