--- a/crates/balancing/tests/cache_followers.rs
+++ b/crates/balancing/tests/cache_followers.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn each_engine_has_its_followers_one_of_them_the_first() {
+fn each_engine_has_four_followers_with_distinct_ranks() {
     let mut followers: HashMap<EngineTag, Vec<usize>> = HashMap::new();
     for own in 0..NODES {
         for (engine, assignment) in assigned(own) {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_small_node_follows_what_its_share_of_a_core_allows_first_followers_first() {
+fn a_small_node_limits_its_feeds_and_prefers_engines_that_it_follows_first() {
     let all = assigned(7);
     let most = max_feeds(0.12);
     let followed = within_budget(all.clone(), most);
@@ -64,16 +64,16 @@
 }
 
 #[test]
-fn engines_of_a_zone_without_a_node_are_followed_once_the_nodes_are_known() {
+fn engines_of_a_zone_without_a_node_are_followed_from_other_zones() {
     let mut nodes = node(7);
-    let falls_to_it = |nodes: &FollowingNodes| {
+    let is_any_assigned = |nodes: &FollowingNodes| {
         let mut engines = (0..ENGINES).map(EngineTag);
         engines.any(|engine| nodes.assignment(engine, OTHER_ZONE, FOLLOWERS).is_some())
     };
-    assert!(falls_to_it(&nodes));
+    assert!(is_any_assigned(&nodes));
     nodes.follows_other_zones = false;
-    assert!(!falls_to_it(&nodes));
+    assert!(!is_any_assigned(&nodes));
     nodes.follows_other_zones = true;
     nodes.zones.insert(OTHER_ZONE);
-    assert!(!falls_to_it(&nodes));
+    assert!(!is_any_assigned(&nodes));
 }
--- a/crates/balancing/tests/engine_losses.rs
+++ b/crates/balancing/tests/engine_losses.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn another_nodes_word_counts_for_two_seconds_and_its_own_echo_never() {
+fn another_nodes_report_counts_for_two_seconds_and_an_echo_of_the_own_one_never() {
     let heard = Millis(10_700);
     let relay = PeerId(5);
     let mut losses = lost();
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn news_alone_makes_no_engine_lost() {
+fn reports_alone_make_no_engine_lost() {
     let mut losses = EngineLosses::default();
     let to_check = losses.apply_reported(ReportSource::Node, PeerId(6), &told(80), 3, SENT);
     assert_eq!(to_check, [EngineTag::of(&engine())]);
@@ -106,18 +106,18 @@
 }
 
 #[test]
-fn news_of_an_engine_that_was_reached_lately_is_not_checked() {
+fn a_report_on_a_recently_reached_engine_starts_no_check() {
     let mut losses = lost();
     losses.note_reached(&engine(), Millis(11_000));
-    let hear = |losses: &mut EngineLosses, at: u64| {
+    let report = |losses: &mut EngineLosses, at: u64| {
         losses.apply_reported(ReportSource::Relay, PeerId(6), &told(2), 3, Millis(at))
     };
-    assert!(hear(&mut losses, 15_999).is_empty());
-    assert_eq!(hear(&mut losses, 16_000).len(), 1);
+    assert!(report(&mut losses, 15_999).is_empty());
+    assert_eq!(report(&mut losses, 16_000).len(), 1);
 }
 
 #[test]
-fn a_relay_adds_up_its_zone_and_does_not_pass_zones_round() {
+fn a_relay_sums_its_zone_and_does_not_forward_other_zones_to_zones() {
     let now = Millis(10_700);
     let mut losses = lost();
     losses.apply_reported(ReportSource::Node, PeerId(6), &told(1), 3, now);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_report_tells_a_bounded_number_the_latest_first() {
+fn a_report_contains_a_bounded_number_of_engines_the_latest_first() {
     let mut losses = EngineLosses::default();
     for number in 0..40_u64 {
         let instance = InstanceId(format!("e-{number}"));
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_node_that_reaches_few_engines_takes_its_own_links_to_be_at_fault() {
+fn a_node_that_reaches_few_engines_reports_none_as_lost() {
     let mut losses = EngineLosses::default();
     for number in 0..30_u64 {
         let instance = InstanceId(format!("e-{number}"));
@@ -169,14 +169,14 @@
 }
 
 #[test]
-fn one_nodes_word_alone_starts_no_check() {
+fn one_nodes_report_alone_starts_no_check() {
     let mut losses = EngineLosses::default();
-    let hear = |losses: &mut EngineLosses, sender| {
+    let report = |losses: &mut EngineLosses, sender| {
         losses.apply_reported(ReportSource::Node, PeerId(sender), &told(1), 3, SENT)
     };
-    assert!(hear(&mut losses, 6).is_empty());
-    assert!(hear(&mut losses, 6).is_empty());
-    assert_eq!(hear(&mut losses, 7).len(), 1);
+    assert!(report(&mut losses, 6).is_empty());
+    assert!(report(&mut losses, 6).is_empty());
+    assert_eq!(report(&mut losses, 7).len(), 1);
     // In a large fleet some links are always disturbed.
     let relay = PeerId(9);
     let by_seven = losses.apply_reported(ReportSource::Relay, relay, &told(7), 80, SENT);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_connection_that_is_refused_or_a_call_without_an_answer_makes_no_engine_lost() {
+fn refused_connections_and_unanswered_calls_make_no_engine_lost() {
     let mut losses = EngineLosses::default();
     for _ in 0..10 {
         losses.note_suspected(&engine(), address());
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn only_connections_begun_after_the_last_sign_of_life_speak_against_an_engine() {
+fn only_connections_begun_after_the_last_sign_of_life_count_as_failures() {
     let mut losses = EngineLosses::default();
     for began in [10_000, 10_300, 10_600, 10_900] {
         let (began, ended) = (Millis(began), Millis(began + 250));
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn a_node_that_lost_more_than_half_of_all_engines_gives_up_no_request() {
+fn a_node_that_lost_more_than_half_of_all_engines_aborts_no_request() {
     let instances: Vec<InstanceId> = (0..4).map(|n| InstanceId(format!("e-{n}"))).collect();
     let mut losses = EngineLosses::default();
     for instance in &instances[..3] {
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn a_record_that_comes_back_confirms_no_loss() {
+fn a_record_that_reappears_confirms_no_loss() {
     let now = Millis(10_700);
     let mut losses = lost();
     losses.note_record_gone(&engine(), address());
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_check_of_a_suspicion_that_was_dispelled_ends() {
+fn a_check_ends_when_its_suspicion_is_cleared() {
     let mut losses = lost();
     let old = losses.take_due().remove(0);
     assert!(losses.is_current(&old));
--- a/crates/balancing/tests/engine_notices.rs
+++ b/crates/balancing/tests/engine_notices.rs
@@ -40,7 +40,7 @@
 }
 
 /// A catalogue whose engine, born then, said that it leaves.
-fn told(born_ms: u64) -> EngineCatalogue {
+fn leaving_catalogue(born_ms: u64) -> EngineCatalogue {
     let mut catalogue = EngineCatalogue::default();
     catalogue.upsert(record(1, born_ms, 5));
     assert!(catalogue.notices.note_leaving(life(born_ms), NOW));
@@ -59,9 +59,9 @@
 /// Guards against a word in an answer that any later record of the same life undoes: a late
 /// heartbeat, a list, a snapshot, a relay that was restarted.
 #[test]
-fn no_record_of_the_same_life_undoes_that_its_engine_leaves() {
+fn no_record_of_the_same_life_clears_a_notice_of_leaving() {
     for born_ms in [0, FIRST_LIFE] {
-        let mut catalogue = told(born_ms);
+        let mut catalogue = leaving_catalogue(born_ms);
         for (revision, sequence) in [(2, 4), (3, 6), (4, 0), (5, 700)] {
             catalogue.upsert(record(revision, born_ms, sequence));
             assert_eq!(is_leaving(&catalogue), Some(true));
@@ -70,9 +70,9 @@
 }
 
 #[test]
-fn an_entry_that_lapses_and_comes_back_is_still_that_of_an_engine_that_leaves() {
+fn a_record_that_expires_and_reappears_is_still_that_of_a_leaving_engine() {
     for born_ms in [0, FIRST_LIFE] {
-        let mut catalogue = told(born_ms);
+        let mut catalogue = leaving_catalogue(born_ms);
         assert!(catalogue.remove(&name(), 2));
         let back_at = NOW.plus(60_000);
         catalogue.expire_notices(back_at);
@@ -82,12 +82,12 @@
 }
 
 #[test]
-fn a_later_life_of_the_same_name_does_not_leave() {
-    let mut catalogue = told(FIRST_LIFE);
+fn a_later_life_under_the_same_name_is_not_leaving() {
+    let mut catalogue = leaving_catalogue(FIRST_LIFE);
     catalogue.upsert(record(2, SECOND_LIFE, 1));
     assert_eq!(is_leaving(&catalogue), Some(false));
     // Nor when it is known by its own report alone.
-    let mut catalogue = told(FIRST_LIFE);
+    let mut catalogue = leaving_catalogue(FIRST_LIFE);
     assert!(catalogue.note_life(&name(), SECOND_LIFE));
     assert_eq!(is_leaving(&catalogue), Some(false));
     // An answer of the former life that was read late says nothing of it.
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn an_engine_that_is_known_by_an_older_record_leaves_by_the_word_of_its_later_life() {
+fn a_notice_of_a_later_life_applies_before_its_first_record() {
     let mut catalogue = EngineCatalogue::default();
     catalogue.upsert(record(1, FIRST_LIFE, 5));
     catalogue.notices.note_leaving(life(SECOND_LIFE), NOW);
@@ -107,8 +107,8 @@
 }
 
 #[test]
-fn a_name_whose_lives_are_not_told_is_one_life_until_it_is_forgotten() {
-    let mut catalogue = told(0);
+fn without_reported_lives_all_records_of_a_name_count_as_one_life() {
+    let mut catalogue = leaving_catalogue(0);
     catalogue.upsert(record(2, SECOND_LIFE, 1));
     assert_eq!(is_leaving(&catalogue), Some(true));
     catalogue.remove(&name(), 3);
@@ -119,8 +119,8 @@
 }
 
 #[test]
-fn an_engine_that_stays_in_the_catalogue_is_remembered_to_leave_for_as_long() {
-    let mut catalogue = told(FIRST_LIFE);
+fn a_notice_is_kept_while_its_engine_is_in_the_catalogue() {
+    let mut catalogue = leaving_catalogue(FIRST_LIFE);
     for minutes in 1..60 {
         catalogue.expire_notices(NOW.plus(minutes * 60_000));
     }
@@ -132,7 +132,7 @@
 
 /// Guards against a time to back off that a later refusal with a shorter one shortens.
 #[test]
-fn of_several_times_to_back_off_the_latest_end_counts() {
+fn of_several_backoffs_the_latest_end_counts() {
     let mut catalogue = EngineCatalogue::default();
     catalogue.upsert(record(1, 0, 5));
     catalogue.notices.note_backoff(life(0), 2_000, 0, NOW);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_later_life_wants_requests_at_once() {
+fn a_later_life_ends_the_backoff_at_once() {
     let mut catalogue = EngineCatalogue::default();
     catalogue.upsert(record(1, FIRST_LIFE, 5));
     let notices = &mut catalogue.notices;
@@ -164,7 +164,7 @@
 proptest! {
     /// Nodes come back after the time, within a quarter of it and half a second.
     #[test]
-    fn nodes_come_back_after_the_time_each_at_a_moment_of_its_own(
+    fn nodes_resume_at_random_times_within_the_ramp(
         duration_ms in 0_u64..1_000_000,
         draw: u64,
     ) {
--- a/crates/balancing/tests/heartbeat_order.rs
+++ b/crates/balancing/tests/heartbeat_order.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn an_older_word_counts_only_when_it_says_that_the_engine_leaves() {
+fn an_older_heartbeat_counts_only_when_it_reports_that_the_engine_leaves() {
     let mut catalogue = EngineCatalogue::default();
     assert!(catalogue.upsert(leaving(10, FIRST_LIFE, 9)));
     assert!(!catalogue.upsert(record(11, FIRST_LIFE, 8)));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_late_word_does_not_bring_back_an_engine_that_is_gone() {
+fn a_late_heartbeat_does_not_restore_a_removed_engine() {
     let mut catalogue = EngineCatalogue::default();
     catalogue.upsert(leaving(10, FIRST_LIFE, 9));
     assert!(catalogue.remove(&name(), 11));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn engines_that_tell_neither_life_nor_number_go_by_the_stores_revision() {
+fn without_life_and_sequence_the_store_revision_decides() {
     let mut catalogue = EngineCatalogue::default();
     assert!(catalogue.upsert(leaving(10, 0, 0)));
     assert!(catalogue.upsert(record(11, 0, 0)));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_engine_that_starts_again_under_its_name_begins_with_nothing() {
+fn a_restart_under_the_same_name_resets_the_state_of_an_engine() {
     let mut catalogue = EngineCatalogue::default();
     catalogue.upsert(record(10, FIRST_LIFE, 9));
     catalogue.note_weights(&name(), "m", 8);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn what_an_engine_said_of_its_new_life_is_not_undone_by_a_late_record_of_the_old_one() {
+fn a_late_record_of_the_former_life_does_not_override_a_reported_new_life() {
     let mut catalogue = EngineCatalogue::default();
     catalogue.upsert(record(10, FIRST_LIFE, 9));
     assert!(catalogue.note_life(&name(), SECOND_LIFE));
@@ -125,7 +125,7 @@
 }
 
 /// A word as the store may hand it out: of a life, with a number, ready or leaving.
-fn word() -> impl Strategy<Value = (u64, u64, bool)> {
+fn heartbeat_fields() -> impl Strategy<Value = (u64, u64, bool)> {
     (1..3u64, 1..6u64, any::<bool>())
 }
 
@@ -133,21 +133,21 @@
     /// However late and in whatever order words arrive: once a word of the newest life
     /// said that the engine leaves, none with a lower number makes it ready.
     #[test]
-    fn no_late_word_makes_a_leaving_engine_ready(words in prop::collection::vec(word(), 1..24)) {
+    fn no_late_heartbeat_makes_a_leaving_engine_ready(heartbeats in prop::collection::vec(heartbeat_fields(), 1..24)) {
         let mut catalogue = EngineCatalogue::default();
-        let mut left: Option<(u64, u64)> = None;
-        for (revision, (born_ms, sequence, leaves)) in words.into_iter().enumerate() {
+        let mut left_at: Option<(u64, u64)> = None;
+        for (revision, (born_ms, sequence, leaves)) in heartbeats.into_iter().enumerate() {
             let told = EngineRecord {
                 is_leaving: leaves,
                 ..record(revision as u64 + 1, born_ms, sequence)
             };
             let taken = catalogue.upsert(told);
             if leaves && taken {
-                left = left.max(Some((born_ms, sequence)));
+                left_at = left_at.max(Some((born_ms, sequence)));
             }
             if taken && !leaves {
-                prop_assert!(left.is_none_or(|left| left <= (born_ms, sequence)));
-                left = None;
+                prop_assert!(left_at.is_none_or(|left_at| left_at <= (born_ms, sequence)));
+                left_at = None;
             }
         }
     }
--- a/crates/balancing/tests/notice_fleets.rs
+++ b/crates/balancing/tests/notice_fleets.rs
@@ -17,22 +17,22 @@
 /// Relays of a zone.
 const RELAYS: usize = 2;
 /// Share of the datagrams that are lost.
-const LOST: f64 = 0.05;
+const LOSS_SHARE: f64 = 0.05;
 /// Longest time that a datagram is under way, in milliseconds.
 const LONGEST_DELAY_MS: u64 = 5;
 /// Time between two looks of a node at what is due, in milliseconds.
-const LOOK_MS: u64 = 100;
+const POLL_PERIOD_MS: u64 = 100;
 /// Time between two tellings of what has not changed, in milliseconds.
-const PERIOD_MS: u64 = 1_000;
+const REPEAT_PERIOD_MS: u64 = 1_000;
 /// Time after which the simulation ends, in milliseconds.
-const LONGEST_MS: u64 = 10_000;
+const SIMULATION_LIMIT_MS: u64 = 10_000;
 /// When the first engine says that it leaves.
-const BEGAN: Millis = Millis(100_000);
+const START: Millis = Millis(100_000);
 
 /// Something that happens at a node.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Look,
+    Poll,
     Datagram(Vec<(EngineTag, u64)>),
 }
 
@@ -47,14 +47,14 @@
 impl Fleet {
     fn new(nodes: usize, seed: u64) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
-        let looks = (0..nodes).map(|node| {
-            let at = BEGAN.plus(random.u64(..LOOK_MS));
-            Reverse((at, node, Event::Look))
+        let polls = (0..nodes).map(|node| {
+            let at = START.plus(random.u64(..POLL_PERIOD_MS));
+            Reverse((at, node, Event::Poll))
         });
         Self {
-            events: looks.collect(),
+            events: polls.collect(),
             nodes: vec![EngineNotices::default(); nodes],
-            periods: vec![BEGAN; nodes],
+            periods: vec![START; nodes],
             random,
             datagrams: 0,
         }
@@ -92,12 +92,12 @@
             engine: EngineTag(engine),
             born_ms: 7,
         };
-        self.nodes[node].note_leaving(life, BEGAN);
-        self.events.push(Reverse((BEGAN, node, Event::Look)));
+        self.nodes[node].note_leaving(life, START);
+        self.events.push(Reverse((START, node, Event::Poll)));
     }
 
-    fn look(&mut self, node: usize, now: Millis) {
-        let is_period = now.since(self.periods[node]) >= PERIOD_MS;
+    fn poll(&mut self, node: usize, now: Millis) {
+        let is_period = now.since(self.periods[node]) >= REPEAT_PERIOD_MS;
         if is_period {
             self.periods[node] = now;
         }
@@ -114,7 +114,7 @@
                 .collect();
             for receiver in &receivers {
                 self.datagrams += 1;
-                if self.random.f64() < LOST {
+                if self.random.f64() < LOSS_SHARE {
                     continue;
                 }
                 let at = now.plus(1 + self.random.u64(..LONGEST_DELAY_MS));
@@ -138,22 +138,25 @@
         });
         let news = news.count();
         if news > 0 {
-            self.look(node, now);
+            self.poll(node, now);
         }
         news
     }
 
     /// Time until all nodes know of all engines, in milliseconds. One node was told of each.
-    fn known_after_ms(&mut self, engines: u32) -> u64 {
+    fn converged_after_ms(&mut self, engines: u32) -> u64 {
         let mut missing = (self.nodes.len() - 1) * engines as usize;
         while let Some(Reverse((now, node, event))) = self.events.pop() {
-            let passed_ms = now.since(BEGAN);
-            assert!(passed_ms < LONGEST_MS, "{missing} notices are missing");
+            let passed_ms = now.since(START);
+            assert!(
+                passed_ms < SIMULATION_LIMIT_MS,
+                "{missing} notices are missing"
+            );
             match event {
-                Event::Look => {
-                    self.look(node, now);
-                    let next = now.plus(LOOK_MS);
-                    self.events.push(Reverse((next, node, Event::Look)));
+                Event::Poll => {
+                    self.poll(node, now);
+                    let next = now.plus(POLL_PERIOD_MS);
+                    self.events.push(Reverse((next, node, Event::Poll)));
                 }
                 Event::Datagram(told) => missing -= self.take(node, &told, now),
             }
@@ -167,7 +170,7 @@
 
 /// Guards against a fact that a fleet hears at one node and keeps there.
 #[test]
-fn all_nodes_know_within_a_second_that_an_engine_leaves_though_datagrams_are_lost() {
+fn all_nodes_learn_within_a_second_that_an_engine_leaves_despite_lost_datagrams() {
     for nodes in [7, 69, 985] {
         let mut times = Vec::new();
         let mut datagrams = 0;
@@ -175,7 +178,7 @@
             let mut fleet = Fleet::new(nodes, seed);
             let told = fleet.random.usize(..nodes);
             fleet.answer(told, 0);
-            times.push(fleet.known_after_ms(1));
+            times.push(fleet.converged_after_ms(1));
             datagrams = datagrams.max(fleet.datagrams);
         }
         times.sort_unstable();
@@ -187,14 +190,14 @@
 
 /// Guards against one word of many engines at once that takes the fleet seconds.
 #[test]
-fn all_nodes_know_soon_that_hundreds_of_engines_leave_at_once() {
+fn all_nodes_learn_within_two_seconds_that_hundreds_of_engines_leave() {
     let engines = 400;
     let mut fleet = Fleet::new(985, 1);
     for engine in 0..engines {
         let told = fleet.random.usize(..985);
         fleet.answer(told, engine);
     }
-    let known_after_ms = fleet.known_after_ms(engines);
-    println!("{known_after_ms} ms, {} datagrams", fleet.datagrams);
-    assert!(known_after_ms < 2_000, "{known_after_ms} ms");
+    let converged_after_ms = fleet.converged_after_ms(engines);
+    println!("{converged_after_ms} ms, {} datagrams", fleet.datagrams);
+    assert!(converged_after_ms < 2_000, "{converged_after_ms} ms");
 }
--- a/crates/balancing/tests/relayed_loads.rs
+++ b/crates/balancing/tests/relayed_loads.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn just_what_this_node_had_reported_is_taken_off() {
+fn exactly_the_included_own_report_is_subtracted() {
     let mut loads = RelayedLoads::default();
     loads.note_own_report(10, HashMap::from([(ENGINE, load(2, 300))]), NOW);
     loads.note_own_report(11, HashMap::from([(ENGINE, load(5, 900))]), NOW.plus(80));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn overtaken_reports_change_nothing_and_a_restarted_relay_begins_anew() {
+fn overtaken_reports_are_ignored_and_a_restarted_relay_begins_with_no_loads() {
     let mut loads = RelayedLoads::default();
     assert!(loads.apply(&report(1, 5, load(6, 0)), None, NOW));
     assert!(!loads.apply(&report(1, 4, load(1, 0)), None, NOW));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_silent_relay_gives_way_to_another_and_at_last_to_the_nodes_own_reports() {
+fn a_silent_relay_is_replaced_by_another_and_finally_by_reports_of_nodes() {
     let mut loads = PeerLoads::default();
     let own_report = LoadReport {
         sender: PeerId(3),
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_nodes_present_loads_are_those_of_its_requests_under_way() {
+fn present_loads_are_those_of_requests_in_flight() {
     let instance = InstanceId("e".to_owned());
     let mut catalogue = EngineCatalogue::default();
     catalogue.upsert(EngineRecord {
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_placement_is_news_when_it_changes_who_keeps_the_part_or_was_told_long_ago() {
+fn a_placement_counts_as_change_when_the_holders_change_or_its_report_is_old() {
     let mut holders = PrefixHolders::default();
     let mut news = |engine: u32, is_kept: bool, after_ms: u64| {
         let placement = Placement {
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_lower_life_is_heard_once_the_higher_one_is_silent_for_half_a_second() {
+fn a_lower_life_is_accepted_after_half_a_second_without_the_higher_one() {
     let mut loads = PeerLoads::default();
     let of_life = |life: u64, sequence: u64, requests: u32| LoadReport {
         sender: PeerId(9),
--- a/crates/balancing/tests/weights.rs
+++ b/crates/balancing/tests/weights.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn old_weights_are_avoided_before_the_bound() {
+fn old_weights_are_not_used_after_the_bound() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
     assert!(weights.note_version("m", 2, Millis(1_100)));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_version_that_is_not_known_is_avoided_for_as_well() {
+fn no_version_may_be_used_when_a_newer_one_may_be_unknown() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
     // Nothing was heard since: a newer one may have been named right after the proof.
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn versions_that_were_missed_count_from_the_last_proof_before_them() {
+fn missed_versions_count_from_the_last_proof_before_them() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
     prove(&mut weights, 4, 5_000);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_model_that_gets_its_first_version_had_none_until_then() {
+fn a_model_counts_as_without_weights_until_its_first_version() {
     let mut weights = NamedWeights::default();
     weights.note_listed(&listed(&[]), Millis(1_000), Millis(1_004));
     weights.note_version("m", 1, Millis(2_000));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn before_any_proof_nothing_may_begin() {
+fn no_request_may_begin_before_the_first_proof() {
     let mut weights = NamedWeights::default();
     assert_eq!(required(&weights, 1_000), None);
     weights.note_version("m", 2, Millis(1_000));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_fleet_that_starts_anew_bears_older_weights_for_a_moment() {
+fn a_restarted_fleet_accepts_older_weights_for_a_short_time() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 2, 0);
     assert_eq!(required(&weights, 2_499), Some(0));
@@ -101,15 +101,18 @@
 }
 
 /// What a node tells that has proven version 2 for long, and version 1 before.
-fn news_of_a_settled_node() -> WeightsNews {
-    let told = |version, named_age_ms, proof_age_ms| ReportedVersion {
+fn report_of_a_long_running_node() -> WeightsNews {
+    let version_report = |version, named_age_ms, proof_age_ms| ReportedVersion {
         model: "m".to_owned(),
         version,
         named_age_ms: Some(named_age_ms),
         proof_age_ms: Some(proof_age_ms),
     };
     WeightsNews {
-        versions: vec![told(1, 60_000, 5_500), told(2, 4_800, 300)],
+        versions: vec![
+            version_report(1, 60_000, 5_500),
+            version_report(2, 4_800, 300),
+        ],
         proof_age_ms: Some(300),
         all_models_age_ms: Some(300),
         known_for_ms: Some(90_000),
@@ -117,11 +120,11 @@
 }
 
 #[test]
-fn a_node_that_starts_counts_versions_as_the_others_do() {
+fn a_starting_node_takes_over_the_version_ages_of_other_nodes() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 2, 10_000);
     assert_eq!(required(&weights, 10_050), Some(0));
-    let news = news_of_a_settled_node();
+    let news = report_of_a_long_running_node();
     weights.apply_reported(&news, Some(Millis(10_060)), Millis(10_100));
     assert_eq!(required(&weights, 10_100), Some(1));
     assert_eq!(required(&weights, 10_560), Some(2));
@@ -132,10 +135,10 @@
 }
 
 #[test]
-fn a_node_that_starts_after_the_bound_uses_older_weights_no_more() {
+fn a_node_that_starts_after_the_bound_rejects_older_weights() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 2, 10_000);
-    let mut news = news_of_a_settled_node();
+    let mut news = report_of_a_long_running_node();
     news.versions.remove(0);
     weights.apply_reported(&news, Some(Millis(10_060)), Millis(10_100));
     assert_eq!(required(&weights, 10_100), Some(2));
@@ -143,10 +146,10 @@
 }
 
 #[test]
-fn what_answers_no_report_of_this_node_names_versions_and_proves_nothing() {
+fn an_unsolicited_report_adds_versions_but_no_proofs() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
-    let named = weights.apply_reported(&news_of_a_settled_node(), None, Millis(6_900));
+    let named = weights.apply_reported(&report_of_a_long_running_node(), None, Millis(6_900));
     assert_eq!(named.len(), 1);
     assert_eq!(weights.newest("m"), Some((2, Millis(2_100))));
     assert_eq!(weights.proof_age_ms(Millis(6_900)), Some(5_900));
@@ -154,7 +157,7 @@
 }
 
 #[test]
-fn a_version_that_the_store_shows_no_more_binds_all_the_same() {
+fn a_version_that_the_store_has_lost_stays_in_force() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
     weights.note_version("m", 2, Millis(2_000));
@@ -169,10 +172,10 @@
 }
 
 #[test]
-fn a_node_that_starts_believes_others_more_than_a_store_that_shows_less() {
+fn a_starting_node_trusts_higher_versions_of_other_nodes_over_the_store() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 10_000);
-    let mut news = news_of_a_settled_node();
+    let mut news = report_of_a_long_running_node();
     news.versions.remove(0);
     // Named 4.8 s before; whether or not the report answers one of this node.
     weights.apply_reported(&news, None, Millis(10_100));
@@ -182,7 +185,7 @@
 }
 
 #[test]
-fn loads_are_due_from_when_a_version_was_heard_of_in_time() {
+fn first_newer_is_capped_by_the_last_proof_plus_the_allowed_delay() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
     weights.note_version("m", 2, Millis(1_900));
@@ -205,7 +208,7 @@
 }
 
 #[test]
-fn a_version_that_cannot_be_read_proves_nothing_of_its_model() {
+fn an_unreadable_version_is_no_proof_for_its_model() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
     let unreadable = ListedVersions {
@@ -221,22 +224,25 @@
 /// A node that makes no calls of its own, as one that follows relays, is told by reports
 /// that name as many models as do not fit into one datagram.
 #[test]
-fn news_of_many_models_prove_as_much_as_news_of_a_few() {
+fn a_report_in_several_parts_proves_as_much_as_one_in_a_single_part() {
     let models: Vec<String> = (0..25).map(|index| format!("model-{index}")).collect();
-    let mut teller = NamedWeights::default();
+    let mut sender = NamedWeights::default();
     let newest: Vec<(&str, u64)> = models.iter().map(|model| (model.as_str(), 1)).collect();
-    teller.note_listed(&listed(&newest), Millis(1_000), Millis(1_004));
-    let mut told = NamedWeights::default();
-    for news in teller.current_report(&BOUNDS, Millis(1_100)).parts(24) {
-        told.apply_reported(&news, Some(Millis(1_090)), Millis(1_101));
+    sender.note_listed(&listed(&newest), Millis(1_000), Millis(1_004));
+    let mut receiver = NamedWeights::default();
+    for news in sender.current_report(&BOUNDS, Millis(1_100)).parts(24) {
+        receiver.apply_reported(&news, Some(Millis(1_090)), Millis(1_101));
     }
-    assert_eq!(told.required("model-7", &BOUNDS, Millis(6_900)), Some(1));
+    assert_eq!(
+        receiver.required("model-7", &BOUNDS, Millis(6_900)),
+        Some(1)
+    );
     assert!(
-        told.is_proven(),
+        receiver.is_proven(),
         "never ready otherwise, and nothing is read"
     );
     // No part names all models: one that is not named may have a version.
-    assert_eq!(told.required("another", &BOUNDS, Millis(6_900)), None);
+    assert_eq!(receiver.required("another", &BOUNDS, Millis(6_900)), None);
 }
 
 /// A step of a schedule.
@@ -416,7 +422,7 @@
     /// However late answers and reports come, and whatever a node missed, no node lets a
     /// request begin on weights after the bound.
     #[test]
-    fn no_schedule_lets_a_request_begin_after_the_bound(
+    fn no_schedule_lets_a_request_begin_on_old_weights_after_the_bound(
         steps in prop::collection::vec((step(), 0u64..1_500), 1..120),
     ) {
         let mut fleet = Fleet::new();
