--- a/crates/balancing/tests/cache_followers.rs
+++ b/crates/balancing/tests/cache_followers.rs
@@ -1,7 +1,7 @@
-//! How nodes divide which engines' caches each of them follows.
+//! Assignment of engines to the nodes that follow the events of their caches.
 //!
-//! Pattern: a zone of 200 small nodes before 1,935 engines, of which few read anything: a
-//! node that followed all that fall to it would call 39 engines twice a second.
+//! The scenario is a zone of 200 small nodes and 1,935 engines, few of which process prompts:
+//! a node that followed all engines assigned to it would call 39 engines twice per second.
 
 use ploverlift_balancing::cache_followers::{max_feeds, within_budget, Assignment, FollowingNodes};
 use ploverlift_balancing::peer_loads::{EngineTag, PeerId, ZoneTag};
--- a/crates/balancing/tests/engine_losses.rs
+++ b/crates/balancing/tests/engine_losses.rs
@@ -1,4 +1,4 @@
-//! When an engine counts as lost, and what nodes make of each other's word.
+//! When an engine counts as lost, and how nodes use each other's reports.
 
 use ploverlift_balancing::catalogue::InstanceId;
 use ploverlift_balancing::engine_losses::{EngineLosses, LostEngine, ReportSource, MAX_REPORTED};
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 const SENT: Millis = Millis(10_000);
-/// Engines in the catalogue.
+/// Number of engines in the catalogue.
 const FLEET: usize = 90;
 
 fn engine() -> InstanceId {
@@ -25,7 +25,7 @@
     }]
 }
 
-/// Three connections failed, the last one at 10.6 s.
+/// Losses after three failed connections, the last one at 10.6 s.
 fn lost() -> EngineLosses {
     let mut losses = EngineLosses::default();
     for at in [10_000, 10_300, 10_600] {
@@ -43,7 +43,7 @@
     }
     losses.note_unreachable(&engine(), address(), Millis(10_500), Millis(10_500));
     assert!(losses.is_lost_since(&engine(), SENT, FLEET));
-    // A request that was sent since shows anew whether the engine is there.
+    // A request that was sent later needs failures of its own.
     assert!(!losses.is_lost_since(&engine(), Millis(10_501), FLEET));
 }
 
@@ -177,7 +177,7 @@
     assert!(report(&mut losses, 6).is_empty());
     assert!(report(&mut losses, 6).is_empty());
     assert_eq!(report(&mut losses, 7).len(), 1);
-    // In a large fleet some links are always disturbed.
+    // In a large fleet more reports are needed, since some links are always disturbed.
     let relay = PeerId(9);
     let by_seven = losses.apply_reported(ReportSource::Relay, relay, &told(7), 80, SENT);
     assert!(by_seven.is_empty());
@@ -204,7 +204,7 @@
         let (began, ended) = (Millis(began), Millis(began + 250));
         losses.note_unreachable(&engine(), address(), began, ended);
     }
-    // Three are later than 10.3 s and took over half a second; two are later than 10.4 s.
+    // Three began at 10.3 s or later and span over half a second; only two began later.
     assert!(losses.is_lost_since(&engine(), Millis(10_300), FLEET));
     assert!(!losses.is_lost_since(&engine(), Millis(10_301), FLEET));
     losses.note_unreachable(&engine(), address(), Millis(11_200), Millis(11_450));
@@ -224,12 +224,12 @@
         |losses: &EngineLosses, engines| losses.is_lost_since(&instances[0], SENT, engines);
     assert!(!trusts(&losses, 4));
     assert!(trusts(&losses, 6));
-    // Engines that have gone from the catalogue still count as engines.
+    // Engines that were removed from the catalogue still count.
     losses.note_record_gone(&instances[0], address());
     losses.note_record_gone(&instances[1], address());
     assert!(trusts(&losses, 4));
     assert!(!trusts(&losses, 3));
-    // Where there is one engine, it may be lost.
+    // A single engine may be lost.
     assert!(lost().is_lost_since(&engine(), SENT, 1));
 }
 
--- a/crates/balancing/tests/engine_notices.rs
+++ b/crates/balancing/tests/engine_notices.rs
@@ -1,4 +1,4 @@
-//! How long what an engine said of itself in an answer holds.
+//! How long notices that engines send in their answers remain valid.
 
 use ploverlift_balancing::catalogue::{EngineCatalogue, EngineRecord, Heartbeat, InstanceId};
 use ploverlift_balancing::engine_notices::EngineLife;
@@ -39,7 +39,7 @@
     }
 }
 
-/// A catalogue whose engine, born then, said that it leaves.
+/// A catalogue with one engine, whose life began at `born_ms` and which is leaving.
 fn leaving_catalogue(born_ms: u64) -> EngineCatalogue {
     let mut catalogue = EngineCatalogue::default();
     catalogue.upsert(record(1, born_ms, 5));
@@ -56,8 +56,8 @@
     Some(catalogue.backoff(engine, now)?.resumes_at)
 }
 
-/// Guards against a word in an answer that any later record of the same life undoes: a late
-/// heartbeat, a list, a snapshot, a relay that was restarted.
+/// Guards against a notice in an answer being cleared by a later record of the same life, as
+/// from a late heartbeat, a list, a snapshot or a restarted relay.
 #[test]
 fn no_record_of_the_same_life_clears_a_notice_of_leaving() {
     for born_ms in [0, FIRST_LIFE] {
@@ -86,11 +86,11 @@
     let mut catalogue = leaving_catalogue(FIRST_LIFE);
     catalogue.upsert(record(2, SECOND_LIFE, 1));
     assert_eq!(is_leaving(&catalogue), Some(false));
-    // Nor when it is known by its own report alone.
+    // The same holds when the later life is known from the engine's own report only.
     let mut catalogue = leaving_catalogue(FIRST_LIFE);
     assert!(catalogue.note_life(&name(), SECOND_LIFE));
     assert_eq!(is_leaving(&catalogue), Some(false));
-    // An answer of the former life that was read late says nothing of it.
+    // A late answer of the former life has no effect on the later one.
     assert!(!catalogue.notices.note_leaving(life(FIRST_LIFE), NOW));
     assert_eq!(is_leaving(&catalogue), Some(false));
     assert!(catalogue.notices.note_leaving(life(SECOND_LIFE), NOW));
@@ -130,7 +130,7 @@
     assert!(catalogue.notices.is_empty());
 }
 
-/// Guards against a time to back off that a later refusal with a shorter one shortens.
+/// Guards against a backoff being shortened by a later rejection that asks for a shorter one.
 #[test]
 fn of_several_backoffs_the_latest_end_counts() {
     let mut catalogue = EngineCatalogue::default();
@@ -141,7 +141,7 @@
     assert_eq!(resumes_at(&catalogue, later), Some(NOW.plus(2_000)));
     catalogue.notices.note_backoff(life(0), 5_000, 0, later);
     assert_eq!(resumes_at(&catalogue, later), Some(later.plus(5_000)));
-    // What the node itself has the engine do does not end it, and a lapse does not either.
+    // Neither loading weights on this node's request nor an expired record ends the backoff.
     catalogue.note_loading(&name(), later.plus(10));
     catalogue.note_loaded(&name());
     catalogue.remove(&name(), 2);
@@ -162,7 +162,7 @@
 }
 
 proptest! {
-    /// Nodes come back after the time, within a quarter of it and half a second.
+    /// Nodes resume after the end of the backoff, within a quarter of it and at most 500 ms.
     #[test]
     fn nodes_resume_at_random_times_within_the_ramp(
         duration_ms in 0_u64..1_000_000,
--- a/crates/balancing/tests/heartbeat_order.rs
+++ b/crates/balancing/tests/heartbeat_order.rs
@@ -1,4 +1,4 @@
-//! Which of two words of an engine counts, and what outlives its restart.
+//! Which of two heartbeats of an engine counts, and which state outlasts its restart.
 
 use ploverlift_balancing::catalogue::{EngineCatalogue, EngineRecord, Heartbeat, InstanceId};
 use ploverlift_balancing::health::Outcome;
@@ -47,7 +47,7 @@
     assert!(catalogue.upsert(leaving(10, FIRST_LIFE, 9)));
     assert!(!catalogue.upsert(record(11, FIRST_LIFE, 8)));
     assert_eq!(is_leaving(&catalogue), Some(true));
-    // Another writer's word may have come between: the engine's next one counts.
+    // Another writer's record may have come between; the engine's next heartbeat counts.
     assert!(catalogue.upsert(record(12, FIRST_LIFE, 10)));
     assert_eq!(is_leaving(&catalogue), Some(false));
     assert!(catalogue.upsert(leaving(13, FIRST_LIFE, 7)));
@@ -62,7 +62,7 @@
     assert!(!catalogue.upsert(record(12, FIRST_LIFE, 8)));
     assert!(!catalogue.upsert(record(13, FIRST_LIFE - 1, 80)));
     assert_eq!(is_leaving(&catalogue), None);
-    // One that lapsed and lives on, or that starts again, is back.
+    // An engine whose record expired and that is still alive, or has restarted, is restored.
     assert!(catalogue.upsert(record(14, FIRST_LIFE, 10)));
     catalogue.remove(&name(), 15);
     assert!(catalogue.upsert(record(16, SECOND_LIFE, 1)));
@@ -89,13 +89,13 @@
     catalogue.note_loading(&name(), now.plus(60_000));
     catalogue.note_misdirected(&name(), now);
     catalogue.begin(&name(), 100, now);
-    // Its counts start anew, so this word has a lower number.
+    // Sequence numbers restart in each life, so this heartbeat has a lower one.
     assert!(catalogue.upsert(record(11, SECOND_LIFE, 1)));
     let engine = catalogue.get(&name()).expect("the engine");
     assert_eq!(engine.weights_of("m"), 5);
     assert!(!engine.is_loading(now) && !engine.is_misdirected(now));
     assert!(engine.health.may_be_chosen(now) && !engine.health.is_suspected());
-    // This node's requests end by themselves.
+    // Requests in flight still count until they end.
     assert_eq!(engine.in_flight, 1);
 }
 
@@ -124,14 +124,15 @@
     assert_eq!((count("llm"), count("app")), (0, 1));
 }
 
-/// A word as the store may hand it out: of a life, with a number, ready or leaving.
+/// Fields of a heartbeat as read from the store: start of the life, sequence number, and
+/// whether the engine is leaving.
 fn heartbeat_fields() -> impl Strategy<Value = (u64, u64, bool)> {
     (1..3u64, 1..6u64, any::<bool>())
 }
 
 proptest! {
-    /// However late and in whatever order words arrive: once a word of the newest life
-    /// said that the engine leaves, none with a lower number makes it ready.
+    /// In whatever order heartbeats arrive: once a heartbeat of the newest life has reported
+    /// that the engine leaves, no heartbeat with a lower sequence number makes it ready.
     #[test]
     fn no_late_heartbeat_makes_a_leaving_engine_ready(heartbeats in prop::collection::vec(heartbeat_fields(), 1..24)) {
         let mut catalogue = EngineCatalogue::default();
--- a/crates/balancing/tests/notice_fleets.rs
+++ b/crates/balancing/tests/notice_fleets.rs
@@ -1,7 +1,7 @@
-//! How soon all nodes of a fleet know that an engine leaves, in virtual time.
+//! Time until all nodes of a fleet know that an engine leaves, in virtual time.
 //!
-//! The nodes run the real exchange; only datagrams and moments are simulated. Up to 20 nodes
-//! tell each other directly, more of them through two relays in each zone.
+//! The nodes run the real exchange; only datagrams and time are simulated. Up to 20 nodes
+//! report to each other directly, larger fleets through two relays in each zone.
 
 use ploverlift_balancing::engine_notices::exchange::{ReportRound, ReportedLeaving, MAX_REPORTED};
 use ploverlift_balancing::engine_notices::{EngineLife, EngineNotices};
@@ -10,26 +10,26 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Nodes up to which all tell each other.
+/// Maximum number of nodes that all report to each other.
 const MESH_NODES: usize = 20;
-/// Zones of a larger fleet.
+/// Number of zones of a larger fleet.
 const ZONES: usize = 5;
-/// Relays of a zone.
+/// Number of relays in each zone.
 const RELAYS: usize = 2;
-/// Share of the datagrams that are lost.
+/// Share of datagrams that are lost.
 const LOSS_SHARE: f64 = 0.05;
-/// Longest time that a datagram is under way, in milliseconds.
+/// Maximum transit time of a datagram, in milliseconds.
 const LONGEST_DELAY_MS: u64 = 5;
-/// Time between two looks of a node at what is due, in milliseconds.
+/// Interval at which a node polls for due reports, in milliseconds.
 const POLL_PERIOD_MS: u64 = 100;
-/// Time between two tellings of what has not changed, in milliseconds.
+/// Period after which unchanged notices are reported again, in milliseconds.
 const REPEAT_PERIOD_MS: u64 = 1_000;
-/// Time after which the simulation ends, in milliseconds.
+/// Time after which the simulation fails, in milliseconds.
 const SIMULATION_LIMIT_MS: u64 = 10_000;
-/// When the first engine says that it leaves.
+/// The time at which engines announce that they leave.
 const START: Millis = Millis(100_000);
 
-/// Something that happens at a node.
+/// An event at a node.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Poll,
@@ -64,7 +64,7 @@
         self.nodes.len() <= MESH_NODES
     }
 
-    /// Nodes `0..ZONES * RELAYS` relay; a node's zone is its number modulo the zones.
+    /// Nodes `0..ZONES * RELAYS` are relays; the zone of a node is its number modulo `ZONES`.
     fn is_relay(&self, node: usize) -> bool {
         !self.is_mesh() && node < ZONES * RELAYS
     }
@@ -86,7 +86,7 @@
         others.into_iter().filter(|other| *other != node).collect()
     }
 
-    /// An answer of the engine tells a node.
+    /// A node receives the engine's notice in an answer.
     fn answer(&mut self, node: usize, engine: u32) {
         let life = EngineLife {
             engine: EngineTag(engine),
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Takes in a datagram; tells how many engines are news.
+    /// Applies a datagram; returns the number of engines whose notices are new to the node.
     fn take(&mut self, node: usize, told: &[(EngineTag, u64)], now: Millis) -> usize {
         let passes_on = self.is_relay(node);
         let notices = &mut self.nodes[node];
@@ -143,7 +143,8 @@
         news
     }
 
-    /// Time until all nodes know of all engines, in milliseconds. One node was told of each.
+    /// Time until all nodes know of all engines, in milliseconds. At the start one node knows of
+    /// each engine.
     fn converged_after_ms(&mut self, engines: u32) -> u64 {
         let mut missing = (self.nodes.len() - 1) * engines as usize;
         while let Some(Reverse((now, node, event))) = self.events.pop() {
@@ -168,7 +169,7 @@
     }
 }
 
-/// Guards against a fact that a fleet hears at one node and keeps there.
+/// Guards against a notice that stays at the node that received it.
 #[test]
 fn all_nodes_learn_within_a_second_that_an_engine_leaves_despite_lost_datagrams() {
     for nodes in [7, 69, 985] {
@@ -188,7 +189,7 @@
     }
 }
 
-/// Guards against one word of many engines at once that takes the fleet seconds.
+/// Guards against notices of many engines at the same time taking the fleet many seconds.
 #[test]
 fn all_nodes_learn_within_two_seconds_that_hundreds_of_engines_leave() {
     let engines = 400;
--- a/crates/balancing/tests/relayed_loads.rs
+++ b/crates/balancing/tests/relayed_loads.rs
@@ -1,5 +1,5 @@
-//! Sums that relays report: what is taken off as one's own, what is overtaken, and
-//! when a relay no longer counts.
+//! Load sums reported by relays: subtraction of a node's own loads, overtaken reports, and
+//! expiry of silent relays.
 
 use ploverlift_balancing::catalogue::{EngineCatalogue, EngineRecord, Heartbeat, InstanceId};
 use ploverlift_balancing::peer_loads::{
@@ -41,7 +41,7 @@
     let mut loads = RelayedLoads::default();
     loads.note_own_report(10, HashMap::from([(ENGINE, load(2, 300))]), NOW);
     loads.note_own_report(11, HashMap::from([(ENGINE, load(5, 900))]), NOW.plus(80));
-    // The sums contain the earlier report only.
+    // The sums include the earlier report only.
     assert!(loads.apply(&report(1, 1, load(6, 1_000)), Some(10), NOW.plus(90)));
     assert_eq!(loads.at(ENGINE), Some(load(4, 700)));
     assert!(loads.apply(&report(1, 2, load(9, 1_600)), Some(11), NOW.plus(190)));
--- a/crates/balancing/tests/weights.rs
+++ b/crates/balancing/tests/weights.rs
@@ -1,5 +1,5 @@
-//! Which weights a request may begin on: proofs with an age, own ones and those of other
-//! nodes.
+//! Which weights a request may begin on, by the ages of a node's own proofs and of those
+//! that other nodes report.
 
 use ploverlift_balancing::weights::{
     ListedVersions, NamedWeights, ReportedVersion, WeightsBounds, WeightsNews,
@@ -48,12 +48,12 @@
 fn no_version_may_be_used_when_a_newer_one_may_be_unknown() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
-    // Nothing was heard since: a newer one may have been named right after the proof.
+    // Without a later proof a newer version may have been published right after this one.
     assert_eq!(required(&weights, 6_999), Some(1));
     assert_eq!(required(&weights, 7_000), None);
     prove(&mut weights, 1, 8_000);
     assert_eq!(required(&weights, 8_004), Some(1));
-    // A model without any version is as well proven.
+    // That another model has no version is proven as well.
     assert_eq!(weights.required("other", &BOUNDS, Millis(8_004)), Some(0));
     assert_eq!(weights.required("other", &BOUNDS, Millis(14_000)), None);
 }
@@ -100,7 +100,8 @@
     assert_eq!(weights.left_ms("m", 1, &short, Millis(100)), 300);
 }
 
-/// What a node tells that has proven version 2 for long, and version 1 before.
+/// Report of a node that had proofs of version 1 and has had proofs of version 2 for a
+/// while.
 fn report_of_a_long_running_node() -> WeightsNews {
     let version_report = |version, named_age_ms, proof_age_ms| ReportedVersion {
         model: "m".to_owned(),
@@ -128,7 +129,7 @@
     weights.apply_reported(&news, Some(Millis(10_060)), Millis(10_100));
     assert_eq!(required(&weights, 10_100), Some(1));
     assert_eq!(required(&weights, 10_560), Some(2));
-    // Loads are due as if this node had heard of it with the others.
+    // Loads are due as if this node had learned of the version when the others did.
     let named_at = weights.first_newer("m", 1, 1_500);
     assert_eq!(named_at, Some(Millis(10_100 - 4_800)));
     assert_eq!(weights.first_newer("m", 2, 1_500), None);
@@ -161,7 +162,7 @@
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
     weights.note_version("m", 2, Millis(2_000));
-    // A write of version 1 that got no answer was done once more.
+    // A write of version 1 that was not acknowledged was executed again, late.
     for sent in [3_000, 5_000, 8_500] {
         prove(&mut weights, 1, sent);
     }
@@ -177,7 +178,7 @@
     prove(&mut weights, 1, 10_000);
     let mut news = report_of_a_long_running_node();
     news.versions.remove(0);
-    // Named 4.8 s before; whether or not the report answers one of this node.
+    // Known for 4.8 s, whether or not the report answers one of this node's.
     weights.apply_reported(&news, None, Millis(10_100));
     assert_eq!(weights.left_ms("m", 1, &BOUNDS, Millis(10_100)), 1_200);
     prove(&mut weights, 1, 11_000);
@@ -190,7 +191,7 @@
     prove(&mut weights, 1, 1_000);
     weights.note_version("m", 2, Millis(1_900));
     assert_eq!(weights.first_newer("m", 1, 1_500), Some(Millis(1_900)));
-    // Heard long after the last proof: it may have been named at once.
+    // Learned long after the last proof: it may have been published right after that.
     weights.note_version("m", 3, Millis(9_000));
     prove(&mut weights, 2, 2_000);
     assert_eq!(weights.first_newer("m", 2, 1_500), Some(Millis(3_500)));
@@ -203,7 +204,7 @@
     for sent in (2_000..20_000).step_by(1_000) {
         weights.note_listed(&listed(&[]), Millis(sent), Millis(sent + 4));
     }
-    // Nothing newer than 1 was named by 19 s: the lists prove it.
+    // The lists prove that no version above 1 was published by 19 s.
     assert_eq!(required(&weights, 19_500), Some(1));
 }
 
@@ -221,8 +222,8 @@
     assert_eq!(weights.required("third", &BOUNDS, Millis(7_000)), None);
 }
 
-/// A node that makes no calls of its own, as one that follows relays, is told by reports
-/// that name as many models as do not fit into one datagram.
+/// A node that follows relays makes no store calls of its own. It depends on reports, which
+/// may contain more models than fit into one datagram.
 #[test]
 fn a_report_in_several_parts_proves_as_much_as_one_in_a_single_part() {
     let models: Vec<String> = (0..25).map(|index| format!("model-{index}")).collect();
@@ -239,22 +240,23 @@
     );
     assert!(
         receiver.is_proven(),
-        "never ready otherwise, and nothing is read"
+        "the node would never become ready, although it reads nothing itself"
     );
-    // No part names all models: one that is not named may have a version.
+    // No part contains all models, so a model that is missing may have a version.
     assert_eq!(receiver.required("another", &BOUNDS, Millis(6_900)), None);
 }
 
 /// A step of a schedule.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The store acknowledges the next version.
+    /// The store acknowledges the next version of the weights.
     Name,
-    /// A node lists; the store answers at once or late, by what it has then.
+    /// A node lists the versions; the store's answer reflects the state at the time of the
+    /// call and arrives immediately or late.
     List { node: usize, late_ms: u64 },
-    /// A watch tells a node the newest version.
+    /// A watch delivers the newest version to a node.
     Watch { node: usize },
-    /// A node sends a report; the other answers later with what it knows then.
+    /// A node sends a report; the other node answers when it arrives, with its state then.
     Exchange {
         from: usize,
         to: usize,
@@ -275,7 +277,7 @@
     ]
 }
 
-/// What comes later, by its time.
+/// An event that is scheduled for a later time.
 enum Later {
     Listed {
         node: usize,
@@ -295,7 +297,7 @@
     },
 }
 
-/// Three nodes whose clocks begin at different times, and the store.
+/// Three nodes with different clock offsets, and the store.
 struct Fleet {
     now: u64,
     acknowledged: Vec<u64>,
@@ -303,7 +305,7 @@
     later: Vec<(u64, Later)>,
 }
 
-/// How far a node's clock is ahead of the schedule's.
+/// Time by which each node's clock is ahead of the schedule's, in milliseconds.
 const AHEAD_MS: [u64; 3] = [1_000_000, 5_000, 77_777];
 
 const STRICT: WeightsBounds = WeightsBounds {
@@ -407,8 +409,8 @@
         }
     }
 
-    /// The lowest version on which a request may begin now by the bound: nothing above
-    /// it was acknowledged so long ago.
+    /// The lowest version on which the bound allows a request to begin now: no version above
+    /// it was acknowledged that long ago.
     fn lowest_allowed(&self) -> u64 {
         let due = self.acknowledged.iter();
         let due = due.filter(|at| **at + STRICT.avoid_after_ms <= self.now);
@@ -419,8 +421,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
-    /// However late answers and reports come, and whatever a node missed, no node lets a
-    /// request begin on weights after the bound.
+    /// However late answers and reports arrive, and whatever a node has missed, no node lets
+    /// a request begin on old weights after the bound.
     #[test]
     fn no_schedule_lets_a_request_begin_on_old_weights_after_the_bound(
         steps in prop::collection::vec((step(), 0u64..1_500), 1..120),
