--- a/crates/balancing/src/cache_contents.rs
+++ b/crates/balancing/src/cache_contents.rs
@@ -137,9 +137,9 @@
         let Some(share) = share else {
             return;
         };
-        let told: HashSet<PartKey> = parts.iter().map(|(part, _)| *part).collect();
+        let reported: HashSet<PartKey> = parts.iter().map(|(part, _)| *part).collect();
         let known = self.kept_tokens.keys();
-        let dropped = known.filter(|part| share.has(**part) && !told.contains(part));
+        let dropped = known.filter(|part| share.has(**part) && !reported.contains(part));
         for part in dropped.copied().collect::<Vec<PartKey>>() {
             self.set(part, 0);
         }
--- a/crates/balancing/src/cache_stores.rs
+++ b/crates/balancing/src/cache_stores.rs
@@ -109,12 +109,12 @@
     }
 
     /// Applies a relay's report on a store whose events this node does not follow itself.
-    pub fn apply_reported(&mut self, told: &StoreUpdate, now: Millis) {
+    pub fn apply_reported(&mut self, update: &StoreUpdate, now: Millis) {
         let mut stores = self.by_address.iter_mut();
-        let known = stores.find(|(address, _)| StoreTag::of(**address) == told.store);
+        let known = stores.find(|(address, _)| StoreTag::of(**address) == update.store);
         if let Some((_, record)) = known {
             let contents = &mut record.contents;
-            contents.apply_parts(told.epoch, &told.parts, told.share);
+            contents.apply_parts(update.epoch, &update.parts, update.share);
             record.state = CacheStoreState::Followed;
             record.reported_at = Some(now);
         }
@@ -171,14 +171,14 @@
     }
 }
 
-/// Whether a store other than the one at `but` holds the shared prompt completely.
+/// Whether a store other than the one at `excluded` holds the shared prompt completely.
 pub fn is_kept_elsewhere(
     stores: &[(&CacheStore, &KnownStore)],
-    but: SocketAddr,
+    excluded: SocketAddr,
     salt: &str,
     shared: &[PromptPart],
 ) -> bool {
-    let mut others = stores.iter().filter(|(store, _)| store.address != but);
+    let mut others = stores.iter().filter(|(store, _)| store.address != excluded);
     let has = |record: &KnownStore| shared.iter().all(|part| record.contents.has(salt, part));
     others.any(|(_, record)| has(record))
 }
--- a/crates/balancing/src/catalogue.rs
+++ b/crates/balancing/src/catalogue.rs
@@ -66,9 +66,9 @@
     /// copy, and carries the heartbeat that was already known at the removal.
     fn is_in_copy(&self, record: &EngineRecord) -> bool {
         let era = |revision| StoreRevision::of_packed(revision).era;
-        let is_told = self.heartbeat != Heartbeat::default();
+        let has_heartbeat = self.heartbeat != Heartbeat::default();
         let is_of_later_era = era(record.revision) > era(self.revision);
-        is_of_later_era && is_told && record.heartbeat == self.heartbeat
+        is_of_later_era && has_heartbeat && record.heartbeat == self.heartbeat
     }
 }
 
@@ -138,13 +138,13 @@
         let Some(engine) = self.engines.get_mut(instance) else {
             return false;
         };
-        let told = Heartbeat {
+        let reported = Heartbeat {
             born_ms,
             sequence: 0,
         };
-        let is_later = told.is_of_later_start(engine.record.heartbeat);
+        let is_later = reported.is_of_later_start(engine.record.heartbeat);
         if is_later {
-            engine.record.heartbeat = told;
+            engine.record.heartbeat = reported;
             engine.begin_life();
         }
         is_later
--- a/crates/balancing/src/engine_losses.rs
+++ b/crates/balancing/src/engine_losses.rs
@@ -97,9 +97,12 @@
 }
 
 impl Suspect {
-    /// Whether enough connection attempts have failed that all began at or after `heard`.
-    fn is_lost_since(&self, heard: Millis) -> bool {
-        let later = self.failures.iter().filter(|failed| failed.began >= heard);
+    /// Whether enough connection attempts have failed that all began at or after `last_seen`.
+    fn is_lost_since(&self, last_seen: Millis) -> bool {
+        let later = self
+            .failures
+            .iter()
+            .filter(|failed| failed.began >= last_seen);
         let first = later.clone().map(|failed| failed.began).min();
         let last = later.clone().map(|failed| failed.ended).max();
         let has_failed_for = match (first, last) {
@@ -113,7 +116,7 @@
 #[derive(Clone, Copy, Debug)]
 struct LossReport {
     nodes: u32,
-    heard_at: Millis,
+    received_at: Millis,
 }
 
 /// Engines that are lost or suspected to be lost.
@@ -241,11 +244,12 @@
     }
 
     /// Whether this node has found the engine to be lost, by connection attempts that all
-    /// began at or after `heard`, the time of its last sign of life. `engines` is the number
+    /// began at or after `last_seen`, the time of its last sign of life. `engines` is the number
     /// of engines in the catalogue.
-    pub fn is_lost_since(&self, instance: &InstanceId, heard: Millis, engines: usize) -> bool {
+    pub fn is_lost_since(&self, instance: &InstanceId, last_seen: Millis, engines: usize) -> bool {
         let suspect = self.suspects.get(instance);
-        suspect.is_some_and(|suspect| suspect.is_lost_since(heard)) && !self.is_own_fault(engines)
+        suspect.is_some_and(|suspect| suspect.is_lost_since(last_seen))
+            && !self.is_own_fault(engines)
     }
 
     /// Like [`Self::is_lost_since`], and in addition the engine's record is gone or another
@@ -253,7 +257,7 @@
     pub fn is_dead_since(
         &self,
         instance: &InstanceId,
-        heard: Millis,
+        last_seen: Millis,
         engines: usize,
         now: Millis,
     ) -> bool {
@@ -261,17 +265,17 @@
             return false;
         };
         let is_confirmed =
-            suspect.record_is_gone || self.others(EngineTag::of(instance), true, now) > 0;
-        is_confirmed && self.is_lost_since(instance, heard, engines)
+            suspect.record_is_gone || self.other_nodes(EngineTag::of(instance), true, now) > 0;
+        is_confirmed && self.is_lost_since(instance, last_seen, engines)
     }
 
     /// Number of other nodes that cannot reach the engine. A relay's count includes this
-    /// node if it `has_told` the relay of the loss itself.
-    fn others(&self, engine: EngineTag, has_told: bool, now: Millis) -> u32 {
+    /// node if it `has_reported` the relay of the loss itself.
+    fn other_nodes(&self, engine: EngineTag, has_reported: bool, now: Millis) -> u32 {
         let direct: u32 = self.reported_by(engine, ReportSource::Node, now).sum();
         let zones: u32 = self.reported_by(engine, ReportSource::OtherZone, now).sum();
         let relayed = self.reported_by(engine, ReportSource::Relay, now).max();
-        let relayed = relayed.unwrap_or(0).saturating_sub(u32::from(has_told));
+        let relayed = relayed.unwrap_or(0).saturating_sub(u32::from(has_reported));
         relayed.max(direct + zones)
     }
 
@@ -284,7 +288,7 @@
     ) -> impl Iterator<Item = u32> + '_ {
         let senders = self.reports.get(&engine).into_iter().flatten();
         let fresh = senders.filter(move |((source, _), report)| {
-            *source == wanted && now.since(report.heard_at) < REPORT_VALID_MS
+            *source == wanted && now.since(report.received_at) < REPORT_VALID_MS
         });
         fresh.map(|(_, report)| report.nodes)
     }
@@ -302,17 +306,17 @@
         let needed = (fleet as f64 * NODES_UNTIL_CHECK_SHARE) as u32;
         let needed = needed.max(NODES_UNTIL_CHECK);
         let mut to_check = Vec::new();
-        for told in lost {
+        for reported in lost {
             let report = LossReport {
-                nodes: told.nodes,
-                heard_at: now,
+                nodes: reported.nodes,
+                received_at: now,
             };
-            let known = self.reports.entry(told.engine).or_default();
+            let known = self.reports.entry(reported.engine).or_default();
             known.insert((source, sender), report);
-            let reached = self.reached.get(&told.engine);
+            let reached = self.reached.get(&reported.engine);
             let was_reached = reached.is_some_and(|at| now.since(*at) < REACHED_MS);
-            if !was_reached && self.others(told.engine, false, now) >= needed {
-                to_check.push(told.engine);
+            if !was_reached && self.other_nodes(reported.engine, false, now) >= needed {
+                to_check.push(reported.engine);
             }
         }
         to_check
@@ -321,7 +325,7 @@
     /// Removes expired reports.
     pub fn expire(&mut self, now: Millis) {
         self.reports.retain(|_, senders| {
-            senders.retain(|_, report| now.since(report.heard_at) < REPORT_VALID_MS);
+            senders.retain(|_, report| now.since(report.received_at) < REPORT_VALID_MS);
             !senders.is_empty()
         });
         self.reached.retain(|_, at| now.since(*at) < REACHED_MS);
@@ -340,10 +344,10 @@
         }
         lost.sort_by_key(|(lost_at, engine)| (std::cmp::Reverse(*lost_at), *engine));
         lost.truncate(MAX_REPORTED);
-        let told = lost
+        let reported = lost
             .into_iter()
             .map(|(_, engine)| LostEngine { engine, nodes: 1 });
-        told.collect()
+        reported.collect()
     }
 
     /// The losses that a relay reports to the nodes of its zone: its own findings and those
@@ -369,11 +373,11 @@
             }
         }
         let sums = sums.into_iter().filter(|(_, nodes)| *nodes > 0);
-        let mut told: Vec<LostEngine> = sums
+        let mut reported: Vec<LostEngine> = sums
             .map(|(engine, nodes)| LostEngine { engine, nodes })
             .collect();
-        told.sort_by_key(|lost| (std::cmp::Reverse(lost.nodes), lost.engine));
-        told.truncate(MAX_REPORTED);
-        told
+        reported.sort_by_key(|lost| (std::cmp::Reverse(lost.nodes), lost.engine));
+        reported.truncate(MAX_REPORTED);
+        reported
     }
 }
--- a/crates/balancing/src/engine_notices/exchange.rs
+++ b/crates/balancing/src/engine_notices/exchange.rs
@@ -41,27 +41,29 @@
     /// The reports to send now: all notices that are due, and once in each period some of
     /// the notices that this node received from the engine itself or relays.
     pub fn due_reports(&mut self, round: ReportRound, now: Millis) -> Vec<ReportedLeaving> {
-        let mut told = self.due(now);
-        for engine in &told {
+        let mut reported = self.due(now);
+        for engine in &reported {
             let leaving = self.notices.get_mut(engine);
             if let Some(leaving) = leaving.and_then(|known| known.leaving.as_mut()) {
                 leaving.telling.note_told(now);
             }
         }
         if round.is_period {
-            told.extend(self.next_in_turn(round.passes_on, now));
-            told.sort();
-            told.dedup();
+            reported.extend(self.next_in_turn(round.passes_on, now));
+            reported.sort();
+            reported.dedup();
         }
-        let told = told.into_iter();
-        told.filter_map(|engine| self.told(engine, now)).collect()
+        let reported = reported.into_iter();
+        reported
+            .filter_map(|engine| self.report_of(engine, now))
+            .collect()
     }
 
     /// Reports of all engines that are known to leave, for a node that has no state yet.
     pub fn all_leaving(&self, now: Millis) -> Vec<ReportedLeaving> {
         let engines = self.notices.keys();
         engines
-            .filter_map(|engine| self.told(*engine, now))
+            .filter_map(|engine| self.report_of(*engine, now))
             .collect()
     }
 
@@ -73,11 +75,11 @@
 
     fn next_in_turn(&mut self, passes_on: bool, now: Millis) -> Vec<EngineTag> {
         let leaving = self.leaving_engines();
-        let is_told = |leaving: &LeavingNotice| {
+        let is_repeatable = |leaving: &LeavingNotice| {
             let is_first_hand = leaving.source == NoticeSource::Answer;
             (is_first_hand || passes_on) && now.since(leaving.since) < REPEATED_FOR_MS
         };
-        let repeated = leaving.filter(|(_, leaving)| is_told(leaving));
+        let repeated = leaving.filter(|(_, leaving)| is_repeatable(leaving));
         let mut repeated: Vec<EngineTag> = repeated.map(|(engine, _)| engine).collect();
         let first = self.next_repeated % repeated.len().max(1);
         self.next_repeated = first + MAX_REPEATED;
@@ -91,7 +93,7 @@
         notices.filter_map(|(engine, known)| Some((*engine, known.leaving?)))
     }
 
-    fn told(&self, engine: EngineTag, now: Millis) -> Option<ReportedLeaving> {
+    fn report_of(&self, engine: EngineTag, now: Millis) -> Option<ReportedLeaving> {
         let known = self.notices.get(&engine)?;
         Some(ReportedLeaving {
             life: EngineLife {
@@ -105,18 +107,23 @@
     /// Applies another node's report; returns whether it was new. A relay `passes_on` new
     /// reports. Reports that are older than the retention time of notices are ignored, since
     /// nodes would otherwise keep each other's notices alive for ever.
-    pub fn apply_reported(&mut self, told: &ReportedLeaving, passes_on: bool, now: Millis) -> bool {
-        if told.age_ms >= KEPT_MS {
+    pub fn apply_reported(
+        &mut self,
+        reported: &ReportedLeaving,
+        passes_on: bool,
+        now: Millis,
+    ) -> bool {
+        if reported.age_ms >= KEPT_MS {
             return false;
         }
         let notice = LeavingNotice {
-            since: now.before(told.age_ms),
+            since: now.before(reported.age_ms),
             source: NoticeSource::Node,
             telling: match passes_on {
                 true => Telling::begin(now),
                 false => Telling::default(),
             },
         };
-        self.take_leaving(told.life, notice, now)
+        self.take_leaving(reported.life, notice, now)
     }
 }
--- a/crates/balancing/src/engine_notices/mod.rs
+++ b/crates/balancing/src/engine_notices/mod.rs
@@ -98,11 +98,11 @@
 
     /// Whether the notice is from the life of this heartbeat, or from a later one.
     fn holds_for(&self, heartbeat: Heartbeat) -> bool {
-        let said_by = Heartbeat {
+        let notice_heartbeat = Heartbeat {
             born_ms: self.born_ms,
             sequence: 0,
         };
-        !heartbeat.is_of_later_start(said_by)
+        !heartbeat.is_of_later_start(notice_heartbeat)
     }
 }
 
@@ -204,17 +204,17 @@
                 false => Some(self.notices.entry(life.engine).or_insert(begun)),
             };
         };
-        let told = Heartbeat {
+        let reported = Heartbeat {
             born_ms: life.born_ms,
             sequence: 0,
         };
-        if told.is_of_earlier_start(Heartbeat {
+        if reported.is_of_earlier_start(Heartbeat {
             born_ms: known.born_ms,
             sequence: 0,
         }) {
             return None;
         }
-        if !known.holds_for(told) {
+        if !known.holds_for(reported) {
             self.notices.insert(life.engine, begun);
         }
         let known = self.notices.get_mut(&life.engine)?;
--- a/crates/balancing/src/peer_loads.rs
+++ b/crates/balancing/src/peer_loads.rs
@@ -77,7 +77,7 @@
             return false;
         };
         if life != LifeChange::Same || report.is_full {
-            self.take_off(report.sender);
+            self.subtract_peer(report.sender);
         }
         let peer = self.peers.entry(report.sender).or_insert_with(|| Peer {
             zone: report.zone,
@@ -109,7 +109,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in silent {
-            self.take_off(id);
+            self.subtract_peer(id);
             self.peers.remove(&id);
         }
     }
@@ -184,7 +184,7 @@
         self.peers.len().max(self.relayed.member_count())
     }
 
-    fn take_off(&mut self, id: PeerId) {
+    fn subtract_peer(&mut self, id: PeerId) {
         let Some(peer) = self.peers.get_mut(&id) else {
             return;
         };
--- a/crates/balancing/src/relayed_loads.rs
+++ b/crates/balancing/src/relayed_loads.rs
@@ -50,7 +50,7 @@
 struct Relay {
     position: ReportPosition,
     totals: HashMap<EngineTag, EngineLoad>,
-    own_included: HashMap<EngineTag, EngineLoad>,
+    included_own_loads: HashMap<EngineTag, EngineLoad>,
     /// The time at which this node sent the report that the sums include.
     included_sent_at: Option<Millis>,
     loading: Vec<EngineTag>,
@@ -112,12 +112,12 @@
         let relay = self.relays.entry(report.sender).or_insert_with(|| Relay {
             position,
             totals: HashMap::new(),
-            own_included: HashMap::new(),
+            included_own_loads: HashMap::new(),
             included_sent_at: None,
             loading: Vec::new(),
         });
         relay.position = position;
-        relay.own_included = own;
+        relay.included_own_loads = own;
         relay.included_sent_at = included_sent_at.max(relay.included_sent_at);
         relay.loading.clone_from(&report.loading);
         if !report.members.is_empty() {
@@ -151,7 +151,7 @@
     pub fn at(&self, engine: EngineTag) -> Option<EngineLoad> {
         let relay = self.newest()?;
         let mut load = relay.totals.get(&engine).copied().unwrap_or_default();
-        if let Some(own) = relay.own_included.get(&engine) {
+        if let Some(own) = relay.included_own_loads.get(&engine) {
             load.subtract(*own);
         }
         Some(load)
--- a/crates/balancing/src/weights.rs
+++ b/crates/balancing/src/weights.rs
@@ -70,9 +70,9 @@
 /// A version and the latest time by which this node, or the node that reported it, knew of
 /// it.
 #[derive(Clone, Copy, Debug)]
-struct Named {
+struct KnownVersion {
     version: u64,
-    heard_at: Millis,
+    learned_at: Millis,
 }
 
 /// Proof that a version was the newest at the time when a store call was sent.
@@ -86,7 +86,7 @@
 /// proofs ascend in time too.
 #[derive(Clone, Debug, Default)]
 struct ModelWeights {
-    named: Vec<Named>,
+    named: Vec<KnownVersion>,
     proofs: Vec<NewestProof>,
 }
 
@@ -167,33 +167,33 @@
     /// ignored. Returns the versions that are higher than the known ones.
     pub fn apply_reported(
         &mut self,
-        news: &WeightsNews,
+        report: &WeightsNews,
         sent: Option<Millis>,
         now: Millis,
     ) -> Vec<ReportedVersion> {
         let mut named = Vec::new();
-        for told in &news.versions {
+        for reported in &report.versions {
             // Since the report took time to arrive, the other node learned of the version at
             // this time or earlier.
-            let named_at = now.before(told.named_age_ms.unwrap_or(0));
-            if self.note_version(&told.model, told.version, named_at) {
-                named.push(told.clone());
+            let named_at = now.before(reported.named_age_ms.unwrap_or(0));
+            if self.note_version(&reported.model, reported.version, named_at) {
+                named.push(reported.clone());
             }
         }
         let Some(sent) = sent else {
             return named;
         };
         let ago = |age_ms: u64| sent.before(age_ms);
-        for told in &news.versions {
-            if let Some(age_ms) = told.proof_age_ms {
-                let (version, at) = (told.version, ago(age_ms));
-                self.note_proof(&told.model, NewestProof { version, at });
+        for reported in &report.versions {
+            if let Some(age_ms) = reported.proof_age_ms {
+                let (version, at) = (reported.version, ago(age_ms));
+                self.note_proof(&reported.model, NewestProof { version, at });
             }
         }
-        if let (Some(age_ms), Some(known_for_ms)) = (news.proof_age_ms, news.known_for_ms) {
+        if let (Some(age_ms), Some(known_for_ms)) = (report.proof_age_ms, report.known_for_ms) {
             self.note_proven(ago(age_ms), ago(known_for_ms));
         }
-        let all_models_at = news.all_models_age_ms.map(ago);
+        let all_models_at = report.all_models_age_ms.map(ago);
         self.all_models_at = self.all_models_at.max(all_models_at);
         named
     }
@@ -225,7 +225,7 @@
     /// The newest version of a model and when this node learned of it.
     pub fn newest(&self, model: &str) -> Option<(u64, Millis)> {
         let newest = self.by_model.get(model)?.named.last()?;
-        Some((newest.version, newest.heard_at))
+        Some((newest.version, newest.learned_at))
     }
 
     /// The time at which the first version above `version` became known, as far as this node
@@ -235,13 +235,13 @@
     pub fn first_newer(&self, model: &str, version: u64, late_ms: u64) -> Option<Millis> {
         let weights = self.by_model.get(model)?;
         let mut named = weights.named.iter();
-        let heard_at = named.find(|named| named.version > version)?.heard_at;
+        let learned_at = named.find(|named| named.version > version)?.learned_at;
         let latest = match weights.proven_at(version) {
             Some(at) => at.plus(late_ms),
             None if self.known_since.is_some() => Millis(0),
-            None => heard_at,
+            None => learned_at,
         };
-        Some(heard_at.min(latest))
+        Some(learned_at.min(latest))
     }
 
     /// Remaining time for which requests may begin on a version, in milliseconds.
@@ -291,7 +291,7 @@
 }
 
 impl ModelWeights {
-    fn note_version(&mut self, version: u64, heard_at: Millis) -> bool {
+    fn note_version(&mut self, version: u64, learned_at: Millis) -> bool {
         if version == 0 {
             // 0 stands for no version.
             return false;
@@ -300,10 +300,16 @@
         let next = self.named.get(at).copied();
         if next.is_none_or(|next| next.version > version) {
             // A skipped version was published before the versions above it.
-            let heard_at = next.map_or(heard_at, |next| heard_at.min(next.heard_at));
-            self.named.insert(at, Named { version, heard_at });
+            let learned_at = next.map_or(learned_at, |next| learned_at.min(next.learned_at));
+            self.named.insert(
+                at,
+                KnownVersion {
+                    version,
+                    learned_at,
+                },
+            );
         }
-        self.note_known_by(at, heard_at);
+        self.note_known_by(at, learned_at);
         if self.named.len() > MAX_REMEMBERED {
             self.named.remove(0);
         }
@@ -314,7 +320,7 @@
     /// lower versions were known by then too, and were no longer the newest.
     fn note_known_by(&mut self, index: usize, known_at: Millis) {
         for named in &mut self.named[..=index] {
-            named.heard_at = named.heard_at.min(known_at);
+            named.learned_at = named.learned_at.min(known_at);
         }
         let version = self.named[index].version;
         for proof in self
@@ -338,7 +344,7 @@
     /// overwritten that version in the store: the higher version stays in force, and the proof
     /// counts for it.
     fn note_proof(&mut self, proof: NewestProof) {
-        let is_known_before = |named: &&Named| named.heard_at < proof.at;
+        let is_known_before = |named: &&KnownVersion| named.learned_at < proof.at;
         let known_before = self.named.iter().filter(is_known_before);
         let mut higher = known_before.filter(|named| named.version > proof.version);
         let Some(first_higher) = higher.next().copied() else {
@@ -347,7 +353,7 @@
         let last_higher = higher.next_back();
         let newest = last_higher.map_or(first_higher.version, |last| last.version);
         self.insert_proof(NewestProof {
-            at: first_higher.heard_at,
+            at: first_higher.learned_at,
             ..proof
         });
         self.insert_proof(NewestProof {
@@ -379,7 +385,7 @@
     fn named_age_ms(&self, version: u64, now: Millis) -> Option<u64> {
         let mut named = self.named.iter();
         let named = named.find(|named| named.version == version)?;
-        Some(now.since(named.heard_at))
+        Some(now.since(named.learned_at))
     }
 
     fn reported_versions(
@@ -388,7 +394,7 @@
         bounds: &WeightsBounds,
         now: Millis,
     ) -> Vec<ReportedVersion> {
-        let told = |version, proof_age_ms| ReportedVersion {
+        let reported = |version, proof_age_ms| ReportedVersion {
             model: model.to_owned(),
             version,
             named_age_ms: self.named_age_ms(version, now),
@@ -398,11 +404,11 @@
         let aged = proofs.map(|proof| (proof.version, now.since(proof.at)));
         let young = aged.filter(|(_, age_ms)| *age_ms < bounds.avoid_after_ms);
         let mut versions: Vec<ReportedVersion> = young
-            .map(|(version, age_ms)| told(version, Some(age_ms)))
+            .map(|(version, age_ms)| reported(version, Some(age_ms)))
             .collect();
         let newest = self.named.last().map_or(0, |named| named.version);
         if versions.last().is_none_or(|last| last.version < newest) {
-            versions.push(told(newest, None));
+            versions.push(reported(newest, None));
         }
         let first = versions.len().saturating_sub(MAX_REPORTED_PER_MODEL);
         versions.split_off(first)
