--- a/crates/balancing/src/relayed_loads.rs
+++ b/crates/balancing/src/relayed_loads.rs
@@ -158,8 +158,8 @@
     }
 
     /// Age of the loads that [`RelayedLoads::at`] returns, in milliseconds: the sums include
-    /// the nodes' reports up to about the time of this node's own report in them. `None` when
-    /// no relay has included a report of this node.
+    /// the nodes' reports up to about the time of this node's own report in them. `None`
+    /// without a relay, or when its sums include no known report of this node.
     pub fn age_ms(&self, now: Millis) -> Option<u64> {
         let sent_at = self.newest()?.included_sent_at?;
         Some(now.since(sent_at))
