--- a/crates/balancing/tests/weights.rs
+++ b/crates/balancing/tests/weights.rs
@@ -240,7 +240,7 @@
     );
     assert!(
         receiver.is_proven(),
-        "otherwise the node would never become ready"
+        "otherwise the node would never become ready, and nothing would be read"
     );
     // No part contains all models, so a model that is missing may have a version.
     assert_eq!(receiver.required("another", &BOUNDS, Millis(6_900)), None);
