--- a/crates/balancing/src/cache_stores.rs
+++ b/crates/balancing/src/cache_stores.rs
@@ -1,8 +1,9 @@
-//! What is known of the KV cache stores, one by one, and which of them saves a prompt.
+//! The known state of each KV cache store, and the choice of the store that saves a prompt.
 //!
-//! The stores of a region share its prompts by rendezvous hashing of the prompt's
-//! key: together they hold what one cannot. Once a store is filled, it gets no copy of
-//! a prompt that another store, which was used while this one was lost, keeps whole.
+//! The prompts of a region are distributed over its stores by rendezvous hashing of the
+//! prompt's key, so that the stores add up in capacity. A full store gets no copy of a
+//! prompt that another store holds completely, because that one was used while this store
+//! was lost.
 
 use crate::cache_contents::{CacheContents, KeyShare};
 use crate::store_admission::StoreFill;
@@ -14,74 +15,74 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What is known of a KV cache store.
+/// Whether a KV cache store answers, and whether its events are followed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CacheStoreState {
-    /// It does not answer: nothing is fetched from it or saved to it.
+    /// The store does not answer: nothing is fetched from it or saved to it.
     #[default]
     Lost,
-    /// It works, and has no room for this node's calls for events: what it holds
-    /// is not known, but for what this node has had saved.
+    /// The store works, but has no capacity for this node's event calls: of its contents
+    /// only the parts are known that this node has had saved.
     Unobserved,
-    /// Its events are followed.
+    /// The store's events are followed.
     Followed,
 }
 
-/// Time after which a store that relays tell of no longer is taken to be lost, in
-/// milliseconds: as long as their silence is borne.
-const TOLD_SILENCE_MS: u64 = 1_800;
+/// Time without a relay's report on a store after which the store counts as lost, in
+/// milliseconds; the same time for which silence of the relays is tolerated.
+const REPORT_SILENCE_MS: u64 = 1_800;
 
-/// A short name of a store's address, the same on all nodes.
+/// A hash of a store's address, the same on all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreTag(pub u32);
 
 impl StoreTag {
-    /// The short name of an address.
+    /// The tag of the store at an address.
     pub fn of(address: SocketAddr) -> Self {
         Self(xxh3_64_with_seed(address.to_string().as_bytes(), 0) as u32)
     }
 }
 
-/// What a node that follows a store tells of it.
+/// A report on a store's contents by a node that follows its events.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ToldContents {
+pub struct StoreUpdate {
     /// The store.
     pub store: StoreTag,
-    /// Its life.
+    /// The store's epoch.
     pub epoch: u64,
-    /// Some of its parts, and the tokens that are kept of each; 0 when it was dropped.
+    /// Some of its parts, with the tokens that are held of each; 0 for an evicted part.
     pub parts: Vec<(PartKey, u32)>,
-    /// The share of which these are all parts; nothing where they are changes.
+    /// The share that the parts cover completely; `None` when they are changes only.
     pub share: Option<KeyShare>,
 }
 
-/// What this node believes of one KV cache store.
+/// The known state and contents of one KV cache store.
 #[derive(Clone, Debug, Default)]
-pub struct StoreBelief {
+pub struct KnownStore {
     state: CacheStoreState,
     contents: CacheContents,
-    told_at: Option<Millis>,
+    reported_at: Option<Millis>,
 }
 
-impl StoreBelief {
-    /// What is known of the store itself.
+impl KnownStore {
+    /// The state of the store.
     pub fn state(&self) -> CacheStoreState {
         self.state
     }
 
-    /// What it holds.
+    /// The known contents.
     pub fn contents(&self) -> &CacheContents {
         &self.contents
     }
 
-    /// What it holds, to be changed.
+    /// The known contents, mutable.
     pub fn contents_mut(&mut self) -> &mut CacheContents {
         &mut self.contents
     }
 
-    /// Takes in what a call showed; tells what was known before. What a lost store held is
-    /// not used. If it comes back in another life its events tell so and nothing of it is
-    /// believed; nor is it where they cannot be heard.
+    /// Sets the state that a call has shown; returns the former one. The contents of a lost
+    /// store are kept but not used. They are discarded if the store comes back in a new epoch,
+    /// as its events show, or if its events cannot be followed.
     pub fn note_state(&mut self, state: CacheStoreState) -> CacheStoreState {
         if state == CacheStoreState::Unobserved && self.state != state {
             self.contents.forget();
@@ -90,70 +91,70 @@
     }
 }
 
-/// What this node believes of all KV cache stores.
+/// The known state of all KV cache stores, by address.
 #[derive(Clone, Debug, Default)]
 pub struct CacheStores {
-    by_address: BTreeMap<SocketAddr, StoreBelief>,
+    by_address: BTreeMap<SocketAddr, KnownStore>,
 }
 
 impl CacheStores {
-    /// What is believed of the store at an address; nothing when it is not in use.
-    pub fn of(&self, address: SocketAddr) -> Option<&StoreBelief> {
+    /// The store at an address; `None` when nothing is known of it.
+    pub fn of(&self, address: SocketAddr) -> Option<&KnownStore> {
         self.by_address.get(&address)
     }
 
-    /// What is believed of the store at an address, to be changed.
-    pub fn of_mut(&mut self, address: SocketAddr) -> &mut StoreBelief {
+    /// The store at an address, mutable; added when it is not known yet.
+    pub fn of_mut(&mut self, address: SocketAddr) -> &mut KnownStore {
         self.by_address.entry(address).or_default()
     }
 
-    /// Takes in what a relay tells of a store that this node does not follow by itself.
-    pub fn take_told(&mut self, told: &ToldContents, now: Millis) {
+    /// Applies a relay's report on a store whose events this node does not follow itself.
+    pub fn apply_reported(&mut self, update: &StoreUpdate, now: Millis) {
         let mut stores = self.by_address.iter_mut();
-        let known = stores.find(|(address, _)| StoreTag::of(**address) == told.store);
-        if let Some((_, belief)) = known {
-            let contents = &mut belief.contents;
-            contents.apply_told(told.epoch, &told.parts, told.share);
-            belief.state = CacheStoreState::Followed;
-            belief.told_at = Some(now);
+        let known = stores.find(|(address, _)| StoreTag::of(**address) == update.store);
+        if let Some((_, record)) = known {
+            let contents = &mut record.contents;
+            contents.apply_parts(update.epoch, &update.parts, update.share);
+            record.state = CacheStoreState::Followed;
+            record.reported_at = Some(now);
         }
     }
 
-    /// A store is known by what relays tell alone: it is taken to be lost when they
-    /// have not told of it for a while.
-    pub fn expire_told(&mut self, address: SocketAddr, now: Millis) {
-        let belief = self.of_mut(address);
-        let is_told = |at| now.since(at) < TOLD_SILENCE_MS;
-        if !belief.told_at.is_some_and(is_told) {
-            belief.note_state(CacheStoreState::Lost);
+    /// Marks a store that is known from relays' reports only as lost when there was no recent
+    /// report on it.
+    pub fn expire_reported(&mut self, address: SocketAddr, now: Millis) {
+        let record = self.of_mut(address);
+        let is_fresh = |at| now.since(at) < REPORT_SILENCE_MS;
+        if !record.reported_at.is_some_and(is_fresh) {
+            record.note_state(CacheStoreState::Lost);
         }
     }
 
-    /// Forgets the stores that are no longer configured.
+    /// Removes the stores that are no longer configured.
     pub fn retain(&mut self, is_configured: impl Fn(SocketAddr) -> bool) {
         self.by_address.retain(|address, _| is_configured(*address));
     }
 
-    /// The stores among `configured` that answer, with what is believed of them.
+    /// The stores among `configured` that answer, with their known state.
     pub fn in_use<'a>(
         &'a self,
         configured: impl Iterator<Item = &'a CacheStore>,
-    ) -> Vec<(&'a CacheStore, &'a StoreBelief)> {
+    ) -> Vec<(&'a CacheStore, &'a KnownStore)> {
         let known = configured.filter_map(|store| Some((store, self.of(store.address)?)));
-        let answering = known.filter(|(_, belief)| belief.state != CacheStoreState::Lost);
+        let answering = known.filter(|(_, record)| record.state != CacheStoreState::Lost);
         answering.collect()
     }
 }
 
-/// The store in which the prompts that engines of a zone read are saved: of the stores
-/// of its region the one that rendezvous hashing gives the prompt. Nothing where the
-/// region has none that answers: moves to other regions would keep links busy.
+/// The store that saves a prompt read by an engine of this zone: the one of the region's
+/// stores that rendezvous hashing selects for the prompt. `None` when the region has no
+/// store that answers, since transfers to other regions would load the links.
 pub fn saving_store<'a>(
-    stores: &[(&'a CacheStore, &'a StoreBelief)],
+    stores: &[(&'a CacheStore, &'a KnownStore)],
     topology: &Topology,
     zone: &ZoneName,
     key: ChainKey,
-) -> Option<(&'a CacheStore, &'a StoreBelief)> {
+) -> Option<(&'a CacheStore, &'a KnownStore)> {
     let is_near =
         |store: &CacheStore| topology.distance(zone, &store.zone) != Distance::OtherRegion;
     let weight =
@@ -162,22 +163,22 @@
     near.max_by_key(|(store, _)| weight(store))
 }
 
-/// How full a store is believed to be.
-pub fn fill(store: &CacheStore, belief: &StoreBelief) -> StoreFill {
+/// The assumed fill level of a store.
+pub fn fill(store: &CacheStore, record: &KnownStore) -> StoreFill {
     StoreFill {
-        kept_tokens: belief.contents.total_tokens(),
+        kept_tokens: record.contents.total_tokens(),
         capacity_tokens: store.capacity_tokens,
     }
 }
 
-/// Whether another store keeps the whole shared prompt.
+/// Whether a store other than the one at `excluded` holds the shared prompt completely.
 pub fn is_kept_elsewhere(
-    stores: &[(&CacheStore, &StoreBelief)],
-    but: SocketAddr,
+    stores: &[(&CacheStore, &KnownStore)],
+    excluded: SocketAddr,
     salt: &str,
     shared: &[PromptPart],
 ) -> bool {
-    let mut others = stores.iter().filter(|(store, _)| store.address != but);
-    let has = |belief: &StoreBelief| shared.iter().all(|part| belief.contents.has(salt, part));
-    others.any(|(_, belief)| has(belief))
+    let mut others = stores.iter().filter(|(store, _)| store.address != excluded);
+    let has = |record: &KnownStore| shared.iter().all(|part| record.contents.has(salt, part));
+    others.any(|(_, record)| has(record))
 }
--- a/crates/balancing/src/candidates.rs
+++ b/crates/balancing/src/candidates.rs
@@ -61,7 +61,7 @@
 ) -> Result<Candidates<'a>, NoChoice> {
     let index = view.catalogue.service_index(criteria.service);
     let index = index.ok_or(NoChoice::NoEngine)?;
-    let rooms = &view.catalogue.rooms;
+    let rate_limits = &view.catalogue.rate_limits;
     if index.len() > MAX_FULL_SCAN {
         let sample = sample(view, index, criteria, now);
         match eligible(sample.clone(), view.catalogue, criteria, now) {
@@ -75,7 +75,7 @@
             }
             // When most engines are rate-limited, the node that holds their limits knows
             // better than a full scan.
-            Err(NoChoice::RateLimited) if rooms.len() > index.len() / 2 => {
+            Err(NoChoice::RateLimited) if rate_limits.len() > index.len() / 2 => {
                 return Err(NoChoice::RateLimited);
             }
             // A full scan for each rejected request would cost too much.
--- a/crates/balancing/src/engine_notices/exchange.rs
+++ b/crates/balancing/src/engine_notices/exchange.rs
@@ -1,65 +1,69 @@
-//! What a node tells the others of engines that leave, and what it takes in from them.
+//! Exchange of notices of leaving engines between nodes.
 //!
-//! That an engine leaves holds for all. A backoff was asked of one node alone, and is told to
-//! nobody.
+//! A notice that an engine leaves concerns all nodes. A backoff concerns only the node that
+//! was asked for it, and is not reported to others.
 
 use super::{EngineLife, EngineNotices, LeavingNotice, NoticeSource, KEPT_MS};
 use crate::names::EngineTag;
 use ploverlift_policy::ids::Millis;
 use ploverlift_policy::telling::Telling;
 
-/// Engines in one message: with them it stays within one datagram.
-pub const MAX_TOLD: usize = 32;
-/// Engines that are told of at one time, beyond which the others wait for the next one.
-const MAX_DUE: usize = 16 * MAX_TOLD;
-/// Engines that are told of again in one period, though nothing has changed.
-const MAX_REPEATED: usize = 8 * MAX_TOLD;
-/// Time for which a notice is told again now and then, in milliseconds: nodes may be cut off.
-const TOLD_FOR_MS: u64 = 30_000;
+/// Maximum number of engines in one message, so that it fits into one datagram.
+pub const MAX_REPORTED: usize = 32;
+/// Maximum number of engines that are reported at one time; the others wait for the next
+/// time.
+const MAX_DUE: usize = 16 * MAX_REPORTED;
+/// Maximum number of engines with unchanged notices that are reported again in one period.
+const MAX_REPEATED: usize = 8 * MAX_REPORTED;
+/// Time for which a notice is reported repeatedly, in milliseconds, so that it also reaches
+/// nodes that were cut off for a while.
+const REPEATED_FOR_MS: u64 = 30_000;
 
-/// An engine that leaves, as one node tells another.
+/// A leaving engine as one node reports it to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldLeaving {
-    /// The life that said so.
+pub struct ReportedLeaving {
+    /// The life of the engine that sent the notice.
     pub life: EngineLife,
-    /// Time since a node first had it, in milliseconds.
+    /// Time since any node first received the notice, in milliseconds.
     pub age_ms: u64,
 }
 
-/// When something is told.
+/// The occasion for a set of reports.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Occasion {
-    /// Whether some of what has not changed is told again, in turn.
+pub struct ReportRound {
+    /// Whether some unchanged notices are reported again, in rotation.
     pub is_period: bool,
-    /// Whether this node passes on what others tell.
+    /// Whether this node relays the reports of others.
     pub passes_on: bool,
 }
 
 impl EngineNotices {
-    /// What is told now: what is due, and in each period some of what this node has heard
-    /// from the engine itself, or passes on.
-    pub fn news(&mut self, occasion: Occasion, now: Millis) -> Vec<ToldLeaving> {
-        let mut told = self.due(now);
-        for engine in &told {
+    /// The reports to send now: all notices that are due, and once in each period some of
+    /// the notices that this node received from the engine itself or relays.
+    pub fn due_reports(&mut self, round: ReportRound, now: Millis) -> Vec<ReportedLeaving> {
+        let mut reported = self.due(now);
+        for engine in &reported {
             let leaving = self.notices.get_mut(engine);
             if let Some(leaving) = leaving.and_then(|known| known.leaving.as_mut()) {
                 leaving.telling.note_told(now);
             }
         }
-        if occasion.is_period {
-            told.extend(self.next_in_turn(occasion.passes_on, now));
-            told.sort();
-            told.dedup();
+        if round.is_period {
+            reported.extend(self.next_in_turn(round.passes_on, now));
+            reported.sort();
+            reported.dedup();
         }
-        let told = told.into_iter();
-        told.filter_map(|engine| self.told(engine, now)).collect()
+        let reported = reported.into_iter();
+        reported
+            .filter_map(|engine| self.report_of(engine, now))
+            .collect()
     }
 
-    /// All engines that are known to leave, for a node that knows nothing yet.
-    pub fn everything(&self, now: Millis) -> Vec<ToldLeaving> {
+    /// Reports of all engines that are known to leave, for a node that has no state yet.
+    pub fn all_leaving(&self, now: Millis) -> Vec<ReportedLeaving> {
         let engines = self.notices.keys();
         engines
-            .filter_map(|engine| self.told(*engine, now))
+            .filter_map(|engine| self.report_of(*engine, now))
             .collect()
     }
 
@@ -71,14 +75,14 @@
 
     fn next_in_turn(&mut self, passes_on: bool, now: Millis) -> Vec<EngineTag> {
         let leaving = self.leaving_engines();
-        let is_told = |leaving: &LeavingNotice| {
-            let is_witness = leaving.source == NoticeSource::Answer;
-            (is_witness || passes_on) && now.since(leaving.since) < TOLD_FOR_MS
+        let is_repeatable = |leaving: &LeavingNotice| {
+            let is_first_hand = leaving.source == NoticeSource::Answer;
+            (is_first_hand || passes_on) && now.since(leaving.since) < REPEATED_FOR_MS
         };
-        let repeated = leaving.filter(|(_, leaving)| is_told(leaving));
+        let repeated = leaving.filter(|(_, leaving)| is_repeatable(leaving));
         let mut repeated: Vec<EngineTag> = repeated.map(|(engine, _)| engine).collect();
-        let first = self.next_told % repeated.len().max(1);
-        self.next_told = first + MAX_REPEATED;
+        let first = self.next_repeated % repeated.len().max(1);
+        self.next_repeated = first + MAX_REPEATED;
         repeated.rotate_left(first);
         repeated.truncate(MAX_REPEATED);
         repeated
@@ -89,9 +93,9 @@
         notices.filter_map(|(engine, known)| Some((*engine, known.leaving?)))
     }
 
-    fn told(&self, engine: EngineTag, now: Millis) -> Option<ToldLeaving> {
+    fn report_of(&self, engine: EngineTag, now: Millis) -> Option<ReportedLeaving> {
         let known = self.notices.get(&engine)?;
-        Some(ToldLeaving {
+        Some(ReportedLeaving {
             life: EngineLife {
                 engine,
                 born_ms: known.born_ms,
@@ -100,20 +104,26 @@
         })
     }
 
-    /// Takes in what another node tells; tells whether it was news. A relay `passes_on` what
-    /// is. What is older than an engine is remembered would never be forgotten otherwise.
-    pub fn hear(&mut self, told: &ToldLeaving, passes_on: bool, now: Millis) -> bool {
-        if told.age_ms >= KEPT_MS {
+    /// Applies another node's report; returns whether it was new. A relay `passes_on` new
+    /// reports. Reports that are older than the retention time of notices are ignored, since
+    /// nodes would otherwise keep each other's notices alive for ever.
+    pub fn apply_reported(
+        &mut self,
+        reported: &ReportedLeaving,
+        passes_on: bool,
+        now: Millis,
+    ) -> bool {
+        if reported.age_ms >= KEPT_MS {
             return false;
         }
         let notice = LeavingNotice {
-            since: now.before(told.age_ms),
+            since: now.before(reported.age_ms),
             source: NoticeSource::Node,
             telling: match passes_on {
                 true => Telling::begin(now),
                 false => Telling::default(),
             },
         };
-        self.take_leaving(told.life, notice, now)
+        self.take_leaving(reported.life, notice, now)
     }
 }
--- a/crates/balancing/src/lib.rs
+++ b/crates/balancing/src/lib.rs
@@ -32,7 +32,7 @@
 //! | [`rendezvous`] | rendezvous order of the engines for a prompt |
 //! | [`round_trips`] | round-trip times to other zones, measured on connections |
 //! | [`selection`] | the choice, by a cost in milliseconds with named terms |
-//! | [`engine_rooms`] | which engines with a rate limit can take requests |
+//! | [`engine_rate_limits`] | which engines with a rate limit can take requests |
 //! | [`report_position`] | which of a sender's reports is the newest |
 //! | [`retry_budget`] | how many retries may be sent |
 //! | [`load_schedule`] | when engines load new weights, and how many concurrently |
@@ -56,7 +56,7 @@
 pub mod engine_load;
 pub mod engine_losses;
 pub mod engine_notices;
-pub mod engine_rooms;
+pub mod engine_rate_limits;
 pub mod fleet;
 pub mod health;
 mod heartbeat;
--- a/crates/balancing/tests/engine_losses.rs
+++ b/crates/balancing/tests/engine_losses.rs
@@ -1,13 +1,13 @@
-//! When an engine counts as lost, and what nodes make of each other's word.
+//! When an engine counts as lost, and how nodes use each other's reports.
 
 use ploverlift_balancing::catalogue::InstanceId;
-use ploverlift_balancing::engine_losses::{EngineLosses, LostEngine, NewsSource, MAX_TOLD};
+use ploverlift_balancing::engine_losses::{EngineLosses, LostEngine, ReportSource, MAX_REPORTED};
 use ploverlift_balancing::peer_loads::{EngineTag, PeerId};
 use ploverlift_policy::ids::Millis;
 use std::net::SocketAddr;
 
 const SENT: Millis = Millis(10_000);
-/// Engines in the catalogue.
+/// Number of engines in the catalogue.
 const FLEET: usize = 90;
 
 fn engine() -> InstanceId {
@@ -25,7 +25,7 @@
     }]
 }
 
-/// Three connections failed, the last one at 10.6 s.
+/// Losses after three failed connections, the last one at 10.6 s.
 fn lost() -> EngineLosses {
     let mut losses = EngineLosses::default();
     for at in [10_000, 10_300, 10_600] {
@@ -43,7 +43,7 @@
     }
     losses.note_unreachable(&engine(), address(), Millis(10_500), Millis(10_500));
     assert!(losses.is_lost_since(&engine(), SENT, FLEET));
-    // A request that was sent since shows anew whether the engine is there.
+    // A request that was sent later needs failures of its own.
     assert!(!losses.is_lost_since(&engine(), Millis(10_501), FLEET));
 }
 
@@ -77,46 +77,52 @@
 }
 
 #[test]
-fn another_nodes_word_counts_for_two_seconds_and_its_own_echo_never() {
+fn another_nodes_report_counts_for_two_seconds_and_an_echo_of_the_own_one_never() {
     let heard = Millis(10_700);
     let relay = PeerId(5);
     let mut losses = lost();
-    losses.hear(NewsSource::Relay, relay, &told(1), 3, heard);
+    losses.apply_reported(ReportSource::Relay, relay, &told(1), 3, heard);
     assert!(!losses.is_dead_since(&engine(), SENT, FLEET, heard));
-    losses.hear(NewsSource::Relay, relay, &told(2), 3, heard);
+    losses.apply_reported(ReportSource::Relay, relay, &told(2), 3, heard);
     assert!(losses.is_dead_since(&engine(), SENT, FLEET, heard));
     assert!(!losses.is_dead_since(&engine(), SENT, FLEET, heard.plus(2_000)));
-    losses.hear(NewsSource::Node, PeerId(6), &told(1), 3, heard.plus(2_000));
+    losses.apply_reported(
+        ReportSource::Node,
+        PeerId(6),
+        &told(1),
+        3,
+        heard.plus(2_000),
+    );
     assert!(losses.is_dead_since(&engine(), SENT, FLEET, heard.plus(2_100)));
 }
 
 #[test]
-fn news_alone_makes_no_engine_lost() {
+fn reports_alone_make_no_engine_lost() {
     let mut losses = EngineLosses::default();
-    let to_check = losses.hear(NewsSource::Node, PeerId(6), &told(80), 3, SENT);
+    let to_check = losses.apply_reported(ReportSource::Node, PeerId(6), &told(80), 3, SENT);
     assert_eq!(to_check, [EngineTag::of(&engine())]);
     assert!(!losses.is_dead_since(&engine(), Millis(0), FLEET, SENT));
     assert!(!losses.is_lost_since(&engine(), Millis(0), FLEET));
 }
 
 #[test]
-fn news_of_an_engine_that_was_reached_lately_is_not_checked() {
+fn a_report_on_a_recently_reached_engine_starts_no_check() {
     let mut losses = lost();
     losses.note_reached(&engine(), Millis(11_000));
-    let hear = |losses: &mut EngineLosses, at: u64| {
-        losses.hear(NewsSource::Relay, PeerId(6), &told(2), 3, Millis(at))
+    let report = |losses: &mut EngineLosses, at: u64| {
+        losses.apply_reported(ReportSource::Relay, PeerId(6), &told(2), 3, Millis(at))
     };
-    assert!(hear(&mut losses, 15_999).is_empty());
-    assert_eq!(hear(&mut losses, 16_000).len(), 1);
+    assert!(report(&mut losses, 15_999).is_empty());
+    assert_eq!(report(&mut losses, 16_000).len(), 1);
 }
 
 #[test]
-fn a_relay_adds_up_its_zone_and_does_not_pass_zones_round() {
+fn a_relay_sums_its_zone_and_does_not_forward_other_zones_to_zones() {
     let now = Millis(10_700);
     let mut losses = lost();
-    losses.hear(NewsSource::Node, PeerId(6), &told(1), 3, now);
-    losses.hear(NewsSource::Node, PeerId(7), &told(1), 3, now);
-    losses.hear(NewsSource::OtherZone, PeerId(8), &told(4), 3, now);
+    losses.apply_reported(ReportSource::Node, PeerId(6), &told(1), 3, now);
+    losses.apply_reported(ReportSource::Node, PeerId(7), &told(1), 3, now);
+    losses.apply_reported(ReportSource::OtherZone, PeerId(8), &told(4), 3, now);
     assert_eq!(losses.own(90), told(1));
     assert_eq!(losses.of_zone(90, now), told(3));
     assert_eq!(losses.of_all(90, now), told(7));
@@ -125,7 +131,7 @@
 }
 
 #[test]
-fn a_report_tells_a_bounded_number_the_latest_first() {
+fn a_report_contains_a_bounded_number_of_engines_the_latest_first() {
     let mut losses = EngineLosses::default();
     for number in 0..40_u64 {
         let instance = InstanceId(format!("e-{number}"));
@@ -139,13 +145,13 @@
         }
     }
     let told = losses.own(200);
-    assert_eq!(told.len(), MAX_TOLD);
+    assert_eq!(told.len(), MAX_REPORTED);
     let latest = InstanceId("e-39".to_owned());
     assert_eq!(told[0].engine, EngineTag::of(&latest));
 }
 
 #[test]
-fn a_node_that_reaches_few_engines_takes_its_own_links_to_be_at_fault() {
+fn a_node_that_reaches_few_engines_reports_none_as_lost() {
     let mut losses = EngineLosses::default();
     for number in 0..30_u64 {
         let instance = InstanceId(format!("e-{number}"));
@@ -163,27 +169,27 @@
 }
 
 #[test]
-fn one_nodes_word_alone_starts_no_check() {
+fn one_nodes_report_alone_starts_no_check() {
     let mut losses = EngineLosses::default();
-    let hear = |losses: &mut EngineLosses, sender| {
-        losses.hear(NewsSource::Node, PeerId(sender), &told(1), 3, SENT)
+    let report = |losses: &mut EngineLosses, sender| {
+        losses.apply_reported(ReportSource::Node, PeerId(sender), &told(1), 3, SENT)
     };
-    assert!(hear(&mut losses, 6).is_empty());
-    assert!(hear(&mut losses, 6).is_empty());
-    assert_eq!(hear(&mut losses, 7).len(), 1);
-    // In a large fleet some links are always disturbed.
+    assert!(report(&mut losses, 6).is_empty());
+    assert!(report(&mut losses, 6).is_empty());
+    assert_eq!(report(&mut losses, 7).len(), 1);
+    // In a large fleet more reports are needed, since some links are always disturbed.
     let relay = PeerId(9);
-    let by_seven = losses.hear(NewsSource::Relay, relay, &told(7), 80, SENT);
+    let by_seven = losses.apply_reported(ReportSource::Relay, relay, &told(7), 80, SENT);
     assert!(by_seven.is_empty());
-    let by_eight = losses.hear(NewsSource::Relay, relay, &told(8), 80, SENT);
+    let by_eight = losses.apply_reported(ReportSource::Relay, relay, &told(8), 80, SENT);
     assert_eq!(by_eight.len(), 1);
 }
 
 #[test]
-fn a_connection_that_is_refused_or_a_call_without_an_answer_makes_no_engine_lost() {
+fn refused_connections_and_unanswered_calls_make_no_engine_lost() {
     let mut losses = EngineLosses::default();
     for _ in 0..10 {
-        losses.note_doubtful(&engine(), address());
+        losses.note_suspected(&engine(), address());
     }
     losses.note_record_gone(&engine(), address());
     assert_eq!(losses.take_due().len(), 1);
@@ -192,13 +198,13 @@
 }
 
 #[test]
-fn only_connections_begun_after_the_last_sign_of_life_speak_against_an_engine() {
+fn only_connections_begun_after_the_last_sign_of_life_count_as_failures() {
     let mut losses = EngineLosses::default();
     for began in [10_000, 10_300, 10_600, 10_900] {
         let (began, ended) = (Millis(began), Millis(began + 250));
         losses.note_unreachable(&engine(), address(), began, ended);
     }
-    // Three are later than 10.3 s and took over half a second; two are later than 10.4 s.
+    // Three began at 10.3 s or later and span over half a second; only two began later.
     assert!(losses.is_lost_since(&engine(), Millis(10_300), FLEET));
     assert!(!losses.is_lost_since(&engine(), Millis(10_301), FLEET));
     losses.note_unreachable(&engine(), address(), Millis(11_200), Millis(11_450));
@@ -206,7 +212,7 @@
 }
 
 #[test]
-fn a_node_that_lost_more_than_half_of_all_engines_gives_up_no_request() {
+fn a_node_that_lost_more_than_half_of_all_engines_aborts_no_request() {
     let instances: Vec<InstanceId> = (0..4).map(|n| InstanceId(format!("e-{n}"))).collect();
     let mut losses = EngineLosses::default();
     for instance in &instances[..3] {
@@ -218,17 +224,17 @@
         |losses: &EngineLosses, engines| losses.is_lost_since(&instances[0], SENT, engines);
     assert!(!trusts(&losses, 4));
     assert!(trusts(&losses, 6));
-    // Engines that have gone from the catalogue still count as engines.
+    // Engines that were removed from the catalogue still count.
     losses.note_record_gone(&instances[0], address());
     losses.note_record_gone(&instances[1], address());
     assert!(trusts(&losses, 4));
     assert!(!trusts(&losses, 3));
-    // Where there is one engine, it may be lost.
+    // A single engine may be lost.
     assert!(lost().is_lost_since(&engine(), SENT, 1));
 }
 
 #[test]
-fn a_record_that_comes_back_confirms_no_loss() {
+fn a_record_that_reappears_confirms_no_loss() {
     let now = Millis(10_700);
     let mut losses = lost();
     losses.note_record_gone(&engine(), address());
@@ -237,13 +243,13 @@
 }
 
 #[test]
-fn a_check_of_a_suspicion_that_was_dispelled_ends() {
+fn a_check_ends_when_its_suspicion_is_cleared() {
     let mut losses = lost();
     let old = losses.take_due().remove(0);
     assert!(losses.is_current(&old));
     losses.note_reached(&engine(), Millis(11_000));
     assert!(!losses.is_current(&old));
-    losses.note_doubtful(&engine(), address());
+    losses.note_suspected(&engine(), address());
     assert!(!losses.is_current(&old));
     let new = losses.take_due().remove(0);
     assert!(losses.is_current(&new));
--- a/crates/balancing/tests/notice_fleets.rs
+++ b/crates/balancing/tests/notice_fleets.rs
@@ -1,38 +1,38 @@
-//! How soon all nodes of a fleet know that an engine leaves, in virtual time.
+//! Time until all nodes of a fleet know that an engine leaves, in virtual time.
 //!
-//! The nodes run the real exchange; only datagrams and moments are simulated. Up to 20 nodes
-//! tell each other directly, more of them through two relays in each zone.
+//! The nodes run the real exchange; only datagrams and time are simulated. Up to 20 nodes
+//! report to each other directly, larger fleets through two relays in each zone.
 
-use ploverlift_balancing::engine_notices::exchange::{Occasion, ToldLeaving, MAX_TOLD};
+use ploverlift_balancing::engine_notices::exchange::{ReportRound, ReportedLeaving, MAX_REPORTED};
 use ploverlift_balancing::engine_notices::{EngineLife, EngineNotices};
 use ploverlift_balancing::names::EngineTag;
 use ploverlift_policy::ids::Millis;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Nodes up to which all tell each other.
+/// Maximum number of nodes that all report to each other.
 const MESH_NODES: usize = 20;
-/// Zones of a larger fleet.
+/// Number of zones of a larger fleet.
 const ZONES: usize = 5;
-/// Relays of a zone.
+/// Number of relays in each zone.
 const RELAYS: usize = 2;
-/// Share of the datagrams that are lost.
-const LOST: f64 = 0.05;
-/// Longest time that a datagram is under way, in milliseconds.
+/// Share of datagrams that are lost.
+const LOSS_SHARE: f64 = 0.05;
+/// Maximum transit time of a datagram, in milliseconds.
 const LONGEST_DELAY_MS: u64 = 5;
-/// Time between two looks of a node at what is due, in milliseconds.
-const LOOK_MS: u64 = 100;
-/// Time between two tellings of what has not changed, in milliseconds.
-const PERIOD_MS: u64 = 1_000;
-/// Time after which the simulation ends, in milliseconds.
-const LONGEST_MS: u64 = 10_000;
-/// When the first engine says that it leaves.
-const BEGAN: Millis = Millis(100_000);
+/// Interval at which a node polls for due reports, in milliseconds.
+const POLL_PERIOD_MS: u64 = 100;
+/// Period after which unchanged notices are reported again, in milliseconds.
+const REPEAT_PERIOD_MS: u64 = 1_000;
+/// Time after which the simulation fails, in milliseconds.
+const SIMULATION_LIMIT_MS: u64 = 10_000;
+/// The time at which engines announce that they leave.
+const START: Millis = Millis(100_000);
 
-/// Something that happens at a node.
+/// An event at a node.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Look,
+    Poll,
     Datagram(Vec<(EngineTag, u64)>),
 }
 
@@ -47,14 +47,14 @@
 impl Fleet {
     fn new(nodes: usize, seed: u64) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
-        let looks = (0..nodes).map(|node| {
-            let at = BEGAN.plus(random.u64(..LOOK_MS));
-            Reverse((at, node, Event::Look))
+        let polls = (0..nodes).map(|node| {
+            let at = START.plus(random.u64(..POLL_PERIOD_MS));
+            Reverse((at, node, Event::Poll))
         });
         Self {
-            events: looks.collect(),
+            events: polls.collect(),
             nodes: vec![EngineNotices::default(); nodes],
-            periods: vec![BEGAN; nodes],
+            periods: vec![START; nodes],
             random,
             datagrams: 0,
         }
@@ -64,7 +64,7 @@
         self.nodes.len() <= MESH_NODES
     }
 
-    /// Nodes `0..ZONES * RELAYS` relay; a node's zone is its number modulo the zones.
+    /// Nodes `0..ZONES * RELAYS` are relays; the zone of a node is its number modulo `ZONES`.
     fn is_relay(&self, node: usize) -> bool {
         !self.is_mesh() && node < ZONES * RELAYS
     }
@@ -86,35 +86,35 @@
         others.into_iter().filter(|other| *other != node).collect()
     }
 
-    /// An answer of the engine tells a node.
+    /// A node receives the engine's notice in an answer.
     fn answer(&mut self, node: usize, engine: u32) {
         let life = EngineLife {
             engine: EngineTag(engine),
             born_ms: 7,
         };
-        self.nodes[node].note_leaving(life, BEGAN);
-        self.events.push(Reverse((BEGAN, node, Event::Look)));
+        self.nodes[node].note_leaving(life, START);
+        self.events.push(Reverse((START, node, Event::Poll)));
     }
 
-    fn look(&mut self, node: usize, now: Millis) {
-        let is_period = now.since(self.periods[node]) >= PERIOD_MS;
+    fn poll(&mut self, node: usize, now: Millis) {
+        let is_period = now.since(self.periods[node]) >= REPEAT_PERIOD_MS;
         if is_period {
             self.periods[node] = now;
         }
-        let occasion = Occasion {
+        let round = ReportRound {
             is_period,
             passes_on: self.is_relay(node),
         };
-        let news = self.nodes[node].news(occasion, now);
+        let news = self.nodes[node].due_reports(round, now);
         let receivers = self.receivers(node);
-        for told in news.chunks(MAX_TOLD) {
+        for told in news.chunks(MAX_REPORTED) {
             let told: Vec<(EngineTag, u64)> = told
                 .iter()
                 .map(|told| (told.life.engine, told.age_ms))
                 .collect();
             for receiver in &receivers {
                 self.datagrams += 1;
-                if self.random.f64() < LOST {
+                if self.random.f64() < LOSS_SHARE {
                     continue;
                 }
                 let at = now.plus(1 + self.random.u64(..LONGEST_DELAY_MS));
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Takes in a datagram; tells how many engines are news.
+    /// Applies a datagram; returns the number of engines whose notices are new to the node.
     fn take(&mut self, node: usize, told: &[(EngineTag, u64)], now: Millis) -> usize {
         let passes_on = self.is_relay(node);
         let notices = &mut self.nodes[node];
@@ -134,26 +134,30 @@
                 born_ms: 7,
             };
             let age_ms = *age_ms;
-            notices.hear(&ToldLeaving { life, age_ms }, passes_on, now)
+            notices.apply_reported(&ReportedLeaving { life, age_ms }, passes_on, now)
         });
         let news = news.count();
         if news > 0 {
-            self.look(node, now);
+            self.poll(node, now);
         }
         news
     }
 
-    /// Time until all nodes know of all engines, in milliseconds. One node was told of each.
-    fn known_after_ms(&mut self, engines: u32) -> u64 {
+    /// Time until all nodes know of all engines, in milliseconds. At the start one node knows of
+    /// each engine.
+    fn converged_after_ms(&mut self, engines: u32) -> u64 {
         let mut missing = (self.nodes.len() - 1) * engines as usize;
         while let Some(Reverse((now, node, event))) = self.events.pop() {
-            let passed_ms = now.since(BEGAN);
-            assert!(passed_ms < LONGEST_MS, "{missing} notices are missing");
+            let passed_ms = now.since(START);
+            assert!(
+                passed_ms < SIMULATION_LIMIT_MS,
+                "{missing} notices are missing"
+            );
             match event {
-                Event::Look => {
-                    self.look(node, now);
-                    let next = now.plus(LOOK_MS);
-                    self.events.push(Reverse((next, node, Event::Look)));
+                Event::Poll => {
+                    self.poll(node, now);
+                    let next = now.plus(POLL_PERIOD_MS);
+                    self.events.push(Reverse((next, node, Event::Poll)));
                 }
                 Event::Datagram(told) => missing -= self.take(node, &told, now),
             }
@@ -165,9 +169,9 @@
     }
 }
 
-/// Guards against a fact that a fleet hears at one node and keeps there.
+/// Guards against a notice that stays at the node that received it.
 #[test]
-fn all_nodes_know_within_a_second_that_an_engine_leaves_though_datagrams_are_lost() {
+fn all_nodes_learn_within_a_second_that_an_engine_leaves_despite_lost_datagrams() {
     for nodes in [7, 69, 985] {
         let mut times = Vec::new();
         let mut datagrams = 0;
@@ -175,7 +179,7 @@
             let mut fleet = Fleet::new(nodes, seed);
             let told = fleet.random.usize(..nodes);
             fleet.answer(told, 0);
-            times.push(fleet.known_after_ms(1));
+            times.push(fleet.converged_after_ms(1));
             datagrams = datagrams.max(fleet.datagrams);
         }
         times.sort_unstable();
@@ -185,16 +189,16 @@
     }
 }
 
-/// Guards against one word of many engines at once that takes the fleet seconds.
+/// Guards against notices of many engines at the same time taking the fleet many seconds.
 #[test]
-fn all_nodes_know_soon_that_hundreds_of_engines_leave_at_once() {
+fn all_nodes_learn_within_two_seconds_that_hundreds_of_engines_leave() {
     let engines = 400;
     let mut fleet = Fleet::new(985, 1);
     for engine in 0..engines {
         let told = fleet.random.usize(..985);
         fleet.answer(told, engine);
     }
-    let known_after_ms = fleet.known_after_ms(engines);
-    println!("{known_after_ms} ms, {} datagrams", fleet.datagrams);
-    assert!(known_after_ms < 2_000, "{known_after_ms} ms");
+    let converged_after_ms = fleet.converged_after_ms(engines);
+    println!("{converged_after_ms} ms, {} datagrams", fleet.datagrams);
+    assert!(converged_after_ms < 2_000, "{converged_after_ms} ms");
 }
--- a/crates/balancing/tests/relayed_loads.rs
+++ b/crates/balancing/tests/relayed_loads.rs
@@ -1,11 +1,11 @@
-//! Sums that relays report: what is taken off as one's own, what is overtaken, and
-//! when a relay no longer counts.
+//! Load sums reported by relays: subtraction of a node's own loads, overtaken reports, and
+//! expiry of silent relays.
 
 use ploverlift_balancing::catalogue::{EngineCatalogue, EngineRecord, Heartbeat, InstanceId};
 use ploverlift_balancing::peer_loads::{
     present_loads, EngineLoad, EngineTag, LoadReport, PeerId, PeerLoads, ZoneTag,
 };
-use ploverlift_balancing::prefix_holders::{Placement, PlacementNews, PrefixHolders};
+use ploverlift_balancing::prefix_holders::{Placement, PlacementChange, PrefixHolders};
 use ploverlift_balancing::relayed_loads::{RelayedLoads, RelayedReport, RELAY_SILENCE_MS};
 use ploverlift_policy::ids::{Millis, ZoneName};
 use ploverlift_routing::configuration::ServiceName;
@@ -37,11 +37,11 @@
 }
 
 #[test]
-fn just_what_this_node_had_reported_is_taken_off() {
+fn exactly_the_included_own_report_is_subtracted() {
     let mut loads = RelayedLoads::default();
     loads.note_own_report(10, HashMap::from([(ENGINE, load(2, 300))]), NOW);
     loads.note_own_report(11, HashMap::from([(ENGINE, load(5, 900))]), NOW.plus(80));
-    // The sums contain the earlier report only.
+    // The sums include the earlier report only.
     assert!(loads.apply(&report(1, 1, load(6, 1_000)), Some(10), NOW.plus(90)));
     assert_eq!(loads.at(ENGINE), Some(load(4, 700)));
     assert!(loads.apply(&report(1, 2, load(9, 1_600)), Some(11), NOW.plus(190)));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn overtaken_reports_change_nothing_and_a_restarted_relay_begins_anew() {
+fn overtaken_reports_are_ignored_and_a_restarted_relay_begins_with_no_loads() {
     let mut loads = RelayedLoads::default();
     assert!(loads.apply(&report(1, 5, load(6, 0)), None, NOW));
     assert!(!loads.apply(&report(1, 4, load(1, 0)), None, NOW));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_silent_relay_gives_way_to_another_and_at_last_to_the_nodes_own_reports() {
+fn a_silent_relay_is_replaced_by_another_and_finally_by_reports_of_nodes() {
     let mut loads = PeerLoads::default();
     let own_report = LoadReport {
         sender: PeerId(3),
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_nodes_present_loads_are_those_of_its_requests_under_way() {
+fn present_loads_are_those_of_requests_in_flight() {
     let instance = InstanceId("e".to_owned());
     let mut catalogue = EngineCatalogue::default();
     catalogue.upsert(EngineRecord {
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_placement_is_news_when_it_changes_who_keeps_the_part_or_was_told_long_ago() {
+fn a_placement_counts_as_change_when_the_holders_change_or_its_report_is_old() {
     let mut holders = PrefixHolders::default();
     let mut news = |engine: u32, is_kept: bool, after_ms: u64| {
         let placement = Placement {
@@ -146,18 +146,18 @@
         let others = holders.holders_of(PartKey(1), NOW.plus(after_ms));
         (news, others.map(|engine| engine.0).collect::<Vec<_>>())
     };
-    let kept = |holders| PlacementNews::Kept { holders };
+    let kept = |holders| PlacementChange::Kept { holders };
     assert_eq!(news(1, true, 0), (kept(1), vec![1]));
-    assert_eq!(news(1, true, 10), (PlacementNews::Known, vec![1]));
+    assert_eq!(news(1, true, 10), (PlacementChange::Known, vec![1]));
     assert_eq!(news(2, true, 20), (kept(2), vec![1, 2]));
     assert_eq!(news(1, true, 5_100), (kept(2), vec![1, 2]));
-    assert_eq!(news(1, false, 5_200), (PlacementNews::Dropped, vec![2]));
-    assert_eq!(news(1, false, 5_300), (PlacementNews::Known, vec![2]));
+    assert_eq!(news(1, false, 5_200), (PlacementChange::Dropped, vec![2]));
+    assert_eq!(news(1, false, 5_300), (PlacementChange::Known, vec![2]));
     assert_eq!(news(1, true, 15_050), (kept(1), vec![1]));
 }
 
 #[test]
-fn a_lower_life_is_heard_once_the_higher_one_is_silent_for_half_a_second() {
+fn a_lower_life_is_accepted_after_half_a_second_without_the_higher_one() {
     let mut loads = PeerLoads::default();
     let of_life = |life: u64, sequence: u64, requests: u32| LoadReport {
         sender: PeerId(9),
--- a/crates/balancing/tests/weights.rs
+++ b/crates/balancing/tests/weights.rs
@@ -1,8 +1,8 @@
-//! Which weights a request may begin on: proofs with an age, own ones and those of other
-//! nodes.
+//! Which weights a request may begin on, by the ages of a node's own proofs and of those
+//! that other nodes report.
 
 use ploverlift_balancing::weights::{
-    Listed, NamedWeights, ToldVersion, WeightsBounds, WeightsNews,
+    ListedVersions, NamedWeights, ReportedVersion, WeightsBounds, WeightsNews,
 };
 use ploverlift_policy::ids::Millis;
 use proptest::prelude::*;
@@ -12,15 +12,15 @@
     avoid_after_start_ms: 2_500,
 };
 
-fn listed<'a>(versions: &[(&'a str, u64)]) -> Listed<'a> {
-    Listed {
+fn listed<'a>(versions: &[(&'a str, u64)]) -> ListedVersions<'a> {
+    ListedVersions {
         versions: versions.to_vec(),
         is_complete: true,
     }
 }
 
 fn prove(weights: &mut NamedWeights, version: u64, sent: u64) {
-    weights.prove(&listed(&[("m", version)]), Millis(sent), Millis(sent + 4));
+    weights.note_listed(&listed(&[("m", version)]), Millis(sent), Millis(sent + 4));
 }
 
 fn required(weights: &NamedWeights, now: u64) -> Option<u64> {
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn old_weights_are_avoided_before_the_bound() {
+fn old_weights_are_not_used_after_the_bound() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
-    assert!(weights.name("m", 2, Millis(1_100)));
-    assert!(!weights.name("m", 2, Millis(2_000)));
-    assert!(!weights.name("m", 1, Millis(2_000)));
+    assert!(weights.note_version("m", 2, Millis(1_100)));
+    assert!(!weights.note_version("m", 2, Millis(2_000)));
+    assert!(!weights.note_version("m", 1, Millis(2_000)));
     prove(&mut weights, 2, 3_900);
-    assert!(weights.name("m", 3, Millis(4_000)));
+    assert!(weights.note_version("m", 3, Millis(4_000)));
     assert_eq!(required(&weights, 6_999), Some(1));
     assert_eq!(required(&weights, 7_000), Some(2));
     assert_eq!(required(&weights, 9_899), Some(2));
@@ -45,21 +45,21 @@
 }
 
 #[test]
-fn a_version_that_is_not_known_is_avoided_for_as_well() {
+fn no_version_may_be_used_when_a_newer_one_may_be_unknown() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
-    // Nothing was heard since: a newer one may have been named right after the proof.
+    // Without a later proof a newer version may have been published right after this one.
     assert_eq!(required(&weights, 6_999), Some(1));
     assert_eq!(required(&weights, 7_000), None);
     prove(&mut weights, 1, 8_000);
     assert_eq!(required(&weights, 8_004), Some(1));
-    // A model without any version is as well proven.
+    // That another model has no version is proven as well.
     assert_eq!(weights.required("other", &BOUNDS, Millis(8_004)), Some(0));
     assert_eq!(weights.required("other", &BOUNDS, Millis(14_000)), None);
 }
 
 #[test]
-fn versions_that_were_missed_count_from_the_last_proof_before_them() {
+fn missed_versions_count_from_the_last_proof_before_them() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
     prove(&mut weights, 4, 5_000);
@@ -69,25 +69,25 @@
 }
 
 #[test]
-fn a_model_that_gets_its_first_version_had_none_until_then() {
+fn a_model_counts_as_without_weights_until_its_first_version() {
     let mut weights = NamedWeights::default();
-    weights.prove(&listed(&[]), Millis(1_000), Millis(1_004));
-    weights.name("m", 1, Millis(2_000));
+    weights.note_listed(&listed(&[]), Millis(1_000), Millis(1_004));
+    weights.note_version("m", 1, Millis(2_000));
     assert_eq!(required(&weights, 6_999), Some(0));
     prove(&mut weights, 1, 3_000);
     assert_eq!(required(&weights, 7_000), Some(1));
 }
 
 #[test]
-fn before_any_proof_nothing_may_begin() {
+fn no_request_may_begin_before_the_first_proof() {
     let mut weights = NamedWeights::default();
     assert_eq!(required(&weights, 1_000), None);
-    weights.name("m", 2, Millis(1_000));
+    weights.note_version("m", 2, Millis(1_000));
     assert_eq!(required(&weights, 1_001), None);
 }
 
 #[test]
-fn a_fleet_that_starts_anew_bears_older_weights_for_a_moment() {
+fn a_restarted_fleet_accepts_older_weights_for_a_short_time() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 2, 0);
     assert_eq!(required(&weights, 2_499), Some(0));
@@ -100,16 +100,20 @@
     assert_eq!(weights.left_ms("m", 1, &short, Millis(100)), 300);
 }
 
-/// What a node tells that has proven version 2 for long, and version 1 before.
-fn news_of_a_settled_node() -> WeightsNews {
-    let told = |version, named_age_ms, proof_age_ms| ToldVersion {
+/// Report of a node that had proofs of version 1 and has had proofs of version 2 for a
+/// while.
+fn report_of_a_long_running_node() -> WeightsNews {
+    let version_report = |version, named_age_ms, proof_age_ms| ReportedVersion {
         model: "m".to_owned(),
         version,
         named_age_ms: Some(named_age_ms),
         proof_age_ms: Some(proof_age_ms),
     };
     WeightsNews {
-        versions: vec![told(1, 60_000, 5_500), told(2, 4_800, 300)],
+        versions: vec![
+            version_report(1, 60_000, 5_500),
+            version_report(2, 4_800, 300),
+        ],
         proof_age_ms: Some(300),
         all_models_age_ms: Some(300),
         known_for_ms: Some(90_000),
@@ -117,36 +121,36 @@
 }
 
 #[test]
-fn a_node_that_starts_counts_versions_as_the_others_do() {
+fn a_starting_node_takes_over_the_version_ages_of_other_nodes() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 2, 10_000);
     assert_eq!(required(&weights, 10_050), Some(0));
-    let news = news_of_a_settled_node();
-    weights.hear(&news, Some(Millis(10_060)), Millis(10_100));
+    let news = report_of_a_long_running_node();
+    weights.apply_reported(&news, Some(Millis(10_060)), Millis(10_100));
     assert_eq!(required(&weights, 10_100), Some(1));
     assert_eq!(required(&weights, 10_560), Some(2));
-    // Loads are due as if this node had heard of it with the others.
+    // Loads are due as if this node had learned of the version when the others did.
     let named_at = weights.first_newer("m", 1, 1_500);
     assert_eq!(named_at, Some(Millis(10_100 - 4_800)));
     assert_eq!(weights.first_newer("m", 2, 1_500), None);
 }
 
 #[test]
-fn a_node_that_starts_after_the_bound_uses_older_weights_no_more() {
+fn a_node_that_starts_after_the_bound_rejects_older_weights() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 2, 10_000);
-    let mut news = news_of_a_settled_node();
+    let mut news = report_of_a_long_running_node();
     news.versions.remove(0);
-    weights.hear(&news, Some(Millis(10_060)), Millis(10_100));
+    weights.apply_reported(&news, Some(Millis(10_060)), Millis(10_100));
     assert_eq!(required(&weights, 10_100), Some(2));
     assert_eq!(weights.first_newer("m", 1, 1_500), Some(Millis(0)));
 }
 
 #[test]
-fn what_answers_no_report_of_this_node_names_versions_and_proves_nothing() {
+fn an_unsolicited_report_adds_versions_but_no_proofs() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
-    let named = weights.hear(&news_of_a_settled_node(), None, Millis(6_900));
+    let named = weights.apply_reported(&report_of_a_long_running_node(), None, Millis(6_900));
     assert_eq!(named.len(), 1);
     assert_eq!(weights.newest("m"), Some((2, Millis(2_100))));
     assert_eq!(weights.proof_age_ms(Millis(6_900)), Some(5_900));
@@ -154,11 +158,11 @@
 }
 
 #[test]
-fn a_version_that_the_store_shows_no_more_binds_all_the_same() {
+fn a_version_that_the_store_has_lost_stays_in_force() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
-    weights.name("m", 2, Millis(2_000));
-    // A write of version 1 that got no answer was done once more.
+    weights.note_version("m", 2, Millis(2_000));
+    // A write of version 1 that was not acknowledged was executed again, late.
     for sent in [3_000, 5_000, 8_500] {
         prove(&mut weights, 1, sent);
     }
@@ -169,26 +173,26 @@
 }
 
 #[test]
-fn a_node_that_starts_believes_others_more_than_a_store_that_shows_less() {
+fn a_starting_node_trusts_higher_versions_of_other_nodes_over_the_store() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 10_000);
-    let mut news = news_of_a_settled_node();
+    let mut news = report_of_a_long_running_node();
     news.versions.remove(0);
-    // Named 4.8 s before; whether or not the report answers one of this node.
-    weights.hear(&news, None, Millis(10_100));
+    // Known for 4.8 s, whether or not the report answers one of this node's.
+    weights.apply_reported(&news, None, Millis(10_100));
     assert_eq!(weights.left_ms("m", 1, &BOUNDS, Millis(10_100)), 1_200);
     prove(&mut weights, 1, 11_000);
     assert_eq!(required(&weights, 11_300), Some(2));
 }
 
 #[test]
-fn loads_are_due_from_when_a_version_was_heard_of_in_time() {
+fn first_newer_is_capped_by_the_last_proof_plus_the_allowed_delay() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
-    weights.name("m", 2, Millis(1_900));
+    weights.note_version("m", 2, Millis(1_900));
     assert_eq!(weights.first_newer("m", 1, 1_500), Some(Millis(1_900)));
-    // Heard long after the last proof: it may have been named at once.
-    weights.name("m", 3, Millis(9_000));
+    // Learned long after the last proof: it may have been published right after that.
+    weights.note_version("m", 3, Millis(9_000));
     prove(&mut weights, 2, 2_000);
     assert_eq!(weights.first_newer("m", 2, 1_500), Some(Millis(3_500)));
 }
@@ -198,57 +202,61 @@
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
     for sent in (2_000..20_000).step_by(1_000) {
-        weights.prove(&listed(&[]), Millis(sent), Millis(sent + 4));
+        weights.note_listed(&listed(&[]), Millis(sent), Millis(sent + 4));
     }
-    // Nothing newer than 1 was named by 19 s: the lists prove it.
+    // The lists prove that no version above 1 was published by 19 s.
     assert_eq!(required(&weights, 19_500), Some(1));
 }
 
 #[test]
-fn a_version_that_cannot_be_read_proves_nothing_of_its_model() {
+fn an_unreadable_version_is_no_proof_for_its_model() {
     let mut weights = NamedWeights::default();
     prove(&mut weights, 1, 1_000);
-    let unreadable = Listed {
+    let unreadable = ListedVersions {
         is_complete: false,
         ..listed(&[("other", 4)])
     };
-    weights.prove(&unreadable, Millis(6_000), Millis(6_004));
+    weights.note_listed(&unreadable, Millis(6_000), Millis(6_004));
     assert_eq!(required(&weights, 7_000), None);
     assert_eq!(weights.required("other", &BOUNDS, Millis(7_000)), Some(4));
     assert_eq!(weights.required("third", &BOUNDS, Millis(7_000)), None);
 }
 
-/// A node that makes no calls of its own, as one that follows relays, is told by reports
-/// that name as many models as do not fit into one datagram.
+/// A node that follows relays makes no store calls of its own. It depends on reports, which
+/// may contain more models than fit into one datagram.
 #[test]
-fn news_of_many_models_prove_as_much_as_news_of_a_few() {
+fn a_report_in_several_parts_proves_as_much_as_one_in_a_single_part() {
     let models: Vec<String> = (0..25).map(|index| format!("model-{index}")).collect();
-    let mut teller = NamedWeights::default();
+    let mut sender = NamedWeights::default();
     let newest: Vec<(&str, u64)> = models.iter().map(|model| (model.as_str(), 1)).collect();
-    teller.prove(&listed(&newest), Millis(1_000), Millis(1_004));
-    let mut told = NamedWeights::default();
-    for news in teller.news(&BOUNDS, Millis(1_100)).parts(24) {
-        told.hear(&news, Some(Millis(1_090)), Millis(1_101));
+    sender.note_listed(&listed(&newest), Millis(1_000), Millis(1_004));
+    let mut receiver = NamedWeights::default();
+    for news in sender.current_report(&BOUNDS, Millis(1_100)).parts(24) {
+        receiver.apply_reported(&news, Some(Millis(1_090)), Millis(1_101));
     }
-    assert_eq!(told.required("model-7", &BOUNDS, Millis(6_900)), Some(1));
+    assert_eq!(
+        receiver.required("model-7", &BOUNDS, Millis(6_900)),
+        Some(1)
+    );
     assert!(
-        told.is_proven(),
-        "never ready otherwise, and nothing is read"
+        receiver.is_proven(),
+        "otherwise the node would never become ready, and nothing would be read"
     );
-    // No part names all models: one that is not named may have a version.
-    assert_eq!(told.required("another", &BOUNDS, Millis(6_900)), None);
+    // No part contains all models, so a model that is missing may have a version.
+    assert_eq!(receiver.required("another", &BOUNDS, Millis(6_900)), None);
 }
 
 /// A step of a schedule.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The store acknowledges the next version.
+    /// The store acknowledges the next version of the weights.
     Name,
-    /// A node lists; the store answers at once or late, by what it has then.
+    /// A node lists the versions; the store's answer reflects the state at the time of the
+    /// call and arrives immediately or late.
     List { node: usize, late_ms: u64 },
-    /// A watch tells a node the newest version.
+    /// A watch delivers the newest version to a node.
     Watch { node: usize },
-    /// A node sends a report; the other answers later with what it knows then.
+    /// A node sends a report; the other node answers when it arrives, with its state then.
     Exchange {
         from: usize,
         to: usize,
@@ -269,7 +277,7 @@
     ]
 }
 
-/// What comes later, by its time.
+/// An event that is scheduled for a later time.
 enum Later {
     Listed {
         node: usize,
@@ -289,7 +297,7 @@
     },
 }
 
-/// Three nodes whose clocks begin at different times, and the store.
+/// Three nodes with different clock offsets, and the store.
 struct Fleet {
     now: u64,
     acknowledged: Vec<u64>,
@@ -297,7 +305,7 @@
     later: Vec<(u64, Later)>,
 }
 
-/// How far a node's clock is ahead of the schedule's.
+/// Time by which each node's clock is ahead of the schedule's, in milliseconds.
 const AHEAD_MS: [u64; 3] = [1_000_000, 5_000, 77_777];
 
 const STRICT: WeightsBounds = WeightsBounds {
@@ -338,7 +346,7 @@
             }
             Step::Watch { node } => {
                 let (version, at) = (self.newest(), self.local(node, now));
-                self.nodes[node].name("m", version, at);
+                self.nodes[node].note_version("m", version, at);
             }
             Step::Exchange {
                 from,
@@ -378,7 +386,7 @@
                 sent,
             } => {
                 let (sent, now) = (self.local(node, sent), self.local(node, now));
-                self.nodes[node].prove(&listed(&[("m", version)]), sent, now);
+                self.nodes[node].note_listed(&listed(&[("m", version)]), sent, now);
             }
             Later::Asked {
                 from,
@@ -386,7 +394,7 @@
                 sent,
                 back_ms,
             } => {
-                let news = self.nodes[to].news(&STRICT, self.local(to, now));
+                let news = self.nodes[to].current_report(&STRICT, self.local(to, now));
                 let answered = Later::Answered {
                     node: from,
                     news,
@@ -396,13 +404,13 @@
             }
             Later::Answered { node, news, sent } => {
                 let (sent, now) = (self.local(node, sent), self.local(node, now));
-                self.nodes[node].hear(&news, Some(sent), now);
+                self.nodes[node].apply_reported(&news, Some(sent), now);
             }
         }
     }
 
-    /// The lowest version on which a request may begin now by the bound: nothing above
-    /// it was acknowledged so long ago.
+    /// The lowest version on which the bound allows a request to begin now: no version above
+    /// it was acknowledged that long ago.
     fn lowest_allowed(&self) -> u64 {
         let due = self.acknowledged.iter();
         let due = due.filter(|at| **at + STRICT.avoid_after_ms <= self.now);
@@ -413,10 +421,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
-    /// However late answers and reports come, and whatever a node missed, no node lets a
-    /// request begin on weights after the bound.
+    /// However late answers and reports arrive, and whatever a node has missed, no node lets
+    /// a request begin on old weights after the bound.
     #[test]
-    fn no_schedule_lets_a_request_begin_after_the_bound(
+    fn no_schedule_lets_a_request_begin_on_old_weights_after_the_bound(
         steps in prop::collection::vec((step(), 0u64..1_500), 1..120),
     ) {
         let mut fleet = Fleet::new();
