--- a/crates/gateway/src/rollouts/choice.rs
+++ b/crates/gateway/src/rollouts/choice.rs
@@ -68,7 +68,7 @@
         held_back.extend(unplaced);
         let decided = own.and_then(|own| self.decision(rollout, request, engines, own, now));
         let Some(decision) = decided else {
-            let rule = match rollout.stage().is_some_and(|stage| !stage.is_end()) {
+            let rule = match rollout.stage().is_some_and(|stage| !stage.is_terminal()) {
                 true => SoftwareRule::Except(rollout.gate_target().clone()),
                 false => SoftwareRule::Any,
             };
@@ -113,7 +113,7 @@
         let view = FleetView {
             sums: known.sums,
             own_in_sums: known.own,
-            stage_heard_at: self.orders.proven_at().unwrap_or(Millis(0)),
+            stage_verified_at: self.orders.proven_at().unwrap_or(Millis(0)),
             seat: own.seat,
         };
         let target = rollout.gate_target();
--- a/crates/gateway/src/rollouts/decider.rs
+++ b/crates/gateway/src/rollouts/decider.rs
@@ -151,7 +151,7 @@
         let mut members = members_of(rollout, &listed, own.node);
         members.push(Member {
             node: own.node,
-            heard_at: Some(now),
+            last_heard_at: Some(now),
             confirmation: own_word,
         });
         let engines = supply(&beliefs.engines, service);
@@ -243,12 +243,12 @@
     let silent = listed.iter().filter(|id| !rollout.members.contains_key(id));
     let silent = silent.map(|id| Member {
         node: *id,
-        heard_at: None,
+        last_heard_at: None,
         confirmation: None,
     });
     let heard = rollout.members.iter().map(|(id, member)| Member {
         node: *id,
-        heard_at: Some(member.heard_at).filter(|at| *at > Millis(0)),
+        last_heard_at: Some(member.heard_at).filter(|at| *at > Millis(0)),
         confirmation: member.confirmation,
     });
     silent
--- a/crates/gateway/src/rollouts/left_versions.rs
+++ b/crates/gateway/src/rollouts/left_versions.rs
@@ -87,6 +87,6 @@
 
     fn is_ended(&self) -> bool {
         let stage = self.gate.as_ref().map(|gate| gate.progress().stage);
-        stage.is_some_and(Stage::is_end)
+        stage.is_some_and(Stage::is_terminal)
     }
 }
--- a/crates/gateway/src/rollouts/service.rs
+++ b/crates/gateway/src/rollouts/service.rs
@@ -181,7 +181,7 @@
         let present = self.gate.as_mut();
         if let Some(gate) = present.filter(|gate| gate.progress().rollout == progress.rollout) {
             let before = gate.progress().clone();
-            gate.take_progress(progress.clone());
+            gate.update_progress(progress.clone());
             let is_news = before.epoch != gate.progress().epoch;
             return is_news.then_some(StageChange {
                 before: Some(before.stage),
@@ -263,7 +263,7 @@
     pub fn is_open(&self) -> bool {
         let is_running = || {
             let stage = self.gate.as_ref().map(|gate| gate.progress().stage);
-            stage.is_none_or(|stage| !stage.is_end())
+            stage.is_none_or(|stage| !stage.is_terminal())
         };
         !self.is_withdrawn && (self.pending_target.is_some() || is_running())
     }
@@ -282,13 +282,13 @@
 
     /// Takes in what a node of this zone, or this one, has counted.
     pub fn take_counts(&mut self, report: &CountReport) {
-        self.zone.take(report);
-        self.fleet.take(report);
+        self.zone.merge_report(report);
+        self.fleet.merge_report(report);
     }
 
     /// Takes in what another zone has counted.
     pub fn take_zone_counts(&mut self, report: &CountReport) {
-        self.fleet.take(report);
+        self.fleet.merge_report(report);
     }
 
     /// Takes in what a relay says that the fleet has counted; `own` is what this node
@@ -322,7 +322,7 @@
         let buckets = 0..BUCKETS;
         let slowest = buckets
             .rev()
-            .find(|bucket| self.established_ms.from_bucket(*bucket) > longer);
+            .find(|bucket| self.established_ms.count_from_bucket(*bucket) > longer);
         slowest.map_or(0, bucket_end_ms)
     }
 
@@ -340,7 +340,7 @@
     pub fn advance(
         &mut self,
         own: &OwnSeat,
-        stage_heard_at: Millis,
+        stage_verified_at: Millis,
         now: Millis,
     ) -> Option<Finding> {
         let mut gate = self.gate.take()?;
@@ -348,7 +348,7 @@
         let view = FleetView {
             sums: known.sums,
             own_in_sums: known.own,
-            stage_heard_at,
+            stage_verified_at,
             seat: own.seat,
         };
         gate.advance(&view, now);
--- a/crates/gateway/tests/rollout_reports/messages.rs
+++ b/crates/gateway/tests/rollout_reports/messages.rs
@@ -129,7 +129,7 @@
         let mut sum = Counts::default();
         let told = pieces.iter().flat_map(|piece| &piece.counts);
         told.filter(|told| told.service == counted.service)
-            .for_each(|told| sum.highest(&told.counts));
+            .for_each(|told| sum.merge_max(&told.counts));
         assert_eq!(sum, counted.counts);
     }
 }
--- a/crates/rollout/src/acceptance.rs
+++ b/crates/rollout/src/acceptance.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Assurance {
     /// Before the deadline: on the whole; by route and since all traffic moved, a little.
-    InHaste,
+    Reduced,
     /// After the deadline there is time: of each.
     Full,
 }
@@ -36,7 +36,7 @@
 /// with a tenth of its answers, and since all traffic moved.
 pub fn is_accepted(sums: &Counts, since_cut_over: &Counts, assurance: Assurance) -> bool {
     let (chance, part_chance) = match assurance {
-        Assurance::InHaste => (
+        Assurance::Reduced => (
             FALSE_ACCEPTANCE_CHANCE_IN_HASTE,
             FALSE_ACCEPTANCE_CHANCE_OF_PART_IN_HASTE,
         ),
@@ -55,10 +55,10 @@
 /// Whether its first bytes came so soon that a version of which [`LATER_PART`] more are
 /// beyond the established median hardly ever gave them. To be asked while the established
 /// engines answer at the same time.
-pub fn is_prompt(sums: &Counts) -> bool {
+pub fn is_first_byte_timely(sums: &Counts) -> bool {
     let log_ratios = sums.routes.values().filter_map(|counts| {
         let (bucket, borne) = later_half(&counts.established)?;
-        let late = counts.target.first_byte.from_bucket(bucket);
+        let late = counts.target.first_byte.count_from_bucket(bucket);
         let answers = counts.target.first_byte.total();
         Some(log_ratio(answers, late, borne, LATER_PART))
     });
--- a/crates/rollout/src/baseline.rs
+++ b/crates/rollout/src/baseline.rs
@@ -51,7 +51,7 @@
 
     pub(crate) fn borne_late(&self, bucket: usize) -> f64 {
         let times = &self.times().first_byte;
-        upper_share(times.from_bucket(bucket), times.total()).clamp(MIN_BORNE_LATE, MAX_BORNE)
+        upper_share(times.count_from_bucket(bucket), times.total()).clamp(MIN_BORNE_LATE, MAX_BORNE)
     }
 }
 
@@ -66,8 +66,8 @@
 pub(crate) fn later_half(established: &SideCounts) -> Option<(usize, f64)> {
     let bucket = late_bucket(established, 0.5)?;
     let times = &established.first_byte;
-    let beyond = times.from_bucket(bucket);
-    let with_room = times.from_bucket(bucket.saturating_sub(1));
+    let beyond = times.count_from_bucket(bucket);
+    let with_room = times.count_from_bucket(bucket.saturating_sub(1));
     let borne = (beyond + with_room) / 2;
     Some((bucket, upper_share(borne, times.total()).min(MAX_BORNE)))
 }
@@ -79,5 +79,5 @@
     if total < MIN_BASELINE_ANSWERS {
         return None;
     }
-    (0..BUCKETS).find(|&bucket| times.from_bucket(bucket) as f64 <= share * total as f64)
+    (0..BUCKETS).find(|&bucket| times.count_from_bucket(bucket) as f64 <= share * total as f64)
 }
--- a/crates/rollout/src/canary_choice.rs
+++ b/crates/rollout/src/canary_choice.rs
@@ -19,7 +19,7 @@
 const ROUTE_START: f64 = 3.0;
 /// Answers of the target on routes whose requests may be repeated, before it gets one
 /// that may run once only.
-pub const SHOWN_ANSWERS: u64 = 20;
+pub const MIN_REPEATABLE_ANSWERS: u64 = 20;
 /// Failures among those answers that are borne beyond what the established engines'
 /// answers on the same routes bear, and two standard deviations of that.
 const SHOWN_FAILURES: f64 = 1.0;
@@ -30,13 +30,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
     /// It keeps to the preferred prompts.
-    ChosenPrompts,
+    PreferredPrompts,
     /// The preferred prompts do not use the share up.
     AnyPrompt,
 }
 
 /// Whether a request is the canary's.
-pub fn is_chosen(
+pub fn is_canary_request(
     request: &CanaryRequest,
     known: &Counts,
     share_ppm: u32,
@@ -80,7 +80,7 @@
     let failures: u64 = repeatable().map(|route| route.target.failures).sum();
     let borne: f64 = repeatable().map(borne_failures).sum();
     let by_chance = 2.0 * borne.sqrt() + SHOWN_FAILURES;
-    answers >= SHOWN_ANSWERS && failures as f64 <= borne + by_chance
+    answers >= MIN_REPEATABLE_ANSWERS && failures as f64 <= borne + by_chance
 }
 
 /// How many of the target's answers on a route may fail as the established ones do.
--- a/crates/rollout/src/counts.rs
+++ b/crates/rollout/src/counts.rs
@@ -43,10 +43,10 @@
 }
 
 impl SideCounts {
-    fn highest(&mut self, other: &Self) {
+    fn merge_max(&mut self, other: &Self) {
         self.answers = self.answers.max(other.answers);
         self.failures = self.failures.max(other.failures);
-        self.first_byte.highest(&other.first_byte);
+        self.first_byte.merge_max(&other.first_byte);
     }
 
     fn add(&mut self, other: &Self) {
@@ -89,12 +89,12 @@
         }
     }
 
-    fn highest(&mut self, other: &Self) {
+    fn merge_max(&mut self, other: &Self) {
         self.is_repeatable |= other.is_repeatable;
         self.requests = self.requests.max(other.requests);
         self.target_arrivals = self.target_arrivals.max(other.target_arrivals);
-        self.target.highest(&other.target);
-        self.established.highest(&other.established);
+        self.target.merge_max(&other.target);
+        self.established.merge_max(&other.established);
     }
 
     fn since(&self, earlier: &Self) -> Self {
@@ -193,9 +193,9 @@
     }
 
     /// The higher of each count.
-    pub fn highest(&mut self, other: &Self) {
+    pub fn merge_max(&mut self, other: &Self) {
         for (route, counts) in &other.routes {
-            self.routes.entry(*route).or_default().highest(counts);
+            self.routes.entry(*route).or_default().merge_max(counts);
         }
         for (slot, more) in self.target_engines.iter_mut().zip(&other.target_engines) {
             slot.answers = slot.answers.max(more.answers);
@@ -281,14 +281,14 @@
 
     /// Takes in a report, or what a relay passes on of one; those of another rollout
     /// change nothing. True if a count has risen.
-    pub fn take(&mut self, report: &CountReport) -> bool {
+    pub fn merge_report(&mut self, report: &CountReport) -> bool {
         if report.rollout != self.rollout {
             return false;
         }
         let key = (report.node, report.life);
         let known = self.reported.entry(key).or_default();
         let before = known.clone();
-        known.highest(&report.counts);
+        known.merge_max(&report.counts);
         let added = known.since(&before);
         let has_risen = *known != before;
         self.sums.add(&added);
--- a/crates/rollout/src/decider.rs
+++ b/crates/rollout/src/decider.rs
@@ -38,7 +38,7 @@
             Recorded::Present(progress) => progress,
             older => return Ok(self.begin(&older, input)),
         };
-        if progress.stage.is_end() {
+        if progress.stage.is_terminal() {
             self.present = None;
             return Ok(stay(Reason::Ended));
         }
--- a/crates/rollout/src/decision.rs
+++ b/crates/rollout/src/decision.rs
@@ -15,7 +15,7 @@
     /// The node.
     pub node: PeerId,
     /// When it was heard last, on the decider's clock; nothing if never.
-    pub heard_at: Option<Millis>,
+    pub last_heard_at: Option<Millis>,
     /// What it said last of the rollout.
     pub confirmation: Option<Confirmation>,
 }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -61,7 +61,7 @@
 
 impl Evidence {
     /// Tests of a rollout that lasts so long, in milliseconds.
-    pub fn lasting(duration_ms: u64) -> Self {
+    pub fn for_duration(duration_ms: u64) -> Self {
         Self {
             steps: duration_ms / STEP_MS + STEPS_AFTER_DEADLINE,
             seen: Counts::default(),
@@ -73,7 +73,7 @@
     }
 
     /// Takes in the fleet's sums; says what is bad, if that is proven.
-    pub fn take(&mut self, sums: &Counts, is_cutting_over: bool, now: Millis) -> Option<Finding> {
+    pub fn update(&mut self, sums: &Counts, is_cutting_over: bool, now: Millis) -> Option<Finding> {
         if let Some(finding) = many_bad_answers(sums, is_cutting_over) {
             return Some(finding);
         }
@@ -162,7 +162,7 @@
         let (bad, borne_share) = match symptom {
             Symptom::SlowFirstByte => {
                 let bucket = late_bucket(&established, LATE_QUANTILES[0]).unwrap_or(0);
-                let late = target.first_byte.from_bucket(bucket + LATE_ROOM);
+                let late = target.first_byte.count_from_bucket(bucket + LATE_ROOM);
                 (late, baseline.borne_late(bucket))
             }
             _ => (target.failures, baseline.borne_failures()),
@@ -185,7 +185,7 @@
         failures.step(&mut self.failures, 1.0);
         pooled.failures.add(&failures);
         if let Some((bucket, borne)) = later_half(baseline.times()).filter(|_| room == LATE_ROOM) {
-            let late = target.first_byte.from_bucket(bucket);
+            let late = target.first_byte.count_from_bucket(bucket);
             let later = Batch::new(target.first_byte.total(), late, borne);
             later.step(&mut self.later_half, LATE_DESIGN_EFFECT);
             pooled.later_half.add(&later);
@@ -194,7 +194,7 @@
             let Some(bucket) = late_bucket(baseline.times(), quantile) else {
                 continue;
             };
-            let late = target.first_byte.from_bucket(bucket + room);
+            let late = target.first_byte.count_from_bucket(bucket + room);
             let borne = baseline.borne_late(bucket);
             let late = Batch::new(target.first_byte.total(), late, borne);
             late.step(&mut self.late[index], LATE_DESIGN_EFFECT);
--- a/crates/rollout/src/excess.rs
+++ b/crates/rollout/src/excess.rs
@@ -32,7 +32,7 @@
 }
 
 /// The same where the tests show much of a proof already: fewer excuses are made.
-pub fn many_suspicious_answers(sums: &Counts, is_cutting_over: bool) -> Option<Finding> {
+pub fn many_bad_answers_under_suspicion(sums: &Counts, is_cutting_over: bool) -> Option<Finding> {
     excess_finding(sums, &UNDER_SUSPICION, is_cutting_over)
 }
 
@@ -95,7 +95,7 @@
         };
         let borne = Baseline::of_whole(&counts.established).borne_late(bucket);
         let times = &counts.target.first_byte;
-        let late = times.from_bucket(bucket + rule.late_room);
+        let late = times.count_from_bucket(bucket + rule.late_room);
         self.add(times.total(), late, borne * rule.factor);
     }
 
--- a/crates/rollout/src/first_byte.rs
+++ b/crates/rollout/src/first_byte.rs
@@ -25,7 +25,7 @@
     }
 
     /// Answers in a bucket or a later one.
-    pub fn from_bucket(&self, bucket: usize) -> u64 {
+    pub fn count_from_bucket(&self, bucket: usize) -> u64 {
         let later = self.buckets.iter().skip(bucket);
         later.map(|&count| u64::from(count)).sum()
     }
@@ -48,7 +48,7 @@
 
     /// The higher count of each bucket: what two reports of one node show, whichever
     /// was sent first.
-    pub fn highest(&mut self, other: &Self) {
+    pub fn merge_max(&mut self, other: &Self) {
         for (count, reported) in self.buckets.iter_mut().zip(other.buckets) {
             *count = (*count).max(reported);
         }
--- a/crates/rollout/src/gate_terms.rs
+++ b/crates/rollout/src/gate_terms.rs
@@ -41,7 +41,7 @@
     /// When the news of the present stage was issued, at the earliest, on this node's
     /// clock: the send of the question whose answer told it, or its receipt less its
     /// age.
-    pub stage_heard_at: Millis,
+    pub stage_verified_at: Millis,
     /// This node's seat.
     pub seat: Seat,
 }
--- a/crates/rollout/src/present_rollout.rs
+++ b/crates/rollout/src/present_rollout.rs
@@ -5,7 +5,7 @@
 use crate::counts::Counts;
 use crate::decision::{Decision, Reason};
 use crate::evidence::Evidence;
-use crate::excess::many_suspicious_answers;
+use crate::excess::many_bad_answers_under_suspicion;
 use crate::finding::Finding;
 use crate::schedule::{self, RequestRate};
 use crate::settings::Strategy;
@@ -39,7 +39,7 @@
     pub(crate) fn of(progress: &Progress, now: Millis) -> Self {
         Self {
             number: progress.rollout,
-            evidence: Evidence::lasting(progress.duration_ms),
+            evidence: Evidence::for_duration(progress.duration_ms),
             rate: RequestRate::default(),
             began_at: now,
             target_gone_since: None,
@@ -79,7 +79,7 @@
         };
         let assurance = match weighing.remaining_ms() {
             0 => Assurance::Full,
-            _ => Assurance::InHaste,
+            _ => Assurance::Reduced,
         };
         let since_cut_over = weighing.sums().since(at_cut_over);
         is_accepted(weighing.sums(), &since_cut_over, assurance)
@@ -88,10 +88,10 @@
     pub(crate) fn bad(&mut self, weighing: &Weighing<'_>) -> Option<Finding> {
         let is_cutting_over = weighing.progress.stage == Stage::CuttingOver;
         let now = weighing.input.now;
-        let by_counts = self.evidence.take(weighing.sums(), is_cutting_over, now);
+        let by_counts = self.evidence.update(weighing.sums(), is_cutting_over, now);
         let suspicion = self.suspicion_of(SUSPICION_PART_WITH_MANY);
-        let by_suspicion =
-            suspicion.and_then(|_| many_suspicious_answers(weighing.sums(), is_cutting_over));
+        let by_suspicion = suspicion
+            .and_then(|_| many_bad_answers_under_suspicion(weighing.sums(), is_cutting_over));
         by_counts
             .or(by_suspicion)
             .or_else(|| weighing.stopped_nodes())
--- a/crates/rollout/src/share.rs
+++ b/crates/rollout/src/share.rs
@@ -6,7 +6,7 @@
 //! number of its own. Which of its requests go is decided by their prompts' shared
 //! parts, so that the same prompts warm the target's caches at each node.
 
-use crate::canary_choice::{is_chosen, Urgency};
+use crate::canary_choice::{is_canary_request, Urgency};
 use crate::counts::{Answer, CountReport, Counts, RouteTag, Side};
 use crate::credits::{fleet_credits, owned_credits};
 use crate::excess::many_bad_answers;
@@ -94,7 +94,7 @@
     }
 
     /// Takes in a stage of the same rollout; older epochs change nothing.
-    pub fn take_progress(&mut self, progress: Progress) {
+    pub fn update_progress(&mut self, progress: Progress) {
         if progress.rollout == self.progress.rollout && progress.epoch > self.progress.epoch {
             self.progress = progress;
         }
@@ -111,7 +111,7 @@
     }
 
     /// What this node has counted.
-    pub fn own(&self) -> &Counts {
+    pub fn own_counts(&self) -> &Counts {
         &self.own
     }
 
@@ -126,7 +126,7 @@
         if self.used_before.is_some() || now.since(self.began_at) < SETTLE_MS {
             return;
         }
-        if view.stage_heard_at < self.began_at {
+        if view.stage_verified_at < self.began_at {
             return;
         }
         self.used_before = Some(UsedBefore {
@@ -205,7 +205,7 @@
         if !self.has_heard_of_stage(view) {
             return nowhere(GateReason::StageNotConfirmed);
         }
-        if now.since(view.stage_heard_at) > self.lost_touch_ms() {
+        if now.since(view.stage_verified_at) > self.lost_touch_ms() {
             return nowhere(GateReason::LostTouchInCutOver);
         }
         if !self.is_stopped(view) {
@@ -236,7 +236,7 @@
         if !self.has_heard_of_stage(view) {
             return nowhere(GateReason::StageNotConfirmed);
         }
-        let stage_age_ms = now.since(view.stage_heard_at);
+        let stage_age_ms = now.since(view.stage_verified_at);
         if stage_age_ms > self.settings.silence_bound_ms {
             return nowhere(GateReason::SilentTooLong);
         }
@@ -256,7 +256,7 @@
             return self.without_target(GateReason::NoCredit);
         };
         let known = self.known(view);
-        match is_chosen(request, &known, share_ppm, self.progress.rollout, urgency) {
+        match is_canary_request(request, &known, share_ppm, self.progress.rollout, urgency) {
             true => self.target_alone(GateReason::Canary),
             false => self.without_target(GateReason::NotCanary),
         }
@@ -265,7 +265,7 @@
     /// A later life must not rely on news from before it began: a former life may have
     /// confirmed a later stage.
     fn has_heard_of_stage(&self, view: &FleetView<'_>) -> bool {
-        self.joined == Joined::BeforeOrder || view.stage_heard_at >= self.began_at
+        self.joined == Joined::BeforeOrder || view.stage_verified_at >= self.began_at
     }
 
     fn is_stopped(&self, view: &FleetView<'_>) -> bool {
@@ -291,7 +291,7 @@
         if self.own_credits(view) > before.own + used {
             return Some(match are_many_unused {
                 true => Urgency::AnyPrompt,
-                false => Urgency::ChosenPrompts,
+                false => Urgency::PreferredPrompts,
             });
         }
         let may_use_others = are_many_unused
--- a/crates/rollout/src/stage.rs
+++ b/crates/rollout/src/stage.rs
@@ -112,7 +112,7 @@
     }
 
     /// Whether no other stage follows.
-    pub fn is_end(self) -> bool {
+    pub fn is_terminal(self) -> bool {
         self.state() != RolloutState::Running
     }
 }
@@ -161,7 +161,7 @@
     },
     /// A field that is no number.
     #[snafu(display("progress with {field}={text}: {source}"))]
-    NoNumber {
+    InvalidNumber {
         /// Its name.
         field: &'static str,
         /// What stands in its place.
@@ -358,7 +358,7 @@
         T: std::str::FromStr<Err = std::num::ParseIntError>,
     {
         let text = self.text(field)?;
-        text.parse().context(NoNumberSnafu { field, text })
+        text.parse().context(InvalidNumberSnafu { field, text })
     }
 
     fn stage(&self) -> Result<Stage, ProgressError> {
--- a/crates/rollout/src/weighing.rs
+++ b/crates/rollout/src/weighing.rs
@@ -1,6 +1,6 @@
 //! All that one decision is made by, and what follows from single facts of it.
 
-use crate::acceptance::is_prompt;
+use crate::acceptance::is_first_byte_timely;
 use crate::counts::Counts;
 use crate::decision::{DeciderInput, Decision, Member, Reason};
 use crate::finding::{Finding, Symptom};
@@ -155,7 +155,9 @@
         });
         let each_enough =
             |route: &crate::counts::RouteCounts| route.target.answers >= ENOUGH_ROUTE_ANSWERS;
-        answers >= ENOUGH_ANSWERS && judged.into_iter().all(each_enough) && is_prompt(sums)
+        answers >= ENOUGH_ANSWERS
+            && judged.into_iter().all(each_enough)
+            && is_first_byte_timely(sums)
     }
 
     /// Requests in a millisecond: lately, or since the order, whichever is higher.
@@ -190,8 +192,8 @@
     fn unheard_part(&self) -> f64 {
         let input = self.input;
         let is_unheard = |member: &&Member| {
-            let heard_at = member.heard_at.unwrap_or(Millis(0));
-            input.now.since(heard_at) > HEARD_LATELY_MS
+            let last_heard_at = member.last_heard_at.unwrap_or(Millis(0));
+            input.now.since(last_heard_at) > HEARD_LATELY_MS
         };
         let unheard = input.members.iter().filter(is_unheard).count();
         unheard as f64 / input.members.len().max(1) as f64
@@ -253,8 +255,8 @@
     /// Silent for so long, since the cut-over was stored, that it serves nothing: a node
     /// that is not heard may hear, so its silence before that shows nothing.
     fn is_silent(&self, member: &Member, decider_began_at: Millis) -> bool {
-        let heard_at = member.heard_at.unwrap_or(decider_began_at);
-        let since = heard_at.max(self.input.status_seen_at);
+        let last_heard_at = member.last_heard_at.unwrap_or(decider_began_at);
+        let since = last_heard_at.max(self.input.status_seen_at);
         self.input.now.since(since) > self.settings.silence_bound_ms
     }
 
--- a/crates/rollout/tests/rollouts/counts.rs
+++ b/crates/rollout/tests/rollouts/counts.rs
@@ -65,14 +65,14 @@
         let mut fleet = FleetCounts::of(ROLLOUT);
         for (index, requests) in &deliveries {
             let ((node, life), last) = index.get(&keys);
-            fleet.take(&report(*node, *life, (*requests).min(**last)));
+            fleet.merge_report(&report(*node, *life, (*requests).min(**last)));
         }
         for ((node, life), last) in &keys {
-            fleet.take(&report(*node, *life, **last));
+            fleet.merge_report(&report(*node, *life, **last));
         }
         for (index, requests) in &deliveries {
             let ((node, life), last) = index.get(&keys);
-            prop_assert!(!fleet.take(&report(*node, *life, (*requests).min(**last))));
+            prop_assert!(!fleet.merge_report(&report(*node, *life, (*requests).min(**last))));
         }
         prop_assert_eq!(fleet.sums(), &expected);
     }
@@ -99,14 +99,14 @@
 #[test]
 fn a_restarted_node_adds_to_its_former_life() {
     let mut fleet = FleetCounts::of(ROLLOUT);
-    fleet.take(&report(1, 1, 10));
-    fleet.take(&report(1, 2, 4));
-    fleet.take(&report(1, 1, 10));
+    fleet.merge_report(&report(1, 1, 10));
+    fleet.merge_report(&report(1, 2, 4));
+    fleet.merge_report(&report(1, 1, 10));
     assert_eq!(fleet.sums().requests(), 14);
     let passed_on: Vec<_> = fleet.reports().collect();
     let mut relayed = FleetCounts::of(ROLLOUT);
     passed_on.iter().for_each(|report| {
-        relayed.take(report);
+        relayed.merge_report(report);
     });
     assert_eq!(relayed.sums(), fleet.sums());
 }
@@ -114,7 +114,7 @@
 #[test]
 fn counts_of_another_rollout_change_nothing() {
     let mut fleet = FleetCounts::of(RolloutNumber(8));
-    assert!(!fleet.take(&report(1, 1, 10)));
+    assert!(!fleet.merge_report(&report(1, 1, 10)));
     assert_eq!(fleet.sums(), &Counts::default());
 }
 
@@ -122,7 +122,7 @@
 fn small_fleets_count_exactly() {
     let mut fleet = FleetCounts::of(ROLLOUT);
     for node in 0..81 {
-        fleet.take(&report(node, 1, 1));
+        fleet.merge_report(&report(node, 1, 1));
     }
     let credits = fleet_credits(fleet.sums().requests(), 100_000, 0);
     assert_eq!(credits, 8);
@@ -140,7 +140,7 @@
     let mut histogram = FirstByteHistogram::default();
     histogram.note(20);
     assert_eq!(histogram.total(), 1);
-    assert_eq!(histogram.from_bucket(bucket_of(20) + 1), 0);
+    assert_eq!(histogram.count_from_bucket(bucket_of(20) + 1), 0);
 }
 
 /// Bytes of a number as a varint with its tag.
--- a/crates/rollout/tests/rollouts/deciding/cut_overs.rs
+++ b/crates/rollout/tests/rollouts/deciding/cut_overs.rs
@@ -118,7 +118,7 @@
     }
     case.members[1].confirmation = None;
     assert!(!completed(&case), "said nothing");
-    case.members[1].heard_at = Some(Millis(6_000));
+    case.members[1].last_heard_at = Some(Millis(6_000));
     assert!(
         !completed(&case),
         "silent for long, but not since the cut-over"
--- a/crates/rollout/tests/rollouts/decision_case.rs
+++ b/crates/rollout/tests/rollouts/decision_case.rs
@@ -58,7 +58,7 @@
         ];
         let now = ORDERED_AT + self.since_order_ms;
         let heard_now = |member: &Member| Member {
-            heard_at: member.heard_at.map(|age| Millis(now - age.0)),
+            last_heard_at: member.last_heard_at.map(|age| Millis(now - age.0)),
             ..*member
         };
         let members: Vec<_> = self.members.iter().map(heard_now).collect();
@@ -85,11 +85,11 @@
     }
 }
 
-/// A member whose `heard_at` is its age.
+/// A member whose `last_heard_at` is its age.
 pub fn member(node: u64) -> Member {
     Member {
         node: PeerId(node),
-        heard_at: Some(Millis(100)),
+        last_heard_at: Some(Millis(100)),
         confirmation: Some(Confirmation {
             rollout: RolloutNumber(10),
             epoch: Epoch(12),
@@ -124,7 +124,7 @@
         );
     }
     let mut fleet = FleetCounts::of(RolloutNumber(10));
-    fleet.take(&CountReport {
+    fleet.merge_report(&CountReport {
         rollout: RolloutNumber(10),
         node: PeerId(1),
         life: 1,
--- a/crates/rollout/tests/rollouts/evidence.rs
+++ b/crates/rollout/tests/rollouts/evidence.rs
@@ -3,7 +3,7 @@
 use crate::counts::answer;
 use fastrand::Rng;
 use ploverlift_policy::ids::Millis;
-use ploverlift_rollout::acceptance::{is_accepted, is_prompt, Assurance};
+use ploverlift_rollout::acceptance::{is_accepted, is_first_byte_timely, Assurance};
 use ploverlift_rollout::counts::{Answer, Counts, RouteTag, Side};
 use ploverlift_rollout::detector::{threshold, ChangeDetector};
 use ploverlift_rollout::evidence::{Evidence, Finding, Symptom, FALSE_ROLL_BACK_CHANCE, STEP_MS};
@@ -45,7 +45,7 @@
 fn found(traffic: &Traffic, seed: u64) -> Option<(u64, Finding)> {
     let mut rng = Rng::with_seed(seed);
     let mut counts = Counts::default();
-    let mut evidence = Evidence::lasting(DURATION_MS);
+    let mut evidence = Evidence::for_duration(DURATION_MS);
     for step in 0..STEPS {
         for _ in 0..traffic.established_a_step {
             let (route, answer) = good(&mut rng, traffic);
@@ -64,7 +64,7 @@
             counts.note_answer(RouteTag::of(route), Side::Target, &answer);
         }
         let now = Millis(1_000 + step * STEP_MS);
-        if let Some(finding) = evidence.take(&counts, false, now) {
+        if let Some(finding) = evidence.update(&counts, false, now) {
             return Some((step, finding));
         }
     }
@@ -149,7 +149,7 @@
 fn found_on_rare_route(answer_of_rare: impl Fn(u64) -> Answer) -> Option<Finding> {
     let (rare, usual) = (RouteTag::of("rare"), RouteTag::of("usual"));
     let mut counts = Counts::default();
-    let mut evidence = Evidence::lasting(DURATION_MS);
+    let mut evidence = Evidence::for_duration(DURATION_MS);
     (0..STEPS).find_map(|step| {
         for number in 0..200 {
             let good = answer(false, 20 + (7 * number + step) % 60);
@@ -160,7 +160,7 @@
             }
         }
         counts.note_answer(rare, Side::Target, &answer_of_rare(step));
-        evidence.take(&counts, false, Millis(1_000 + step * STEP_MS))
+        evidence.update(&counts, false, Millis(1_000 + step * STEP_MS))
     })
 }
 
@@ -301,10 +301,10 @@
         }
         counts
     };
-    assert!(is_prompt(&answered(200, 1.0)));
-    assert!(!is_prompt(&answered(20, 1.0)), "few answers");
-    assert!(!is_prompt(&answered(200, 2.0)));
-    assert!(!is_prompt(&answered(200, 4.0)));
+    assert!(is_first_byte_timely(&answered(200, 1.0)));
+    assert!(!is_first_byte_timely(&answered(20, 1.0)), "few answers");
+    assert!(!is_first_byte_timely(&answered(200, 2.0)));
+    assert!(!is_first_byte_timely(&answered(200, 4.0)));
 }
 
 #[test]
@@ -357,6 +357,6 @@
     assert!(is_accepted(
         &sums(60, 0),
         &answered(40, 0, Side::Target),
-        Assurance::InHaste
+        Assurance::Reduced
     ));
 }
--- a/crates/rollout/tests/rollouts/fleet/mod.rs
+++ b/crates/rollout/tests/rollouts/fleet/mod.rs
@@ -127,7 +127,7 @@
         };
         let member = |node: u32| Member {
             node: PeerId(u64::from(node)),
-            heard_at: None,
+            last_heard_at: None,
             confirmation: None,
         };
         Self {
@@ -298,7 +298,7 @@
             return;
         }
         let before = Recorded::of(&self.order).expect("a status of our own");
-        let was_end = before.present().is_some_and(|it| it.stage.is_end());
+        let was_end = before.present().is_some_and(|it| it.stage.is_terminal());
         assert!(!was_end, "a stage after an end");
         self.order.status = Some(progress.status(&self.order));
         self.order.revision += 1;
--- a/crates/rollout/tests/rollouts/fleet/news.rs
+++ b/crates/rollout/tests/rollouts/fleet/news.rs
@@ -38,7 +38,7 @@
         let target = self.order.target.clone();
         let node = &mut self.nodes[node];
         match &mut node.gate {
-            Some(gate) => gate.take_progress(progress),
+            Some(gate) => gate.update_progress(progress),
             None => {
                 let joined = match node.is_new {
                     true => Joined::AfterOrder,
@@ -61,7 +61,7 @@
         let view = FleetView {
             sums: &node.sums,
             own_in_sums: Some(&node.own_in_sums),
-            stage_heard_at: Millis(node.heard_at),
+            stage_verified_at: Millis(node.heard_at),
             seat,
         };
         if let Some(gate) = &mut node.gate {
@@ -92,7 +92,7 @@
             counts: sim
                 .gate
                 .as_ref()
-                .map(|gate| gate.own().clone())
+                .map(|gate| gate.own_counts().clone())
                 .unwrap_or_default(),
             confirmation: sim.gate.as_mut().map(|gate| gate.confirm(running)),
         };
@@ -112,9 +112,11 @@
         let arrived: VecDeque<SimReport> = arrived;
         for report in arrived {
             let member = &mut self.members[report.node as usize];
-            let is_later = member.heard_at.is_none_or(|at| at < Millis(report.sent_at));
+            let is_later = member
+                .last_heard_at
+                .is_none_or(|at| at < Millis(report.sent_at));
             if is_later {
-                member.heard_at = Some(Millis(report.sent_at));
+                member.last_heard_at = Some(Millis(report.sent_at));
                 member.confirmation = report.confirmation;
             }
             let counted = CountReport {
@@ -123,7 +125,7 @@
                 life: report.life,
                 counts: report.counts,
             };
-            self.board.take(&counted);
+            self.board.merge_report(&counted);
         }
     }
 }
--- a/crates/rollout/tests/rollouts/fleet/traffic.rs
+++ b/crates/rollout/tests/rollouts/fleet/traffic.rs
@@ -58,7 +58,7 @@
         let view = FleetView {
             sums: &sim.sums,
             own_in_sums: Some(&sim.own_in_sums),
-            stage_heard_at: Millis(sim.heard_at),
+            stage_verified_at: Millis(sim.heard_at),
             seat,
         };
         let decision = gate.decide(&request, &view, now);
--- a/crates/rollout/tests/rollouts/gate/shares.rs
+++ b/crates/rollout/tests/rollouts/gate/shares.rs
@@ -5,7 +5,7 @@
 use crate::stages::{progress, version};
 use ploverlift_balancing::peer_loads::PeerId;
 use ploverlift_policy::ids::Millis;
-use ploverlift_rollout::canary_choice::SHOWN_ANSWERS;
+use ploverlift_rollout::canary_choice::MIN_REPEATABLE_ANSWERS;
 use ploverlift_rollout::counts::{Counts, RouteTag, Side};
 use ploverlift_rollout::credits::Seat;
 use ploverlift_rollout::settings::RolloutSettings;
@@ -72,14 +72,14 @@
             let node = (node % nodes) as usize;
             if *is_told {
                 let mut sums = Counts::default();
-                gates.iter().for_each(|gate| sums.add(gate.own()));
-                known[node] = (sums, gates[node].own().clone());
+                gates.iter().for_each(|gate| sums.add(gate.own_counts()));
+                known[node] = (sums, gates[node].own_counts().clone());
             }
             let (sums, own_in_sums) = &known[node];
             let view = FleetView {
                 sums,
                 own_in_sums: Some(own_in_sums),
-                stage_heard_at: NOW,
+                stage_verified_at: NOW,
                 seat: Seat { rank: node as u32, nodes },
             };
             sent += u64::from(offer(&mut gates[node], &read(), &view));
@@ -101,7 +101,7 @@
     let mut sent = 0;
     for _ in 0..200 {
         // Its own part is in the sums at once; it alone has traffic.
-        let own = gate.own().clone();
+        let own = gate.own_counts().clone();
         let mut known = sums.clone();
         known.add(&own);
         let view = FleetView {
@@ -161,7 +161,7 @@
     gate.note_request(read().route, true);
     let waits = (0..500).filter(|_| offer(&mut gate, &send(), &view(&nothing)));
     assert_eq!(waits.count(), 0, "reads have not shown it yet");
-    for _ in 0..SHOWN_ANSWERS {
+    for _ in 0..MIN_REPEATABLE_ANSWERS {
         gate.note_answer(read().route, Side::Target, &answer(false, 20));
     }
     let shown = (0..500).filter(|_| offer(&mut gate, &send(), &view(&nothing)));
--- a/crates/rollout/tests/rollouts/gate/stages.rs
+++ b/crates/rollout/tests/rollouts/gate/stages.rs
@@ -16,7 +16,7 @@
 fn old_news_of_the_stage_stop_the_canary_and_then_all() {
     let nothing = Counts::default();
     let heard = |ms: u64| FleetView {
-        stage_heard_at: Millis(NOW.0 - ms),
+        stage_verified_at: Millis(NOW.0 - ms),
         ..view(&nothing)
     };
     let gate = gate(SHARE);
@@ -41,7 +41,7 @@
     // Whoever is cut off from a roll back stops before its bound is over.
     let roll_back_ms = RolloutSettings::default().roll_back_ms;
     let lost_touch = FleetView {
-        stage_heard_at: Millis(NOW.0 - (roll_back_ms - LOST_TOUCH_MARGIN_MS) - 1),
+        stage_verified_at: Millis(NOW.0 - (roll_back_ms - LOST_TOUCH_MARGIN_MS) - 1),
         ..view(&nothing)
     };
     let decision = gate.decide(&read(), &lost_touch, NOW);
@@ -52,7 +52,7 @@
 #[test]
 fn a_store_that_is_away_in_a_cut_over_ends_nothing_while_the_evidence_is_clean() {
     let away = |sums| FleetView {
-        stage_heard_at: Millis(NOW.0 - STAGE_LEASE_MS - 500),
+        stage_verified_at: Millis(NOW.0 - STAGE_LEASE_MS - 500),
         ..view(sums)
     };
     let nothing = Counts::default();
@@ -79,7 +79,7 @@
     for stage in [SHARE, Stage::CuttingOver] {
         let gate = gate_at(stage, Joined::AfterOrder);
         let old_news = FleetView {
-            stage_heard_at: Millis(NOW.0 - 1),
+            stage_verified_at: Millis(NOW.0 - 1),
             ..view(&nothing)
         };
         let decision = gate.decide(&read(), &old_news, NOW);
@@ -99,16 +99,16 @@
         epoch: Epoch(epoch),
         ..progress(stage, 12_000)
     };
-    gate.take_progress(at(13, Stage::CuttingOver));
+    gate.update_progress(at(13, Stage::CuttingOver));
     let confirmation = gate.confirm(2);
     assert!(confirmation.has_left_established);
     assert_eq!(confirmation.running_on_established, 2);
-    gate.take_progress(at(12, SHARE));
+    gate.update_progress(at(12, SHARE));
     assert_eq!(
         reason_of(&gate, &read(), &view(&nothing)),
         GateReason::CuttingOver
     );
-    gate.take_progress(at(14, SHARE));
+    gate.update_progress(at(14, SHARE));
     assert_ne!(
         reason_of(&gate, &read(), &view(&nothing)),
         GateReason::CuttingOver
@@ -119,7 +119,7 @@
 fn ends_need_no_news() {
     let nothing = Counts::default();
     let unheard = FleetView {
-        stage_heard_at: Millis(0),
+        stage_verified_at: Millis(0),
         ..view(&nothing)
     };
     let completed = gate(Stage::Completed).decide(&read(), &unheard, NOW).rule;
--- a/crates/rollout/tests/rollouts/gate_case.rs
+++ b/crates/rollout/tests/rollouts/gate_case.rs
@@ -32,7 +32,7 @@
     FleetView {
         sums,
         own_in_sums: None,
-        stage_heard_at: NOW,
+        stage_verified_at: NOW,
         seat: ALONE,
     }
 }
--- a/crates/rollout/tests/rollouts/schedules.rs
+++ b/crates/rollout/tests/rollouts/schedules.rs
@@ -89,7 +89,7 @@
         prop_assert!(outcome.beyond_bound <= 0.0, "{}", outcome.beyond_bound);
         prop_assert_eq!(outcome.established_after_completed, 0);
         prop_assert_eq!(outcome.running_at_completed, 0);
-        let ends = outcome.stages.iter().filter(|(_, stage, _)| stage.is_end());
+        let ends = outcome.stages.iter().filter(|(_, stage, _)| stage.is_terminal());
         prop_assert!(ends.count() <= 1, "{:?}", outcome.stages);
         let is_first_canary = |stage: Option<Stage>| matches!(stage, Some(Stage::Canary { .. }) | None);
         prop_assert!(is_first_canary(outcome.stages.first().map(|(_, stage, _)| *stage)));
--- a/crates/rollout/tests/rollouts/stages.rs
+++ b/crates/rollout/tests/rollouts/stages.rs
@@ -101,7 +101,7 @@
     let no_number = Progress::decode(&text.replace("epoch=12", "epoch=x"));
     assert!(matches!(
         no_number,
-        Err(ProgressError::NoNumber { field: "epoch", .. })
+        Err(ProgressError::InvalidNumber { field: "epoch", .. })
     ));
 }
 
--- a/crates/rollout/tests/rollouts/whole.rs
+++ b/crates/rollout/tests/rollouts/whole.rs
@@ -229,7 +229,7 @@
         let is_ended = outcome
             .stages
             .last()
-            .is_some_and(|(_, stage, _)| stage.is_end());
+            .is_some_and(|(_, stage, _)| stage.is_terminal());
         assert!(is_ended, "{:?}", outcome.stages);
     }
 }
