--- a/crates/rollout/src/credits.rs
+++ b/crates/rollout/src/credits.rs
@@ -16,7 +16,7 @@
 }
 
 /// The place of a seat in the turn of a rollout: another node begins in each rollout.
-fn turn_of(seat: Seat, rollout: u64) -> u64 {
+fn rotated_rank(seat: Seat, rollout: u64) -> u64 {
     let nodes = u64::from(seat.nodes.max(1));
     (u64::from(seat.rank) + rollout % nodes) % nodes
 }
@@ -24,7 +24,7 @@
 /// How many of the fleet's credits belong to a seat.
 pub fn owned_credits(fleet_credits: u64, seat: Seat, rollout: u64) -> u64 {
     let nodes = u64::from(seat.nodes.max(1));
-    fleet_credits.saturating_add(nodes - 1 - turn_of(seat, rollout)) / nodes
+    fleet_credits.saturating_add(nodes - 1 - rotated_rank(seat, rollout)) / nodes
 }
 
 /// The fleet's credits for so many requests.
--- a/crates/rollout/src/decider.rs
+++ b/crates/rollout/src/decider.rs
@@ -10,7 +10,7 @@
 use crate::settings::RolloutSettings;
 use crate::stage::{Epoch, Progress, ProgressError, Recorded, RollBackCause, RolloutNumber, Stage};
 use crate::supply::{avoided_versions, established_versions, Supply};
-use crate::weighing::{cut_over_ms, stay, write, Weighing};
+use crate::transition_context::{cut_over_ms, stay, store_next, TransitionContext};
 
 pub use crate::decision::{DeciderInput, Decision, Member, Reason, VersionSupply};
 
@@ -36,17 +36,17 @@
         let recorded = Recorded::of(input.order)?;
         let progress = match recorded {
             Recorded::Present(progress) => progress,
-            older => return Ok(self.begin(&older, input)),
+            older => return Ok(self.begin_rollout(&older, input)),
         };
         if progress.stage.is_terminal() {
             self.present = None;
             return Ok(stay(Reason::Ended));
         }
-        Ok(self.go_on(&progress, input))
+        Ok(self.continue_rollout(&progress, input))
     }
 
     /// The first stage of an order that supersedes what is recorded.
-    fn begin(&mut self, recorded: &Recorded, input: &DeciderInput<'_>) -> Decision {
+    fn begin_rollout(&mut self, recorded: &Recorded, input: &DeciderInput<'_>) -> Decision {
         self.present = None;
         let order = input.order;
         let (number, epoch) = match recorded {
@@ -77,17 +77,17 @@
         if order.duration_ms == 0 || order.target.0.is_empty() {
             let cause = RollBackCause::OrderDoesNotFit;
             next.stage = Stage::RolledBack { cause };
-            return write(next, Reason::Abandoned(cause));
+            return store_next(next, Reason::Abandoned(cause));
         }
         let supply = Supply::of(input, &next);
         if supply.target > 0 && supply.established == 0 {
             next.stage = Stage::CuttingOver;
-            return write(next, Reason::OrderedBack);
+            return store_next(next, Reason::OrderedBack);
         }
-        write(next, Reason::Ordered)
+        store_next(next, Reason::Ordered)
     }
 
-    fn go_on(&mut self, progress: &Progress, input: &DeciderInput<'_>) -> Decision {
+    fn continue_rollout(&mut self, progress: &Progress, input: &DeciderInput<'_>) -> Decision {
         let is_known = self
             .present
             .as_ref()
@@ -97,11 +97,11 @@
             _ => PresentRollout::of(progress, input.now),
         };
         let settings = self.settings;
-        let weighing = Weighing::of(&settings, progress, input);
-        present.take_in(&weighing);
-        let decision = match present.bad(&weighing) {
-            Some(finding) => weighing.roll_back(RollBackCause::BadAnswers, Reason::Bad(finding)),
-            None => present.next_stage(&weighing),
+        let transition = TransitionContext::of(&settings, progress, input);
+        present.observe(&transition);
+        let decision = match present.find_defect(&transition) {
+            Some(finding) => transition.roll_back(RollBackCause::BadAnswers, Reason::Bad(finding)),
+            None => present.next_stage(&transition),
         };
         self.present = Some(present);
         decision
--- a/crates/rollout/src/detector.rs
+++ b/crates/rollout/src/detector.rs
@@ -27,17 +27,17 @@
 impl ChangeDetector {
     /// Takes in one step's answers, bad ones among them, while `borne` of them may be
     /// bad. Evidence is divided by `design_effect` where answers hang together.
-    pub fn step(&mut self, answers: u64, bad: u64, borne: f64, design_effect: f64) {
+    pub fn step(&mut self, answers: u64, bad: u64, tolerated: f64, design_effect: f64) {
         if answers == 0 {
             return;
         }
         let bad = bad.min(answers) as f64;
         let good = answers as f64 - bad;
         for (log_sum, rise) in self.log_sums.iter_mut().zip(RISES) {
-            let raised = borne + rise * (1.0 - borne);
+            let raised = tolerated + rise * (1.0 - tolerated);
             let log_ratio =
-                bad * (raised / borne).ln() + good * ((1.0 - raised) / (1.0 - borne)).ln();
-            *log_sum = log_of_sum(0.0, *log_sum) + log_ratio / design_effect;
+                bad * (raised / tolerated).ln() + good * ((1.0 - raised) / (1.0 - tolerated)).ln();
+            *log_sum = log_add_exp(0.0, *log_sum) + log_ratio / design_effect;
         }
     }
 
@@ -46,7 +46,7 @@
         let sum = self
             .log_sums
             .iter()
-            .fold(f64::NEG_INFINITY, |sum, &log| log_of_sum(sum, log));
+            .fold(f64::NEG_INFINITY, |sum, &log| log_add_exp(sum, log));
         sum - (RISES.len() as f64).ln()
     }
 }
@@ -57,7 +57,7 @@
     (steps.max(1) as f64).ln() + (tests.max(1) as f64).ln() - error_chance.ln()
 }
 
-fn log_of_sum(one: f64, other: f64) -> f64 {
+fn log_add_exp(one: f64, other: f64) -> f64 {
     let (lower, higher) = if one < other {
         (one, other)
     } else {
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -5,7 +5,10 @@
 //! first byte is bad when it lies beyond a quantile of the established engines' times,
 //! with one bucket (√2) of room.
 
-use crate::baseline::{late_bucket, later_half, Baseline, LATE_ROOM, LATE_ROOM_IN_CUT_OVER};
+use crate::baseline::{
+    late_bucket, later_half_baseline, Baseline, LATE_MARGIN_BUCKETS,
+    LATE_MARGIN_BUCKETS_IN_CUT_OVER,
+};
 use crate::counts::{Counts, EngineSlotCounts, RouteTag, Side, SideCounts};
 use crate::detector::{self, ChangeDetector};
 use crate::excess::many_bad_answers;
@@ -31,11 +34,11 @@
 /// Steps over which the established engines' recent answers are taken: 3 s.
 const RECENT_STEPS: usize = 15;
 /// Failures of one engine slot that count as the engine's own fault at most.
-const ONE_ENGINE_FAILURES: u64 = 20;
+const MAX_SINGLE_ENGINE_FAILURES: u64 = 20;
 /// Failures of all other engines that are borne then, beside their usual rate.
-const OTHER_ENGINES_FAILURES: f64 = 2.0;
+const TOLERATED_OTHER_ENGINES_FAILURES: f64 = 2.0;
 /// The same as a part of the one engine's failures.
-const OTHER_ENGINES_PART: f64 = 0.1;
+const TOLERATED_OTHER_ENGINES_FRACTION: f64 = 0.1;
 /// Answers of other engines from which it can be told that one engine alone is bad.
 const MIN_OTHER_ENGINES_ANSWERS: u64 = 5;
 
@@ -82,14 +85,14 @@
             self.stepped_at = Some(now);
             self.step(sums, is_cutting_over);
         }
-        self.proven()
+        self.proven_finding()
     }
 
     /// The strongest evidence so far against the version.
     pub fn strongest(&self) -> Option<Finding> {
         let findings = self.tests.iter().flat_map(|(route, tests)| {
             let failures = tests.failures.evidence();
-            let late = tests.latest();
+            let late = tests.strongest_late_evidence();
             [
                 self.finding(Symptom::Failures, *route, failures),
                 self.finding(Symptom::SlowFirstByte, *route, late),
@@ -114,25 +117,25 @@
         self.seen = sums.clone();
         let before_recent = self.established_steps.front().cloned().unwrap_or_default();
         let recent = sums.since(&before_recent);
-        let room = match is_cutting_over {
-            true => LATE_ROOM_IN_CUT_OVER,
-            false => LATE_ROOM,
+        let margin_buckets = match is_cutting_over {
+            true => LATE_MARGIN_BUCKETS_IN_CUT_OVER,
+            false => LATE_MARGIN_BUCKETS,
         };
-        let mut pooled = Pooled::default();
+        let mut pooled = PooledBatches::default();
         for (route, counts) in &added.routes {
             let baseline = Baseline {
-                whole: sums.routes[route].established,
+                overall: sums.routes[route].established,
                 recent: recent.routes[route].established,
             };
             let tests = self.tests.entry(Some(*route)).or_default();
-            tests.step(&counts.target, &baseline, room, &mut pooled);
+            tests.step(&counts.target, &baseline, margin_buckets, &mut pooled);
         }
         self.step_all_routes(&pooled);
         self.recent = recent;
     }
 
     /// All routes together: each answer is measured by its own route's baseline.
-    fn step_all_routes(&mut self, pooled: &Pooled) {
+    fn step_all_routes(&mut self, pooled: &PooledBatches) {
         let tests = self.tests.entry(None).or_default();
         pooled.failures.step(&mut tests.failures, 1.0);
         pooled
@@ -143,11 +146,11 @@
         }
     }
 
-    fn proven(&self) -> Option<Finding> {
+    fn proven_finding(&self) -> Option<Finding> {
         let strongest = self.strongest()?;
         let is_proven = strongest.evidence >= strongest.threshold;
         let is_excused =
-            strongest.symptom == Symptom::Failures && is_one_engine_alone(&self.recent);
+            strongest.symptom == Symptom::Failures && is_single_engine_fault(&self.recent);
         (is_proven && !is_excused).then_some(strongest)
     }
 
@@ -158,14 +161,16 @@
             None => sums.all_routes(side),
         };
         let (target, established) = (side(Side::Target), side(Side::Established));
-        let baseline = Baseline::of_whole(&established);
+        let baseline = Baseline::from_overall(&established);
         let (bad, borne_share) = match symptom {
             Symptom::SlowFirstByte => {
                 let bucket = late_bucket(&established, LATE_QUANTILES[0]).unwrap_or(0);
-                let late = target.first_byte.count_from_bucket(bucket + LATE_ROOM);
-                (late, baseline.borne_late(bucket))
+                let late = target
+                    .first_byte
+                    .count_from_bucket(bucket + LATE_MARGIN_BUCKETS);
+                (late, baseline.tolerated_late_rate(bucket))
             }
-            _ => (target.failures, baseline.borne_failures()),
+            _ => (target.failures, baseline.tolerated_failure_rate()),
         };
         Finding {
             symptom,
@@ -180,30 +185,42 @@
 }
 
 impl RouteTests {
-    fn step(&mut self, target: &SideCounts, baseline: &Baseline, room: usize, pooled: &mut Pooled) {
-        let failures = Batch::new(target.answers, target.failures, baseline.borne_failures());
+    fn step(
+        &mut self,
+        target: &SideCounts,
+        baseline: &Baseline,
+        margin_buckets: usize,
+        pooled: &mut PooledBatches,
+    ) {
+        let failures = Batch::new(
+            target.answers,
+            target.failures,
+            baseline.tolerated_failure_rate(),
+        );
         failures.step(&mut self.failures, 1.0);
         pooled.failures.add(&failures);
-        if let Some((bucket, borne)) = later_half(baseline.times()).filter(|_| room == LATE_ROOM) {
+        if let Some((bucket, tolerated)) = later_half_baseline(baseline.timing_counts())
+            .filter(|_| margin_buckets == LATE_MARGIN_BUCKETS)
+        {
             let late = target.first_byte.count_from_bucket(bucket);
-            let later = Batch::new(target.first_byte.total(), late, borne);
+            let later = Batch::new(target.first_byte.total(), late, tolerated);
             later.step(&mut self.later_half, LATE_DESIGN_EFFECT);
             pooled.later_half.add(&later);
         }
         for (index, quantile) in LATE_QUANTILES.into_iter().enumerate() {
-            let Some(bucket) = late_bucket(baseline.times(), quantile) else {
+            let Some(bucket) = late_bucket(baseline.timing_counts(), quantile) else {
                 continue;
             };
-            let late = target.first_byte.count_from_bucket(bucket + room);
-            let borne = baseline.borne_late(bucket);
-            let late = Batch::new(target.first_byte.total(), late, borne);
+            let late = target.first_byte.count_from_bucket(bucket + margin_buckets);
+            let tolerated = baseline.tolerated_late_rate(bucket);
+            let late = Batch::new(target.first_byte.total(), late, tolerated);
             late.step(&mut self.late[index], LATE_DESIGN_EFFECT);
             pooled.late[index].add(&late);
         }
     }
 
     /// The strongest evidence that first bytes are late.
-    fn latest(&self) -> f64 {
+    fn strongest_late_evidence(&self) -> f64 {
         let late = self.late.iter().chain([&self.later_half]);
         let late = late.map(ChangeDetector::evidence);
         late.fold(f64::NEG_INFINITY, f64::max)
@@ -215,7 +232,7 @@
 struct Batch {
     answers: u64,
     bad: u64,
-    borne: f64,
+    tolerated: f64,
 }
 
 impl Batch {
@@ -223,28 +240,28 @@
         Self {
             answers,
             bad,
-            borne: borne_share * answers as f64,
+            tolerated: borne_share * answers as f64,
         }
     }
 
     fn add(&mut self, other: &Self) {
         self.answers += other.answers;
         self.bad += other.bad;
-        self.borne += other.borne;
+        self.tolerated += other.tolerated;
     }
 
     fn step(&self, test: &mut ChangeDetector, design_effect: f64) {
         if self.answers == 0 {
             return;
         }
-        let borne_share = self.borne / self.answers as f64;
+        let borne_share = self.tolerated / self.answers as f64;
         test.step(self.answers, self.bad, borne_share, design_effect);
     }
 }
 
 /// One step's answers of all routes.
 #[derive(Clone, Copy, Debug, Default)]
-struct Pooled {
+struct PooledBatches {
     failures: Batch,
     later_half: Batch,
     late: [Batch; LATE_QUANTILES.len()],
@@ -252,7 +269,7 @@
 
 /// Whether one engine fails and the others do not, lately: its health is at fault, not
 /// the version. Not for ever, for a version may be bad where one engine gets the most.
-fn is_one_engine_alone(recent: &Counts) -> bool {
+fn is_single_engine_fault(recent: &Counts) -> bool {
     let slots = &recent.target_engines;
     let Some(worst) = slots.iter().max_by_key(|slot| slot.failures) else {
         return false;
@@ -267,10 +284,10 @@
     let failures_of_others = (all.failures - worst.failures) as f64;
     let established = recent.all_routes(Side::Established);
     let usual_share = established.failures as f64 / established.answers.max(1) as f64;
-    let borne = OTHER_ENGINES_FAILURES
+    let tolerated = TOLERATED_OTHER_ENGINES_FAILURES
         + usual_share * others as f64
-        + OTHER_ENGINES_PART * worst.failures as f64;
-    worst.failures < ONE_ENGINE_FAILURES
+        + TOLERATED_OTHER_ENGINES_FRACTION * worst.failures as f64;
+    worst.failures < MAX_SINGLE_ENGINE_FAILURES
         && others >= MIN_OTHER_ENGINES_ANSWERS
-        && failures_of_others <= borne
+        && failures_of_others <= tolerated
 }
--- a/crates/rollout/src/excess.rs
+++ b/crates/rollout/src/excess.rs
@@ -1,6 +1,8 @@
 //! Many bad answers: a stop without a test, which needs no decider.
 
-use crate::baseline::{late_bucket, Baseline, LATE_ROOM, LATE_ROOM_IN_CUT_OVER};
+use crate::baseline::{
+    late_bucket, Baseline, LATE_MARGIN_BUCKETS, LATE_MARGIN_BUCKETS_IN_CUT_OVER,
+};
 use crate::counts::{Counts, RouteCounts};
 use crate::finding::{Finding, Symptom};
 
@@ -12,14 +14,14 @@
     limit: MANY_BAD_ANSWERS,
     factor: 2.0,
     late_quantile: 0.1,
-    late_room: LATE_ROOM_IN_CUT_OVER,
+    late_margin_buckets: LATE_MARGIN_BUCKETS_IN_CUT_OVER,
 };
 /// What counts as bad when the tests already show much of a proof.
 const UNDER_SUSPICION: ExcessRule = ExcessRule {
     limit: 20,
     factor: 1.0,
     late_quantile: 0.25,
-    late_room: LATE_ROOM,
+    late_margin_buckets: LATE_MARGIN_BUCKETS,
 };
 
 /// Bad answers of the target beyond what is borne, when they are many. Every node that
@@ -45,7 +47,7 @@
     /// How often more bad answers than the established engines' are borne.
     factor: f64,
     /// Buckets of room before a first byte counts as late.
-    late_room: usize,
+    late_margin_buckets: usize,
 }
 
 fn excess_finding(sums: &Counts, rule: &ExcessRule, is_cutting_over: bool) -> Option<Finding> {
@@ -67,7 +69,7 @@
         route: None,
         answers: worse.answers,
         bad: worse.bad,
-        borne_share: worse.borne / worse.answers.max(1) as f64,
+        borne_share: worse.tolerated / worse.answers.max(1) as f64,
         evidence: worse.excess,
         threshold: limit,
     })
@@ -78,33 +80,33 @@
 struct Excess {
     answers: u64,
     bad: u64,
-    borne: f64,
+    tolerated: f64,
     excess: f64,
 }
 
 impl Excess {
     fn add_failures(&mut self, counts: &RouteCounts, rule: &ExcessRule) {
-        let borne = Baseline::of_whole(&counts.established).borne_failures();
+        let tolerated = Baseline::from_overall(&counts.established).tolerated_failure_rate();
         let target = &counts.target;
-        self.add(target.answers, target.failures, borne * rule.factor);
+        self.add(target.answers, target.failures, tolerated * rule.factor);
     }
 
     fn add_late(&mut self, counts: &RouteCounts, rule: &ExcessRule) {
         let Some(bucket) = late_bucket(&counts.established, rule.late_quantile) else {
             return;
         };
-        let borne = Baseline::of_whole(&counts.established).borne_late(bucket);
+        let tolerated = Baseline::from_overall(&counts.established).tolerated_late_rate(bucket);
         let times = &counts.target.first_byte;
-        let late = times.count_from_bucket(bucket + rule.late_room);
-        self.add(times.total(), late, borne * rule.factor);
+        let late = times.count_from_bucket(bucket + rule.late_margin_buckets);
+        self.add(times.total(), late, tolerated * rule.factor);
     }
 
     fn add(&mut self, answers: u64, bad: u64, borne_share: f64) {
-        let borne = borne_share * answers as f64;
+        let tolerated = borne_share * answers as f64;
         self.answers += answers;
         self.bad += bad;
-        self.borne += borne;
+        self.tolerated += tolerated;
         // A good route takes nothing off a bad one.
-        self.excess += (bad as f64 - borne).max(0.0);
+        self.excess += (bad as f64 - tolerated).max(0.0);
     }
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -31,7 +31,7 @@
 //! | [`acceptance`] | whether it has answered well enough to be completed |
 //! | [`schedule`] | when to cut over so that the exposure stays within its bound |
 //! | [`decider`] | the lease holder's state machine |
-//! | `weighing` | what one decision weighs |
+//! | `transition_context` | what one decision weighs |
 //! | `present_rollout` | where it goes on from each stage, and by what it has learned |
 //! | `supply` | engines and versions of the service |
 
@@ -57,4 +57,4 @@
 pub mod share;
 pub mod stage;
 mod supply;
-mod weighing;
+mod transition_context;
--- a/crates/rollout/src/own_stop.rs
+++ b/crates/rollout/src/own_stop.rs
@@ -10,11 +10,11 @@
 /// make it 0.01, and one alone does not roll it back.
 const FALSE_STOP_CHANCE: f64 = 0.000_1;
 /// Answers of the target at one node that the chance is reckoned for.
-const ANSWERS: u64 = 300;
+const EXPECTED_ANSWERS: u64 = 300;
 /// Rate of failures that is always borne: a node has few answers to compare with.
-const MIN_BORNE: f64 = 0.03;
+const MIN_TOLERATED_RATE: f64 = 0.03;
 /// No more than that is borne.
-const MAX_BORNE: f64 = 0.8;
+const MAX_TOLERATED_RATE: f64 = 0.8;
 
 /// What a node's own requests have shown of the target, by route: what both versions
 /// fail is the requests' own fault, and differs by route.
@@ -29,11 +29,11 @@
     /// route.
     pub fn note(&mut self, route: RouteTag, has_failed: bool, own: &RouteCounts) {
         let established = &own.established;
-        let borne = upper_share(established.failures, established.answers);
-        let borne = borne.clamp(MIN_BORNE, MAX_BORNE);
+        let tolerated = upper_share(established.failures, established.answers);
+        let tolerated = tolerated.clamp(MIN_TOLERATED_RATE, MAX_TOLERATED_RATE);
         let test = self.tests.entry(route).or_default();
-        test.step(1, u64::from(has_failed), borne, 1.0);
-        let limit = threshold(ANSWERS, 1, FALSE_STOP_CHANCE);
+        test.step(1, u64::from(has_failed), tolerated, 1.0);
+        let limit = threshold(EXPECTED_ANSWERS, 1, FALSE_STOP_CHANCE);
         let is_bad = test.evidence() >= limit;
         if !is_bad || self.finding.is_some() {
             return;
@@ -43,7 +43,7 @@
             route: Some(route),
             answers: own.target.answers,
             bad: own.target.failures,
-            borne_share: borne,
+            borne_share: tolerated,
             evidence: test.evidence(),
             threshold: limit,
         });
--- a/crates/rollout/src/present_rollout.rs
+++ b/crates/rollout/src/present_rollout.rs
@@ -10,16 +10,16 @@
 use crate::schedule::{self, RequestRate};
 use crate::settings::Strategy;
 use crate::stage::{Epoch, Progress, RollBackCause, RolloutNumber, Stage};
-use crate::weighing::{cut_over_ms, stay, Weighing};
+use crate::transition_context::{cut_over_ms, stay, TransitionContext};
 use ploverlift_policy::ids::Millis;
 
 /// Part of the evidence of a proof from which no stage goes forward, and at which a
 /// version is rolled back once its deadline has passed.
-const SUSPICION_PART: f64 = 0.65;
+const SUSPICION_FRACTION: f64 = 0.65;
 /// The same from which many bad answers need no more proof.
-const SUSPICION_PART_WITH_MANY: f64 = 0.4;
+const SUSPICION_FRACTION_WITH_MANY_BAD: f64 = 0.4;
 /// Time for which the target may have no engine in a cut-over, in milliseconds.
-const ENGINES_GONE_MS: u64 = 1_000;
+const MAX_WITHOUT_ENGINES_MS: u64 = 1_000;
 /// Time between two steps up, in milliseconds.
 const SHARE_STEP_MS: u64 = 1_000;
 
@@ -49,138 +49,140 @@
 }
 
 impl PresentRollout {
-    pub(crate) fn take_in(&mut self, weighing: &Weighing<'_>) {
-        self.rate.note(weighing.requests(), weighing.input.now);
-        let has_target = weighing.supply.target > 0;
+    pub(crate) fn observe(&mut self, transition: &TransitionContext<'_>) {
+        self.rate.note(transition.requests(), transition.input.now);
+        let has_target = transition.supply.target > 0;
         self.target_gone_since = match has_target {
             true => None,
-            false => self.target_gone_since.or(Some(weighing.input.now)),
+            false => self.target_gone_since.or(Some(transition.input.now)),
         };
-        let epoch = weighing.progress.epoch;
+        let epoch = transition.progress.epoch;
         let is_noted = self
             .at_cut_over
             .as_ref()
             .is_some_and(|(at, _)| *at == epoch);
-        if weighing.progress.stage == Stage::CuttingOver && !is_noted {
-            self.at_cut_over = Some((epoch, weighing.sums().clone()));
+        if transition.progress.stage == Stage::CuttingOver && !is_noted {
+            self.at_cut_over = Some((epoch, transition.sums().clone()));
         }
     }
 
     /// The strongest evidence against the version, when it is so much of a proof.
-    fn suspicion_of(&self, part: f64) -> Option<Finding> {
+    fn suspicion_at(&self, part: f64) -> Option<Finding> {
         let strongest = self.evidence.strongest()?;
         let is_suspicious = strongest.evidence >= part * strongest.threshold;
         is_suspicious.then_some(strongest)
     }
 
-    fn is_accepted(&self, weighing: &Weighing<'_>) -> bool {
+    fn is_accepted(&self, transition: &TransitionContext<'_>) -> bool {
         let Some((_, at_cut_over)) = &self.at_cut_over else {
             return false;
         };
-        let assurance = match weighing.remaining_ms() {
+        let assurance = match transition.remaining_ms() {
             0 => Assurance::Full,
             _ => Assurance::Reduced,
         };
-        let since_cut_over = weighing.sums().since(at_cut_over);
-        is_accepted(weighing.sums(), &since_cut_over, assurance)
+        let since_cut_over = transition.sums().since(at_cut_over);
+        is_accepted(transition.sums(), &since_cut_over, assurance)
     }
 
-    pub(crate) fn bad(&mut self, weighing: &Weighing<'_>) -> Option<Finding> {
-        let is_cutting_over = weighing.progress.stage == Stage::CuttingOver;
-        let now = weighing.input.now;
-        let by_counts = self.evidence.update(weighing.sums(), is_cutting_over, now);
-        let suspicion = self.suspicion_of(SUSPICION_PART_WITH_MANY);
+    pub(crate) fn find_defect(&mut self, transition: &TransitionContext<'_>) -> Option<Finding> {
+        let is_cutting_over = transition.progress.stage == Stage::CuttingOver;
+        let now = transition.input.now;
+        let by_counts = self
+            .evidence
+            .update(transition.sums(), is_cutting_over, now);
+        let suspicion = self.suspicion_at(SUSPICION_FRACTION_WITH_MANY_BAD);
         let by_suspicion = suspicion
-            .and_then(|_| many_bad_answers_under_suspicion(weighing.sums(), is_cutting_over));
+            .and_then(|_| many_bad_answers_under_suspicion(transition.sums(), is_cutting_over));
         by_counts
             .or(by_suspicion)
-            .or_else(|| weighing.stopped_nodes())
+            .or_else(|| transition.stopped_nodes_finding())
     }
 
-    pub(crate) fn next_stage(&self, weighing: &Weighing<'_>) -> Decision {
-        match weighing.progress.stage {
-            Stage::Canary { share_ppm } => self.after_canary(weighing, share_ppm),
-            Stage::CuttingOver => self.after_cut_over(weighing),
+    pub(crate) fn next_stage(&self, transition: &TransitionContext<'_>) -> Decision {
+        match transition.progress.stage {
+            Stage::Canary { share_ppm } => self.after_canary(transition, share_ppm),
+            Stage::CuttingOver => self.after_cut_over(transition),
             Stage::Completed | Stage::RolledBack { .. } => stay(Reason::Ended),
         }
     }
 
-    fn after_canary(&self, weighing: &Weighing<'_>, share_ppm: u32) -> Decision {
-        if !weighing.has_enough_engines() {
-            return weighing.without_engines();
+    fn after_canary(&self, transition: &TransitionContext<'_>, share_ppm: u32) -> Decision {
+        if !transition.has_enough_engines() {
+            return transition.decide_without_engines();
         }
-        if let Some(finding) = self.suspicion_of(SUSPICION_PART) {
-            return weighing.under_suspicion(finding);
+        if let Some(finding) = self.suspicion_at(SUSPICION_FRACTION) {
+            return transition.decide_under_suspicion(finding);
         }
-        if !weighing.has_enough_answers() {
-            return weighing.without_proof();
+        if !transition.has_enough_answers() {
+            return transition.decide_without_proof();
         }
-        if self.is_time_to_cut_over(weighing) {
-            return weighing.go_to(Stage::CuttingOver, Reason::MayCutOver);
+        if self.is_time_to_cut_over(transition) {
+            return transition.enter(Stage::CuttingOver, Reason::MayCutOver);
         }
-        match self.raised_share_ppm(weighing, share_ppm) {
-            Some(share_ppm) => weighing.go_to(Stage::Canary { share_ppm }, Reason::ShareRaised),
+        match self.raised_share_ppm(transition, share_ppm) {
+            Some(share_ppm) => transition.enter(Stage::Canary { share_ppm }, Reason::ShareRaised),
             None => stay(Reason::AwaitingExposure),
         }
     }
 
     /// Within the bound whatever happens; and before the deadline only if the cut-over
     /// can end by then, else it gains nothing.
-    fn is_time_to_cut_over(&self, weighing: &Weighing<'_>) -> bool {
-        let may_be_early = weighing.settings.strategy != Strategy::HoldPastDeadline;
-        let needed_ms = cut_over_ms(weighing.input.barrier_ms);
-        let is_in_time = may_be_early && weighing.remaining_ms() >= needed_ms;
-        let is_over = weighing.remaining_ms() == 0;
-        is_over || (is_in_time && self.may_move_all(weighing))
+    fn is_time_to_cut_over(&self, transition: &TransitionContext<'_>) -> bool {
+        let may_be_early = transition.settings.strategy != Strategy::HoldPastDeadline;
+        let needed_ms = cut_over_ms(transition.input.barrier_ms);
+        let is_in_time = may_be_early && transition.remaining_ms() >= needed_ms;
+        let has_deadline_passed = transition.remaining_ms() == 0;
+        has_deadline_passed || (is_in_time && self.may_move_all(transition))
     }
 
-    fn may_move_all(&self, weighing: &Weighing<'_>) -> bool {
+    fn may_move_all(&self, transition: &TransitionContext<'_>) -> bool {
         let Some(rate_per_ms) = self.rate.per_ms() else {
             return false;
         };
-        weighing
+        transition
             .exposure(rate_per_ms)
-            .may_move_all(weighing.settings)
+            .may_move_all(transition.settings)
     }
 
-    fn raised_share_ppm(&self, weighing: &Weighing<'_>, share_ppm: u32) -> Option<u32> {
-        let settings = weighing.settings;
-        let since = weighing.input.now.since(weighing.input.status_seen_at);
+    fn raised_share_ppm(&self, transition: &TransitionContext<'_>, share_ppm: u32) -> Option<u32> {
+        let settings = transition.settings;
+        let since = transition.input.now.since(transition.input.status_seen_at);
         if settings.strategy != Strategy::Steps || since < SHARE_STEP_MS {
             return None;
         }
         schedule::next_share_ppm(settings, share_ppm)
     }
 
-    fn after_cut_over(&self, weighing: &Weighing<'_>) -> Decision {
-        let now = weighing.input.now;
+    fn after_cut_over(&self, transition: &TransitionContext<'_>) -> Decision {
+        let now = transition.input.now;
         let gone = self.target_gone_since;
-        let is_gone = gone.is_some_and(|since| now.since(since) >= ENGINES_GONE_MS);
-        if is_gone && weighing.supply.established > 0 {
+        let is_gone = gone.is_some_and(|since| now.since(since) >= MAX_WITHOUT_ENGINES_MS);
+        if is_gone && transition.supply.established > 0 {
             let cause = RollBackCause::NoEngines;
-            return weighing.roll_back(cause, Reason::Abandoned(cause));
+            return transition.roll_back(cause, Reason::Abandoned(cause));
         }
         let rate_per_ms = self.rate.per_ms().unwrap_or(0.0);
-        let exposure = weighing.exposure(rate_per_ms);
-        let has_established = weighing.supply.established > 0;
-        if has_established && exposure.must_stop(weighing.settings) {
-            let share_ppm = weighing.first_share_ppm();
-            return weighing.go_to(Stage::Canary { share_ppm }, Reason::ExposureAhead);
+        let exposure = transition.exposure(rate_per_ms);
+        let has_established = transition.supply.established > 0;
+        if has_established && exposure.must_stop(transition.settings) {
+            let share_ppm = transition.first_share_ppm();
+            return transition.enter(Stage::Canary { share_ppm }, Reason::ExposureAhead);
         }
-        if let Some(finding) = self.suspicion_of(SUSPICION_PART) {
-            return weighing.under_suspicion(finding);
+        if let Some(finding) = self.suspicion_at(SUSPICION_FRACTION) {
+            return transition.decide_under_suspicion(finding);
         }
-        let (nodes, running) = weighing.awaited(self.began_at);
+        let (nodes, running) = transition.unconfirmed_nodes(self.began_at);
         if nodes > 0 {
             return stay(Reason::AwaitingNodes { nodes, running });
         }
         // Where nothing is left to go back to, a verdict would change nothing.
-        if has_established && !self.is_accepted(weighing) {
-            return weighing.without_proof();
+        if has_established && !self.is_accepted(transition) {
+            return transition.decide_without_proof();
         }
-        if !weighing.is_watched_enough() {
+        if !transition.is_watch_complete() {
             return stay(Reason::GatheringEvidence);
         }
-        weighing.go_to(Stage::Completed, Reason::AllConfirmed)
+        transition.enter(Stage::Completed, Reason::AllConfirmed)
     }
 }
--- a/crates/rollout/src/schedule.rs
+++ b/crates/rollout/src/schedule.rs
@@ -12,18 +12,18 @@
 /// Share that is held past the deadline, as a part of the share that a bad version may
 /// get: as much as judges it soonest, and still within the bound where each credit had
 /// two owners.
-const HOLD_PAST_DEADLINE_PART: f64 = 0.5;
+const HOLD_PAST_DEADLINE_FRACTION: f64 = 0.5;
 /// Share that is held where all may move before the deadline: small, for what is used
 /// early is lacking at the cut-over; enough to judge each route.
-const HOLD_PART: f64 = 0.2;
+const HOLD_FRACTION: f64 = 0.2;
 /// Shares of [`crate::settings::Strategy::Steps`], as parts of the same.
-const STEP_PARTS: [f64; 3] = [0.2, 0.5, 0.8];
+const STEP_FRACTIONS: [f64; 3] = [0.2, 0.5, 0.8];
 /// Part of the slack with which the canary begins before requests have earned it
 /// credits, so that small services are judged too.
-const START_PART: f64 = 0.4;
+const START_FRACTION: f64 = 0.4;
 /// Part of the slack that no plan uses: what nodes have sent and not reported yet, and
 /// retries.
-const RESERVED_PART: f64 = 0.2;
+const RESERVED_FRACTION: f64 = 0.2;
 /// How much faster than lately requests may come until the deadline. A burst beyond that
 /// is seen within half a second, and the cut-over is taken back.
 const RATE_MARGIN: f64 = 1.3;
@@ -31,7 +31,7 @@
 const ATTEMPTS_PER_REQUEST: f64 = 1.05;
 /// Part of the share that a bad version may get, up to which one node's credits go where
 /// others leave theirs unused.
-const CAP_PART: f64 = 0.7;
+const NODE_CAP_FRACTION: f64 = 0.7;
 /// Time over which the recent rate is taken, in milliseconds.
 const RATE_WINDOW_MS: u64 = 1_500;
 /// The shortest time that shows a rate, in milliseconds.
@@ -41,7 +41,7 @@
 /// cut-over takes so long, by the bound's share alone.
 pub fn can_end_in_time(settings: &RolloutSettings, duration_ms: u64, cut_over_ms: u64) -> bool {
     let share = settings.canary_share;
-    let left = share * (1.0 - HOLD_PART) * duration_ms as f64;
+    let left = share * (1.0 - HOLD_FRACTION) * duration_ms as f64;
     let to_come = cut_over_ms as f64 * (RATE_MARGIN * ATTEMPTS_PER_REQUEST - share);
     settings.strategy != Strategy::HoldPastDeadline && to_come <= left
 }
@@ -49,8 +49,8 @@
 /// The share to begin with, in parts of a million.
 pub fn first_share_ppm(settings: &RolloutSettings, duration_ms: u64, cut_over_ms: u64) -> u32 {
     let part = match can_end_in_time(settings, duration_ms, cut_over_ms) {
-        true => HOLD_PART,
-        false => HOLD_PAST_DEADLINE_PART,
+        true => HOLD_FRACTION,
+        false => HOLD_PAST_DEADLINE_FRACTION,
     };
     (settings.canary_share * part * crate::stage::MILLION as f64) as u32
 }
@@ -58,39 +58,39 @@
 /// The share after this one, in parts of a million; nothing when it is the last.
 pub fn next_share_ppm(settings: &RolloutSettings, share_ppm: u32) -> Option<u32> {
     let million = crate::stage::MILLION as f64;
-    let steps = STEP_PARTS.map(|part| (settings.canary_share * part * million) as u32);
+    let steps = STEP_FRACTIONS.map(|part| (settings.canary_share * part * million) as u32);
     steps.into_iter().find(|&step| step > share_ppm)
 }
 
 /// Share up to which one node's credits go where others leave theirs unused.
-pub fn cap_share(settings: &RolloutSettings) -> f64 {
-    settings.canary_share * CAP_PART
+pub fn node_cap_share(settings: &RolloutSettings) -> f64 {
+    settings.canary_share * NODE_CAP_FRACTION
 }
 
 /// Credits that the fleet has before any request.
 pub fn start_credits(settings: &RolloutSettings) -> u64 {
-    (settings.canary_slack as f64 * START_PART) as u64
+    (settings.canary_slack as f64 * START_FRACTION) as u64
 }
 
 /// The rate of requests, by counts that only rise.
 #[derive(Clone, Debug, Default)]
 pub struct RequestRate {
-    readings: VecDeque<(Millis, u64)>,
+    samples: VecDeque<(Millis, u64)>,
 }
 
 impl RequestRate {
     /// Takes in the requests known so far.
     pub fn note(&mut self, requests: u64, now: Millis) {
-        self.readings.push_back((now, requests));
-        while self.readings.len() > 2 && now.since(self.readings[1].0) >= RATE_WINDOW_MS {
-            self.readings.pop_front();
+        self.samples.push_back((now, requests));
+        while self.samples.len() > 2 && now.since(self.samples[1].0) >= RATE_WINDOW_MS {
+            self.samples.pop_front();
         }
     }
 
     /// Requests in a millisecond, lately; nothing before it has been read long enough.
     pub fn per_ms(&self) -> Option<f64> {
-        let (first_at, first) = self.readings.front()?;
-        let (last_at, last) = self.readings.back()?;
+        let (first_at, first) = self.samples.front()?;
+        let (last_at, last) = self.samples.back()?;
         let ms = last_at.since(*first_at);
         (ms >= MIN_RATE_WINDOW_MS).then(|| (last - first) as f64 / ms as f64)
     }
@@ -123,7 +123,7 @@
         if self.remaining_ms == 0 {
             return true;
         }
-        let usable = settings.canary_slack as f64 * (1.0 - RESERVED_PART);
+        let usable = settings.canary_slack as f64 * (1.0 - RESERVED_FRACTION);
         self.beyond_share(settings) <= usable
     }
 
--- a/crates/rollout/src/share.rs
+++ b/crates/rollout/src/share.rs
@@ -34,14 +34,14 @@
 pub const SETTLE_MS: u64 = 1_000;
 /// Credits that the fleet leaves unused before a node uses more than its own, and the
 /// part of all credits that they must be too.
-const UNUSED_CREDITS: u64 = 4;
-/// See [`UNUSED_CREDITS`]: one of so many.
-const UNUSED_PART: u64 = 8;
+const MIN_UNUSED_CREDITS: u64 = 4;
+/// See [`MIN_UNUSED_CREDITS`]: one of so many.
+const UNUSED_CREDITS_DIVISOR: u64 = 8;
 /// Requests of the fleet after which it is another node's turn to use more.
 const TURN_REQUESTS: u64 = 16;
 /// Part of the slack that the canary leaves to what nodes have not reported yet: one of
 /// so many.
-const RESERVED_SLACK_PART: u64 = 4;
+const RESERVED_SLACK_DIVISOR: u64 = 4;
 
 /// A node's gate for one rollout. Kept from the first sight of its progress until
 /// another rollout of the service supersedes it.
@@ -53,7 +53,7 @@
     began_at: Millis,
     joined: Joined,
     /// Credits of this seat that a former life may have used.
-    used_before: Option<UsedBefore>,
+    former_life_credits: Option<FormerLifeCredits>,
     own: Counts,
     own_stop: OwnStop,
     /// The stage of which this node said that it has left established engines.
@@ -62,7 +62,7 @@
 
 /// Credits that were there for a former life.
 #[derive(Clone, Copy, Debug, Default)]
-struct UsedBefore {
+struct FormerLifeCredits {
     own: u64,
     cap: u64,
 }
@@ -76,8 +76,8 @@
         joined: Joined,
         now: Millis,
     ) -> Self {
-        let used_before = match joined {
-            Joined::BeforeOrder => Some(UsedBefore::default()),
+        let former_life_credits = match joined {
+            Joined::BeforeOrder => Some(FormerLifeCredits::default()),
             Joined::AfterOrder => None,
         };
         Self {
@@ -86,7 +86,7 @@
             progress,
             began_at: now,
             joined,
-            used_before,
+            former_life_credits,
             own: Counts::default(),
             own_stop: OwnStop::default(),
             left_established: None,
@@ -123,13 +123,13 @@
     /// To be called at each tick: a node of a later life learns by and by what its
     /// former life may have used.
     pub fn advance(&mut self, view: &FleetView<'_>, now: Millis) {
-        if self.used_before.is_some() || now.since(self.began_at) < SETTLE_MS {
+        if self.former_life_credits.is_some() || now.since(self.began_at) < SETTLE_MS {
             return;
         }
         if view.stage_verified_at < self.began_at {
             return;
         }
-        self.used_before = Some(UsedBefore {
+        self.former_life_credits = Some(FormerLifeCredits {
             own: self.own_credits(view),
             cap: self.cap_credits(view),
         });
@@ -202,17 +202,17 @@
     }
 
     fn decide_in_cut_over(&self, view: &FleetView<'_>, now: Millis) -> GateDecision {
-        if !self.has_heard_of_stage(view) {
-            return nowhere(GateReason::StageNotConfirmed);
+        if !self.has_verified_stage(view) {
+            return no_version(GateReason::StageNotConfirmed);
         }
         if now.since(view.stage_verified_at) > self.lost_touch_ms() {
-            return nowhere(GateReason::LostTouchInCutOver);
+            return no_version(GateReason::LostTouchInCutOver);
         }
         if !self.is_stopped(view) {
-            return self.target_alone(GateReason::CuttingOver);
+            return self.only_target(GateReason::CuttingOver);
         }
         match self.has_left_established() {
-            true => nowhere(GateReason::StoppedByEvidence),
+            true => no_version(GateReason::StoppedByEvidence),
             false => self.without_target(GateReason::StoppedByEvidence),
         }
     }
@@ -233,12 +233,12 @@
         share_ppm: u32,
         now: Millis,
     ) -> GateDecision {
-        if !self.has_heard_of_stage(view) {
-            return nowhere(GateReason::StageNotConfirmed);
+        if !self.has_verified_stage(view) {
+            return no_version(GateReason::StageNotConfirmed);
         }
         let stage_age_ms = now.since(view.stage_verified_at);
         if stage_age_ms > self.settings.silence_bound_ms {
-            return nowhere(GateReason::SilentTooLong);
+            return no_version(GateReason::SilentTooLong);
         }
         if stage_age_ms > STAGE_LEASE_MS {
             return self.without_target(GateReason::StageLeaseExpired);
@@ -255,16 +255,16 @@
         let Some(urgency) = self.urgency(view, share_ppm) else {
             return self.without_target(GateReason::NoCredit);
         };
-        let known = self.known(view);
+        let known = self.known_counts(view);
         match is_canary_request(request, &known, share_ppm, self.progress.rollout, urgency) {
-            true => self.target_alone(GateReason::Canary),
+            true => self.only_target(GateReason::Canary),
             false => self.without_target(GateReason::NotCanary),
         }
     }
 
     /// A later life must not rely on news from before it began: a former life may have
     /// confirmed a later stage.
-    fn has_heard_of_stage(&self, view: &FleetView<'_>) -> bool {
+    fn has_verified_stage(&self, view: &FleetView<'_>) -> bool {
         self.joined == Joined::BeforeOrder || view.stage_verified_at >= self.began_at
     }
 
@@ -276,18 +276,18 @@
     /// Whether one more arrival may be too many by the bound, by what is known.
     fn is_at_exposure_bound(&self, view: &FleetView<'_>) -> bool {
         let slack = self.settings.canary_slack;
-        let usable = slack - slack / RESERVED_SLACK_PART;
+        let usable = slack - slack / RESERVED_SLACK_DIVISOR;
         let share = self.settings.canary_share * self.requests(view) as f64;
         (self.target_arrivals(view) + 1) as f64 > share + usable as f64
     }
 
     /// Whether this node may send one more, and how much the fleet wants it.
     fn urgency(&self, view: &FleetView<'_>, share_ppm: u32) -> Option<Urgency> {
-        let before = self.used_before?;
+        let before = self.former_life_credits?;
         let used = self.own.target_arrivals();
         let fleet = self.fleet_credits(view, share_ppm);
         let unused = fleet.saturating_sub(self.target_arrivals(view));
-        let are_many_unused = unused >= UNUSED_CREDITS.max(fleet / UNUSED_PART);
+        let are_many_unused = unused >= MIN_UNUSED_CREDITS.max(fleet / UNUSED_CREDITS_DIVISOR);
         if self.own_credits(view) > before.own + used {
             return Some(match are_many_unused {
                 true => Urgency::AnyPrompt,
@@ -296,12 +296,12 @@
         }
         let may_use_others = are_many_unused
             && self.cap_credits(view) > before.cap + used
-            && self.unreported_arrivals(view) < self.turn_of_unused(unused, view);
+            && self.unreported_arrivals(view) < self.turn_share_of_unused(unused, view);
         may_use_others.then_some(Urgency::AnyPrompt)
     }
 
     /// How many of the unused credits are this node's to use, in turn.
-    fn turn_of_unused(&self, unused: u64, view: &FleetView<'_>) -> u64 {
+    fn turn_share_of_unused(&self, unused: u64, view: &FleetView<'_>) -> u64 {
         let turn = self.progress.rollout.0 + self.requests(view) / TURN_REQUESTS;
         owned_credits(unused, view.seat, turn)
     }
@@ -322,14 +322,14 @@
     }
 
     fn cap_credits(&self, view: &FleetView<'_>) -> u64 {
-        let cap_ppm = schedule::cap_share(&self.settings) * MILLION as f64;
+        let cap_ppm = schedule::node_cap_share(&self.settings) * MILLION as f64;
         let start = schedule::start_credits(&self.settings);
         let credits = fleet_credits(self.requests(view), cap_ppm as u64, start);
         owned_credits(credits, view.seat, self.progress.rollout.0)
     }
 
     /// The fleet's sums with what this node has not reported yet.
-    fn known(&self, view: &FleetView<'_>) -> Counts {
+    fn known_counts(&self, view: &FleetView<'_>) -> Counts {
         let mut known = view.sums.clone();
         match view.own_in_sums {
             Some(reported) => known.add(&self.own.since(reported)),
@@ -352,7 +352,7 @@
         self.own.target_arrivals().saturating_sub(reported)
     }
 
-    fn target_alone(&self, reason: GateReason) -> GateDecision {
+    fn only_target(&self, reason: GateReason) -> GateDecision {
         GateDecision {
             rule: Some(SoftwareRule::Only(self.target.clone())),
             reason,
@@ -388,6 +388,6 @@
     }
 }
 
-fn nowhere(reason: GateReason) -> GateDecision {
+fn no_version(reason: GateReason) -> GateDecision {
     GateDecision { rule: None, reason }
 }
--- a/crates/rollout/src/weighing.rs
+++ b/crates/rollout/src/transition_context.rs
@@ -11,49 +11,49 @@
 use ploverlift_policy::ids::Millis;
 
 /// Answers of the target in all that a cut-over needs.
-const ENOUGH_ANSWERS: u64 = 30;
+const MIN_ANSWERS: u64 = 30;
 /// Answers of the target on each route that has a part of the requests worth judging.
-const ENOUGH_ROUTE_ANSWERS: u64 = 8;
+const MIN_ROUTE_ANSWERS: u64 = 8;
 /// Part of the requests that makes a route worth judging: one of so many.
-const ROUTE_WORTH_JUDGING: u64 = 10;
+const SIGNIFICANT_ROUTE_DIVISOR: u64 = 10;
 /// How often its duration a rollout waits for evidence or engines, from the order.
-const PATIENCE_DURATIONS: u64 = 3;
+const MAX_WAIT_DURATIONS: u64 = 3;
 /// Time after the deadline for which it waits at least, in milliseconds.
-const MIN_PATIENCE_MS: u64 = 10_000;
+const MIN_WAIT_AFTER_DEADLINE_MS: u64 = 10_000;
 /// Part of the established engines that the target must have to carry all.
-const ENOUGH_ENGINES_PART: f64 = 0.75;
+const MIN_ENGINES_FRACTION: f64 = 0.75;
 /// Time that a reported arrival may be old, in milliseconds: two reports and their way.
-const REPORT_AGE_MS: u64 = 500;
+const MAX_REPORT_AGE_MS: u64 = 500;
 /// Silence from which a node counts as unheard, in milliseconds: five reports.
-const HEARD_LATELY_MS: u64 = 1_000;
+const UNHEARD_AFTER_MS: u64 = 1_000;
 /// Nodes that stopped by what they saw alone, for which the version counts as bad; in a
 /// smaller fleet, all that are heard: once all have stopped, no more evidence
 /// comes.
-const STOPPED_NODES: usize = 3;
+const STOPPED_NODES_LIMIT: usize = 3;
 /// Time for which a single one may hold a cut-over up, in milliseconds.
-const STOPPED_NODE_PATIENCE_MS: u64 = 5_000;
+const STOPPED_NODE_WAIT_MS: u64 = 5_000;
 /// Time before the deadline at which a rollout is completed at the earliest, in
 /// milliseconds: a version that turns bad later can't be rolled back, so it is watched
 /// as long as it may. Enough for a write of the store and an order that was seen late.
-pub(crate) const COMPLETE_BEFORE_MS: u64 = 500;
+pub(crate) const COMPLETION_MARGIN_MS: u64 = 500;
 /// Time for which the target serves alone before it is completed, in milliseconds: what
 /// shows under full load only shows within a second or two.
-pub(crate) const WATCH_MS: u64 = 3_000;
+pub(crate) const MIN_WATCH_MS: u64 = 3_000;
 
 /// Time that a cut-over takes at least, in milliseconds, when the barrier takes so long.
 pub(crate) fn cut_over_ms(barrier_ms: u64) -> u64 {
-    barrier_ms.max(WATCH_MS) + COMPLETE_BEFORE_MS
+    barrier_ms.max(MIN_WATCH_MS) + COMPLETION_MARGIN_MS
 }
 
 /// All that one decision is made by.
-pub(crate) struct Weighing<'a> {
+pub(crate) struct TransitionContext<'a> {
     pub(crate) settings: &'a RolloutSettings,
     pub(crate) progress: &'a Progress,
     pub(crate) input: &'a DeciderInput<'a>,
     pub(crate) supply: Supply,
 }
 
-impl<'a> Weighing<'a> {
+impl<'a> TransitionContext<'a> {
     pub(crate) fn of(
         settings: &'a RolloutSettings,
         progress: &'a Progress,
@@ -91,9 +91,9 @@
 
     /// Whether the target has served alone long enough, and as long as the deadline lets
     /// it: a version that turns bad after its completion can't be rolled back.
-    pub(crate) fn is_watched_enough(&self) -> bool {
+    pub(crate) fn is_watch_complete(&self) -> bool {
         let since = self.input.now.since(self.input.status_seen_at);
-        since >= WATCH_MS && self.remaining_ms() <= COMPLETE_BEFORE_MS
+        since >= MIN_WATCH_MS && self.remaining_ms() <= COMPLETION_MARGIN_MS
     }
 
     /// The share to begin with.
@@ -102,22 +102,22 @@
         schedule::first_share_ppm(self.settings, self.progress.duration_ms, cut_over_ms)
     }
 
-    pub(crate) fn is_patience_over(&self) -> bool {
+    pub(crate) fn is_wait_exhausted(&self) -> bool {
         let duration_ms = self.progress.duration_ms;
-        let patience_ms = duration_ms
-            .saturating_mul(PATIENCE_DURATIONS)
-            .max(duration_ms.saturating_add(MIN_PATIENCE_MS));
-        self.elapsed_ms() >= patience_ms
+        let max_wait_ms = duration_ms
+            .saturating_mul(MAX_WAIT_DURATIONS)
+            .max(duration_ms.saturating_add(MIN_WAIT_AFTER_DEADLINE_MS));
+        self.elapsed_ms() >= max_wait_ms
     }
 
     pub(crate) fn has_enough_engines(&self) -> bool {
-        let needed = f64::from(self.supply.established) * ENOUGH_ENGINES_PART;
+        let needed = f64::from(self.supply.established) * MIN_ENGINES_FRACTION;
         self.supply.target > 0 && f64::from(self.supply.target) >= needed
     }
 
     /// Goes no further; and back once the deadline has passed, for then nothing is gained
     /// by waiting, and a bad version would go on answering.
-    pub(crate) fn under_suspicion(&self, finding: Finding) -> Decision {
+    pub(crate) fn decide_under_suspicion(&self, finding: Finding) -> Decision {
         match self.remaining_ms() {
             0 => self.roll_back(RollBackCause::BadAnswers, Reason::Bad(finding)),
             _ => stay(Reason::Suspicious(finding)),
@@ -126,9 +126,9 @@
 
     /// Waits for engines until the deadline; then it ends without any, or, with too few,
     /// when patience is over.
-    pub(crate) fn without_engines(&self) -> Decision {
+    pub(crate) fn decide_without_engines(&self) -> Decision {
         let has_none = self.supply.target == 0;
-        if self.is_patience_over() || (has_none && self.remaining_ms() == 0) {
+        if self.is_wait_exhausted() || (has_none && self.remaining_ms() == 0) {
             let cause = RollBackCause::NoEngines;
             return self.roll_back(cause, Reason::Abandoned(cause));
         }
@@ -139,8 +139,8 @@
     }
 
     /// Waits for answers; a version without proof is never completed.
-    pub(crate) fn without_proof(&self) -> Decision {
-        if !self.is_patience_over() {
+    pub(crate) fn decide_without_proof(&self) -> Decision {
+        if !self.is_wait_exhausted() {
             return stay(Reason::GatheringEvidence);
         }
         let cause = RollBackCause::NoProof;
@@ -150,13 +150,13 @@
     pub(crate) fn has_enough_answers(&self) -> bool {
         let sums = self.sums();
         let answers: u64 = sums.routes.values().map(|route| route.target.answers).sum();
-        let judged = sums.routes.values().filter(|route| {
-            route.requests * ROUTE_WORTH_JUDGING >= sums.requests() && route.requests > 0
+        let significant_routes = sums.routes.values().filter(|route| {
+            route.requests * SIGNIFICANT_ROUTE_DIVISOR >= sums.requests() && route.requests > 0
         });
-        let each_enough =
-            |route: &crate::counts::RouteCounts| route.target.answers >= ENOUGH_ROUTE_ANSWERS;
-        answers >= ENOUGH_ANSWERS
-            && judged.into_iter().all(each_enough)
+        let has_min_answers =
+            |route: &crate::counts::RouteCounts| route.target.answers >= MIN_ROUTE_ANSWERS;
+        answers >= MIN_ANSWERS
+            && significant_routes.into_iter().all(has_min_answers)
             && is_first_byte_timely(sums)
     }
 
@@ -176,9 +176,10 @@
         };
         let known = self.sums().target_arrivals();
         let since_stage_ms = self.input.now.since(self.input.status_seen_at);
-        let unreported = rate_per_ms * REPORT_AGE_MS.min(since_stage_ms) as f64 * share;
-        let unheard =
-            schedule::cap_share(self.settings) * self.requests() as f64 * self.unheard_part();
+        let unreported = rate_per_ms * MAX_REPORT_AGE_MS.min(since_stage_ms) as f64 * share;
+        let unheard = schedule::node_cap_share(self.settings)
+            * self.requests() as f64
+            * self.unheard_fraction();
         let arrivals = known.max(self.progress.target_arrivals);
         Exposure {
             target_arrivals: arrivals + (unreported + unheard).ceil() as u64,
@@ -189,38 +190,38 @@
     }
 
     /// Part of the nodes that were not heard lately.
-    fn unheard_part(&self) -> f64 {
+    fn unheard_fraction(&self) -> f64 {
         let input = self.input;
         let is_unheard = |member: &&Member| {
             let last_heard_at = member.last_heard_at.unwrap_or(Millis(0));
-            input.now.since(last_heard_at) > HEARD_LATELY_MS
+            input.now.since(last_heard_at) > UNHEARD_AFTER_MS
         };
         let unheard = input.members.iter().filter(is_unheard).count();
         unheard as f64 / input.members.len().max(1) as f64
     }
 
     /// Nodes that have to stop before the version counts as bad.
-    fn enough_stopped(&self) -> usize {
-        let heard = 1.0 - self.unheard_part();
+    fn stopped_nodes_threshold(&self) -> usize {
+        let heard = 1.0 - self.unheard_fraction();
         let heard = (heard * self.input.members.len() as f64).round() as usize;
-        heard.clamp(1, STOPPED_NODES)
+        heard.clamp(1, STOPPED_NODES_LIMIT)
     }
 
     /// Nodes that stopped by what they saw alone, when they are many or hold up a
     /// cut-over.
-    pub(crate) fn stopped_nodes(&self) -> Option<Finding> {
+    pub(crate) fn stopped_nodes_finding(&self) -> Option<Finding> {
         let has_stopped = |member: &&Member| {
             let confirmation = member.confirmation;
             confirmation.is_some_and(|it| it.rollout == self.progress.rollout && it.has_stopped)
         };
         let stopped = self.input.members.iter().filter(has_stopped).count();
         let since = self.input.now.since(self.input.status_seen_at);
-        let holds_up = stopped > 0
+        let blocks_cut_over = stopped > 0
             && self.progress.stage == Stage::CuttingOver
-            && since >= STOPPED_NODE_PATIENCE_MS;
+            && since >= STOPPED_NODE_WAIT_MS;
         let target = self.sums().all_routes(crate::counts::Side::Target);
-        let enough = self.enough_stopped();
-        (stopped >= enough || holds_up).then_some(Finding {
+        let enough = self.stopped_nodes_threshold();
+        (stopped >= enough || blocks_cut_over).then_some(Finding {
             symptom: Symptom::NodesStopped,
             route: None,
             answers: target.answers,
@@ -232,11 +233,11 @@
     }
 
     /// Nodes that may still use established engines, and what they have there.
-    pub(crate) fn awaited(&self, decider_began_at: Millis) -> (u32, u32) {
-        let awaited = self.input.members.iter().filter(|member| {
+    pub(crate) fn unconfirmed_nodes(&self, decider_began_at: Millis) -> (u32, u32) {
+        let unconfirmed_nodes = self.input.members.iter().filter(|member| {
             !self.has_confirmed(member) && !self.is_silent(member, decider_began_at)
         });
-        awaited.fold((0, 0), |(nodes, running), member| {
+        unconfirmed_nodes.fold((0, 0), |(nodes, running), member| {
             let confirmation = member.confirmation;
             let more = confirmation.map_or(0, |it| it.running_on_established);
             (nodes + 1, running + more)
@@ -260,15 +261,15 @@
         self.input.now.since(since) > self.settings.silence_bound_ms
     }
 
-    pub(crate) fn go_to(&self, stage: Stage, reason: Reason) -> Decision {
-        write(self.progress_at(stage), reason)
+    pub(crate) fn enter(&self, stage: Stage, reason: Reason) -> Decision {
+        store_next(self.next_progress(stage), reason)
     }
 
     pub(crate) fn roll_back(&self, cause: RollBackCause, reason: Reason) -> Decision {
-        self.go_to(Stage::RolledBack { cause }, reason)
+        self.enter(Stage::RolledBack { cause }, reason)
     }
 
-    fn progress_at(&self, stage: Stage) -> Progress {
+    fn next_progress(&self, stage: Stage) -> Progress {
         let requests = self.requests();
         let since = requests.saturating_sub(self.progress.requests);
         let share_ppm = match self.progress.stage {
@@ -295,7 +296,7 @@
     Decision { next: None, reason }
 }
 
-pub(crate) fn write(next: Progress, reason: Reason) -> Decision {
+pub(crate) fn store_next(next: Progress, reason: Reason) -> Decision {
     Decision {
         next: Some(next),
         reason,
