--- a/crates/rollout/src/acceptance.rs
+++ b/crates/rollout/src/acceptance.rs
@@ -1,39 +1,43 @@
-//! Whether a version has answered so much so well that it may be completed.
+//! Acceptance test: whether a version has enough good answers to be completed.
 
 use crate::baseline::{later_half_baseline, Baseline};
 use crate::counts::{Counts, RouteCounts, Side, SideCounts};
 
-/// Chance that a version of which [`MIN_DETECTABLE_DEFECT`] more answers fail is accepted.
+/// Chance of accepting a version that fails [`MIN_DETECTABLE_DEFECT`] more of its
+/// answers.
 pub const FALSE_ACCEPTANCE_CHANCE: f64 = 0.001;
-/// The same where the deadline leaves no time for more answers.
+/// The same chance before the deadline, when there is no time for more answers.
 const REDUCED_FALSE_ACCEPTANCE_CHANCE: f64 = 0.01;
-/// The same then by route, and of the answers since all traffic moved.
+/// The same chance before the deadline for each route, and for the answers since the
+/// cut-over.
 const REDUCED_PART_FALSE_ACCEPTANCE_CHANCE: f64 = 0.1;
-/// Part of the answers that a bad version fails at least.
+/// Smallest additional failure rate of a version that counts as bad.
 const MIN_DETECTABLE_DEFECT: f64 = 0.04;
 
-/// Part of the first bytes that are later than borne of a slow version at least: slower by
-/// 2 it is some 0.6 of the rest.
+/// Smallest additional rate of late first bytes of a slow version, as a part of those
+/// that are not late by the baseline; for a slowdown by 2 the rate is about 0.6.
 const MIN_LATE_RISE: f64 = 0.3;
-/// Chance that such a version counts as prompt.
+/// Chance that such a slow version passes as timely.
 const FALSE_TIMELINESS_CHANCE: f64 = 0.01;
 
-/// The same beyond that, as a part of the failures that are borne: where many requests
-/// fail by themselves, a few more could be told from chance by thousands of answers only.
+/// Increase of [`MIN_DETECTABLE_DEFECT`] for each unit of the tolerated failure rate:
+/// where many requests fail by themselves, a smaller defect could be told from chance
+/// only by thousands of answers.
 const DEFECT_PER_TOLERATED_RATE: f64 = 0.5;
 
-/// How sure a version must be to be accepted.
+/// How strong the evidence must be to accept a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Assurance {
-    /// Before the deadline: on the whole; by route and since all traffic moved, a little.
+    /// Before the deadline: weaker evidence, in particular for each route and for the
+    /// answers since the cut-over.
     Reduced,
-    /// After the deadline there is time: of each.
+    /// After the deadline, when there is time: full evidence for all of these.
     Full,
 }
 
-/// Whether a version has answered so much so well that one of which
-/// [`MIN_DETECTABLE_DEFECT`] more answers fail hardly ever would, on the whole, on each route
-/// with a tenth of its answers, and since all traffic moved.
+/// Whether a version that fails [`MIN_DETECTABLE_DEFECT`] more answers would hardly ever
+/// have answered this well: overall, on each route with at least a tenth of its answers,
+/// and since the cut-over.
 pub fn is_accepted(sums: &Counts, since_cut_over: &Counts, assurance: Assurance) -> bool {
     let (chance, part_chance) = match assurance {
         Assurance::Reduced => (
@@ -52,9 +56,9 @@
         && routes.all(|it| has_answered_well(&it.target, &it.established, part_chance))
 }
 
-/// Whether its first bytes came so soon that a version of which [`MIN_LATE_RISE`] more are
-/// beyond the established median hardly ever gave them. To be asked while the established
-/// engines answer at the same time.
+/// Whether a version with [`MIN_LATE_RISE`] more first bytes beyond the established
+/// median would hardly ever have answered this early. Meaningful only while the
+/// established engines answer at the same time.
 pub fn is_first_byte_timely(sums: &Counts) -> bool {
     let log_ratios = sums.routes.values().filter_map(|counts| {
         let (bucket, tolerated) = later_half_baseline(&counts.established)?;
@@ -70,14 +74,15 @@
     log_ratios.sum::<f64>() <= FALSE_TIMELINESS_CHANCE.ln()
 }
 
-/// Logarithm of how much likelier the bad answers are of a version that fails more.
+/// Logarithm of the likelihood of the answers at a rate raised by `rise`, relative to
+/// the tolerated rate.
 fn log_likelihood_ratio(answers: u64, bad: u64, tolerated: f64, rise: f64) -> f64 {
     let raised = tolerated + rise * (1.0 - tolerated);
     let (bad, good) = (bad as f64, answers.saturating_sub(bad) as f64);
     bad * (raised / tolerated).ln() + good * ((1.0 - raised) / (1.0 - tolerated)).ln()
 }
 
-/// Wald's test, at its lower end.
+/// Wald's sequential probability ratio test, lower boundary.
 fn has_answered_well(target: &SideCounts, established: &SideCounts, chance: f64) -> bool {
     let tolerated = Baseline::from_overall(established).tolerated_failure_rate();
     let defect = MIN_DETECTABLE_DEFECT + DEFECT_PER_TOLERATED_RATE * tolerated;
--- a/crates/rollout/src/baseline.rs
+++ b/crates/rollout/src/baseline.rs
@@ -1,22 +1,26 @@
-//! The established engines' answers, and what of the target's is borne by them.
+//! Baseline of the comparison: the established engines' answers, and the rates of failed
+//! and late answers that are tolerated of the target because of them.
 
 use crate::counts::SideCounts;
 use crate::first_byte::BUCKETS;
 
-/// Rate of failures that is always borne.
+/// Failure rate that is always tolerated.
 const MIN_TOLERATED_FAILURE_RATE: f64 = 0.01;
-/// Rate of late first bytes that is always borne.
+/// Rate of late first bytes that is always tolerated.
 const MIN_TOLERATED_LATE_RATE: f64 = 0.05;
-/// No more than that is borne, else a test could find nothing.
+/// Upper limit of each tolerated rate; without it a test could not detect anything.
 const MAX_TOLERATED_RATE: f64 = 0.8;
-/// Buckets of room before a first byte counts as late: slower by √2 is borne.
+/// Histogram buckets of margin before a first byte counts as late: one bucket tolerates
+/// a slowdown by √2.
 pub(crate) const LATE_MARGIN_BUCKETS: usize = 1;
-/// The same once the established engines serve less and less beside the target.
+/// The margin during a cut-over, when the established engines serve fewer and fewer
+/// requests to compare with.
 pub(crate) const LATE_MARGIN_BUCKETS_IN_CUT_OVER: usize = 2;
-/// Answers of the established engines below which their times say nothing.
+/// Minimum number of established answers for a comparison of times.
 const MIN_BASELINE_ANSWERS: u64 = 20;
 
-/// The established engines' answers to compare with.
+/// The established engines' counts to compare with: since the order, and of the last
+/// seconds.
 pub(crate) struct Baseline {
     pub(crate) overall: SideCounts,
     pub(crate) recent: SideCounts,
@@ -30,8 +34,8 @@
         }
     }
 
-    /// Share of failures that is borne: the higher of the whole and the recent one, with
-    /// room for chance.
+    /// Tolerated failure rate: the higher of the overall and the recent rate of the
+    /// established engines, with an allowance for chance.
     pub(crate) fn tolerated_failure_rate(&self) -> f64 {
         let whole = upper_share(self.overall.failures, self.overall.answers);
         let recent = match self.recent.answers >= MIN_BASELINE_ANSWERS {
@@ -43,7 +47,7 @@
             .clamp(MIN_TOLERATED_FAILURE_RATE, MAX_TOLERATED_RATE)
     }
 
-    /// Recent times where there are enough, else all.
+    /// The recent counts if they contain enough times, else the overall ones.
     pub(crate) fn timing_counts(&self) -> &SideCounts {
         match self.recent.first_byte.total() >= MIN_BASELINE_ANSWERS {
             true => &self.recent,
@@ -58,14 +62,15 @@
     }
 }
 
-/// The share that is seen, and two standard deviations of chance.
+/// The observed rate plus two standard deviations.
 pub(crate) fn upper_share(count: u64, total: u64) -> f64 {
     let count = count as f64;
     (count + 2.0 * count.sqrt() + 1.0) / (total as f64 + 4.0)
 }
 
-/// The established engines' share beyond their median, with half a bucket (2^¼) of room;
-/// the bucket from which on a first byte counts.
+/// The histogram bucket that begins beyond the median first byte of the established
+/// engines, and the tolerated rate of answers in or beyond it, with a margin of half a
+/// bucket (2^¼).
 pub(crate) fn later_half_baseline(established: &SideCounts) -> Option<(usize, f64)> {
     let bucket = late_bucket(established, 0.5)?;
     let times = &established.first_byte;
@@ -78,7 +83,8 @@
     ))
 }
 
-/// The first bucket in or beyond which at most a share of the answers lies.
+/// The first bucket for which at most the given share of the answers lies in it or
+/// beyond; `None` with too few answers.
 pub(crate) fn late_bucket(established: &SideCounts, share: f64) -> Option<usize> {
     let times = &established.first_byte;
     let total = times.total();
--- a/crates/rollout/src/counts.rs
+++ b/crates/rollout/src/counts.rs
@@ -1,9 +1,9 @@
-//! What a node reports of a running rollout, and sums over the fleet.
+//! Counts that a node reports for a running rollout, and their sums over the fleet.
 //!
-//! All counts are cumulative since the node's life began to count for the rollout, so
-//! a report that is late, doubled or lost changes no sum: of each node and life the
-//! highest counts stand. A restarted node has a later life, whose counts are added to
-//! those of the former one.
+//! All counts are cumulative since the node's process life began to count for the
+//! rollout, so a report that is late, duplicated or lost changes no sum: for each node
+//! and life the highest counts apply. A restarted node has a later life, whose counts
+//! are added to those of the former one.
 
 use crate::first_byte::FirstByteHistogram;
 use crate::stage::RolloutNumber;
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A route, named by the hash of its name.
+/// A route, identified by the hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouteTag(pub u32);
 
@@ -31,12 +31,12 @@
     Established,
 }
 
-/// How engines of one side answered on one route.
+/// Outcomes of attempts at the engines of one side on one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SideCounts {
-    /// Outcomes, failures among them.
+    /// Number of outcomes, including failures.
     pub answers: u64,
-    /// Answers that failed, broke off or never came.
+    /// Answers that failed, broke off or never arrived.
     pub failures: u64,
     /// Times to the first byte.
     pub first_byte: FirstByteHistogram,
@@ -55,7 +55,7 @@
         self.first_byte.add(&other.first_byte);
     }
 
-    /// What was added since an earlier reading.
+    /// The counts that were added since an earlier reading.
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
             answers: self.answers.saturating_sub(earlier.answers),
@@ -65,18 +65,18 @@
     }
 }
 
-/// What was counted on one route.
+/// The counts of one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouteCounts {
-    /// Whether its requests may run more than once.
+    /// Whether its requests may be executed more than once.
     pub is_repeatable: bool,
     /// Requests that reached the service, each counted once.
     pub requests: u64,
-    /// Arrivals at engines of the target, retries and second attempts among them.
+    /// Arrivals at engines of the target, including retries and second attempts.
     pub target_arrivals: u64,
-    /// How engines of the target answered.
+    /// Outcomes at engines of the target.
     pub target: SideCounts,
-    /// How the other engines answered.
+    /// Outcomes at all other engines.
     pub established: SideCounts,
 }
 
@@ -116,30 +116,31 @@
     }
 }
 
-/// Slots among which the engines of the target are spread by the hash of their names.
+/// Number of slots over which the engines of the target are spread by the hash of their
+/// names.
 pub const ENGINE_SLOTS: usize = 16;
 
-/// How the engines of one slot answered.
+/// Outcomes of attempts at the engines of one slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineSlotCounts {
-    /// Outcomes, failures among them.
+    /// Number of outcomes, including failures.
     pub answers: u64,
-    /// Answers that failed, broke off or never came.
+    /// Answers that failed, broke off or never arrived.
     pub failures: u64,
 }
 
-/// Counts by route, and of the target by engine: a version is bad on each engine, a bad
-/// engine is no bad version.
+/// Counts by route, and of the target also by engine slot: a bad version is bad on every
+/// engine, while a single bad engine does not make a bad version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// By route.
+    /// Counts by route.
     pub routes: BTreeMap<RouteTag, RouteCounts>,
-    /// Engines of the target, by slot.
+    /// Counts of the target's engines, by slot.
     pub target_engines: [EngineSlotCounts; ENGINE_SLOTS],
 }
 
 impl Counts {
-    /// Counts a request that reached the service: at its first attempt.
+    /// Counts a request that reached the service, at its first attempt.
     pub fn note_request(&mut self, route: RouteTag, is_repeatable: bool) {
         let counts = self.routes.entry(route).or_default();
         counts.is_repeatable = is_repeatable;
@@ -151,7 +152,7 @@
         self.routes.entry(route).or_default().target_arrivals += 1;
     }
 
-    /// Counts how an attempt went.
+    /// Counts the outcome of an attempt.
     pub fn note_answer(&mut self, route: RouteTag, side: Side, answer: &Answer) {
         if side == Side::Target {
             let slot = &mut self.target_engines[answer.engine as usize % ENGINE_SLOTS];
@@ -170,12 +171,12 @@
         }
     }
 
-    /// Requests of all routes.
+    /// Number of requests on all routes.
     pub fn requests(&self) -> u64 {
         self.routes.values().map(|route| route.requests).sum()
     }
 
-    /// Arrivals at the target on all routes.
+    /// Number of arrivals at the target on all routes.
     pub fn target_arrivals(&self) -> u64 {
         self.routes
             .values()
@@ -192,7 +193,7 @@
         sum
     }
 
-    /// The higher of each count.
+    /// Keeps the higher of each count.
     pub fn merge_max(&mut self, other: &Self) {
         for (route, counts) in &other.routes {
             self.routes.entry(*route).or_default().merge_max(counts);
@@ -214,7 +215,7 @@
         }
     }
 
-    /// What was added since an earlier reading.
+    /// The counts that were added since an earlier reading.
     pub fn since(&self, earlier: &Self) -> Self {
         let nothing = RouteCounts::default();
         let mut added = self.clone();
@@ -229,35 +230,35 @@
     }
 }
 
-/// How a request's first attempt went, for the comparison of versions: repeats go to
-/// established engines only, and a request that fails by itself fails again, so with them
-/// the sides could not be compared. Refusals (full, loading,
-/// leaving) and attempts without a connection are none; the caller leaves out engines
-/// that are cold, load weights, or are ejected or cut off.
+/// Outcome of a request's first attempt, for the comparison of versions. Retries are
+/// left out: they go to established engines only, and a request that fails by itself
+/// fails again, so with them the sides could not be compared. Refusals (full, loading,
+/// leaving) and attempts without a connection are not answers; the caller leaves out
+/// engines that are cold, load weights, or are ejected or cut off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// Hash of the engine's name.
     pub engine: u64,
-    /// Whether it failed, broke off or never came.
+    /// Whether the attempt failed, broke off or was never answered.
     pub has_failed: bool,
     /// Time from the send to the first byte of content, in milliseconds.
     pub first_byte_ms: Option<u64>,
 }
 
-/// What a node reports of a rollout.
+/// A node's report of its counts for a rollout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CountReport {
     /// The rollout.
     pub rollout: RolloutNumber,
     /// The node.
     pub node: PeerId,
-    /// Its life; a later one is higher.
+    /// The node's process life; a later life has a higher number.
     pub life: u64,
-    /// Cumulative since its life began.
+    /// Cumulative counts since that life began.
     pub counts: Counts,
 }
 
-/// What all nodes have counted of one rollout, as known here.
+/// The counts of all nodes for one rollout, as known to this node.
 #[derive(Clone, Debug, Default)]
 pub struct FleetCounts {
     rollout: RolloutNumber,
@@ -266,7 +267,7 @@
 }
 
 impl FleetCounts {
-    /// Nothing known yet of a rollout.
+    /// Empty counts of a rollout.
     pub fn of(rollout: RolloutNumber) -> Self {
         Self {
             rollout,
@@ -279,8 +280,8 @@
         self.rollout
     }
 
-    /// Takes in a report, or what a relay passes on of one; those of another rollout
-    /// change nothing. True if a count has risen.
+    /// Merges a report, received directly or through a relay; a report of another
+    /// rollout is ignored. Returns true if a count has risen.
     pub fn merge_report(&mut self, report: &CountReport) -> bool {
         if report.rollout != self.rollout {
             return false;
@@ -300,7 +301,7 @@
         &self.sums
     }
 
-    /// Each node and life with its counts, for a relay to pass on.
+    /// The counts of each node and life, for a relay to forward.
     pub fn reports(&self) -> impl Iterator<Item = CountReport> + '_ {
         self.reported
             .iter()
@@ -312,7 +313,7 @@
             })
     }
 
-    /// What one life of a node has counted.
+    /// The counts of one life of a node.
     pub fn of_life(&self, node: PeerId, life: u64) -> Option<&Counts> {
         self.reported.get(&(node, life))
     }
--- a/crates/rollout/src/decider.rs
+++ b/crates/rollout/src/decider.rs
@@ -1,9 +1,9 @@
 //! The lease holder's state machine: from counts and confirmations to the next stage.
 //!
-//! Each decision is a pure function of what is stored, counted and confirmed, apart from
-//! the tests of the evidence, which a successor begins anew with all counts so far. The
-//! next progress is stored on the condition of the revision that was read, so of two
-//! deciders one writes, and no stage follows an end.
+//! Each decision is a pure function of what is stored, counted and confirmed, except for
+//! the sequential tests, which a successor restarts with all counts so far. The next
+//! progress is stored only if the revision that was read is still current, so of two
+//! deciders only one writes, and no stage follows a terminal one.
 
 use crate::present_rollout::PresentRollout;
 use crate::schedule;
@@ -14,7 +14,7 @@
 
 pub use crate::decision::{DeciderInput, Decision, Member, Reason, VersionSupply};
 
-/// Decides over one service's rollouts while its node holds the lease.
+/// Decides on one service's rollouts while its node holds the lease.
 #[derive(Clone, Debug)]
 pub struct Decider {
     settings: RolloutSettings,
@@ -22,7 +22,7 @@
 }
 
 impl Decider {
-    /// A decider that has seen nothing yet: of a node that has just got the lease.
+    /// A decider without history, for a node that has just acquired the lease.
     pub fn new(settings: RolloutSettings) -> Self {
         Self {
             settings,
@@ -30,8 +30,12 @@
         }
     }
 
-    /// What is to follow. Call it at each tick (some 100 ms) and when counts,
-    /// confirmations or the order change.
+    /// Decides on the next stage. Call it at each tick (about every 100 ms) and when
+    /// counts, confirmations or the order change.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the recorded status can't be read.
     pub fn decide(&mut self, input: &DeciderInput<'_>) -> Result<Decision, ProgressError> {
         let recorded = Recorded::of(input.order)?;
         let progress = match recorded {
@@ -45,7 +49,7 @@
         Ok(self.continue_rollout(&progress, input))
     }
 
-    /// The first stage of an order that supersedes what is recorded.
+    /// Decides on the first stage of an order that supersedes what is recorded.
     fn begin_rollout(&mut self, recorded: &Recorded, input: &DeciderInput<'_>) -> Decision {
         self.present = None;
         let order = input.order;
--- a/crates/rollout/src/decision.rs
+++ b/crates/rollout/src/decision.rs
@@ -1,4 +1,4 @@
-//! What a decider sees, and what it says.
+//! Input and output of the decider.
 
 use crate::counts::FleetCounts;
 use crate::finding::Finding;
@@ -14,94 +14,96 @@
 pub struct Member {
     /// The node.
     pub node: PeerId,
-    /// When it was heard last, on the decider's clock; nothing if never.
+    /// When its last report arrived, on the decider's clock; `None` if none has arrived.
     pub last_heard_at: Option<Millis>,
-    /// What it said last of the rollout.
+    /// Its latest confirmation of a stage of the rollout.
     pub confirmation: Option<Confirmation>,
 }
 
-/// Engines of one version that could serve now.
+/// Number of engines of one version that can serve requests now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionSupply {
     /// The version.
     pub version: SoftwareVersion,
-    /// Engines that are up, stay, and have the weights that are required; 0 for a version
-    /// of which there are records only.
+    /// Engines that are up, are not leaving and have the required weights; 0 for a
+    /// version of which only records exist.
     pub engines: u32,
 }
 
-/// What the decider sees.
+/// Everything that a decision is based on.
 #[derive(Clone, Copy, Debug)]
 pub struct DeciderInput<'a> {
-    /// The time on the decider's clock.
+    /// The current time on the decider's clock.
     pub now: Millis,
-    /// The order as read last, with its status.
+    /// The order as last read from the store, with its status.
     pub order: &'a RolloutOrder,
-    /// When this node saw this order first, on its clock.
+    /// When this node first read this order, on its clock.
     pub order_seen_at: Millis,
-    /// When this node saw the present status first, on its clock.
+    /// When this node first read the current status, on its clock.
     pub status_seen_at: Millis,
-    /// Counts of the fleet; of the rollout that is recorded, else empty.
+    /// Counts of the fleet for the recorded rollout; empty if no rollout is recorded.
     pub counts: &'a FleetCounts,
-    /// All nodes that the platform lists or that were heard lately, this one too.
+    /// All nodes that the platform lists or that reported recently, including this one.
     pub members: &'a [Member],
     /// Engines of the service, by version.
     pub engines: &'a [VersionSupply],
-    /// Time that requests on established engines and the news of a stage take to come
-    /// to their ends, p99, in milliseconds.
+    /// Time, p99 in milliseconds, that requests on established engines take to finish
+    /// and that a change of stage takes to reach the nodes.
     pub barrier_ms: u64,
 }
 
-/// Why a stage is to follow, or the present one stays; for the log line.
+/// Why the next stage is entered or the current one is kept; written to the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reason {
     /// A new order.
     Ordered,
-    /// A new order for the version that serves alone, or that served alone before the
-    /// order it supersedes.
+    /// A new order for a version that already serves alone, or that served alone before
+    /// the order that this one supersedes.
     OrderedBack,
-    /// Evidence is gathered.
+    /// The evidence does not suffice yet.
     GatheringEvidence,
-    /// The evidence suffices; the time for the cut-over has not come.
+    /// The evidence suffices, but a cut-over now could exceed the exposure bound.
     AwaitingExposure,
-    /// The target has not enough engines.
+    /// The target version has too few engines.
     AwaitingEngines {
-        /// That could serve now.
+        /// Engines of the target that can serve now.
         target: u32,
-        /// Of established versions.
+        /// Engines of established versions that can serve now.
         established: u32,
     },
-    /// The share rises.
+    /// The target's share of the requests is raised.
     ShareRaised,
-    /// All may move within the bound.
+    /// All requests may move to the target within the exposure bound.
     MayCutOver,
-    /// More requests came than expected: moving all would break the bound.
+    /// More requests arrived than expected: continuing the cut-over would exceed the
+    /// exposure bound.
     ExposureAhead,
-    /// Nodes have not confirmed yet.
+    /// Some nodes have not confirmed the cut-over yet.
     AwaitingNodes {
-        /// How many.
+        /// Number of those nodes.
         nodes: u32,
-        /// Requests that they have on established engines.
+        /// Requests that they still run on established engines.
         running: u32,
     },
-    /// Every node has confirmed, or been silent long enough.
+    /// Every node has confirmed the cut-over or has been silent long enough to serve
+    /// nothing.
     AllConfirmed,
-    /// The target may be bad: no stage goes forward.
+    /// The target may be bad: the rollout does not advance.
     Suspicious(Finding),
     /// The target is bad.
     Bad(Finding),
-    /// It ends without a verdict on the version.
+    /// The rollout ends without a verdict on the version.
     Abandoned(RollBackCause),
-    /// Nothing is left to decide.
+    /// The rollout has reached a terminal stage.
     Ended,
 }
 
-/// What to write next, and why.
+/// The result of one decision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decision {
-    /// The progress to store, on the condition of the revision that was read; nothing
-    /// when the present one stays.
+    /// The progress to store if the order's revision is still the one that was read;
+    /// `None` keeps the current one.
     pub next: Option<Progress>,
-    /// Why.
+    /// The reason, for the log.
     pub reason: Reason,
 }
--- a/crates/rollout/src/detector.rs
+++ b/crates/rollout/src/detector.rs
@@ -1,16 +1,17 @@
-//! A sequential test that finds a rise of a rate whenever it happens.
+//! A sequential test that detects a rise of a rate whenever it occurs.
 //!
-//! Shiryaev and Roberts' statistic, a sum over all moments at which the rise may have
-//! begun, so a version that turns bad late is found as fast as one that is bad at once.
-//! While the rate is at most the borne one, its expected value is the number of steps
-//! or less; by Doob's inequality it ever passes `steps / chance` within so many steps
-//! with at most that chance. That holds at each look, not at the last one only.
+//! The Shiryaev–Roberts statistic is a sum over all moments at which the rise may have
+//! begun, so a version that turns bad late is detected as fast as one that is bad from
+//! the start. While the rate is at most the tolerated one, the expected value of the
+//! statistic is at most the number of steps; by Doob's inequality the chance that it
+//! exceeds `steps / chance` at any time within that many steps is at most `chance`. The
+//! bound holds for all looks together, not only for the last one.
 
-/// By how much of what is left to 1 the rate may have risen: a few of a hundred, some,
-/// half. Each has the same weight.
+/// Assumed rises of the rate, each as a part of the distance from the tolerated rate to
+/// 1: a few per cent, some, half. Each has the same weight.
 const RISES: [f64; 3] = [0.04, 0.15, 0.5];
 
-/// The test of one rate.
+/// The sequential test of one rate.
 #[derive(Clone, Copy, Debug)]
 pub struct ChangeDetector {
     log_sums: [f64; RISES.len()],
@@ -25,8 +26,9 @@
 }
 
 impl ChangeDetector {
-    /// Takes in one step's answers, bad ones among them, while `borne` of them may be
-    /// bad. Evidence is divided by `design_effect` where answers hang together.
+    /// Adds the answers of one step and how many of them were bad, while a rate of
+    /// `tolerated` may be bad. The evidence is divided by `design_effect` where answers
+    /// are correlated.
     pub fn step(&mut self, answers: u64, bad: u64, tolerated: f64, design_effect: f64) {
         if answers == 0 {
             return;
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Logarithm of the evidence for a rise.
+    /// Logarithm of the evidence for a rise of the rate.
     pub fn evidence(&self) -> f64 {
         let sum = self
             .log_sums
@@ -51,8 +53,8 @@
     }
 }
 
-/// Evidence from which a rise counts as proven, as a logarithm, when `tests` tests run
-/// for `steps` steps and one of them may err with a chance of `error_chance`.
+/// Logarithm of the evidence from which a rise counts as proven, when `tests` tests run
+/// for `steps` steps and the chance that any of them errs is at most `error_chance`.
 pub fn threshold(steps: u64, tests: usize, error_chance: f64) -> f64 {
     (steps.max(1) as f64).ln() + (tests.max(1) as f64).ln() - error_chance.ln()
 }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -1,9 +1,9 @@
-//! Target against established engines at the same time, by route.
+//! Comparison of the target with the established engines over the same time, by route.
 //!
-//! What both versions fail alike is the requests' own fault: the rate of failures that
-//! is borne is that of the established engines, with room for chance. A time to the
-//! first byte is bad when it lies beyond a quantile of the established engines' times,
-//! with one bucket (√2) of room.
+//! Failures that both versions have in common are caused by the requests: the tolerated
+//! failure rate is that of the established engines, with an allowance for chance. A time
+//! to the first byte is bad if it lies beyond a quantile of the established engines'
+//! times, with a margin of one bucket (√2).
 
 use crate::baseline::{
     late_bucket, later_half_baseline, Baseline, LATE_MARGIN_BUCKETS,
@@ -17,32 +17,35 @@
 
 pub use crate::finding::{Finding, Symptom};
 
-/// Chance that a good version is rolled back by the tests of one rollout.
+/// Chance that the tests of one rollout roll back a good version.
 pub const FALSE_ROLL_BACK_CHANCE: f64 = 0.000_5;
-/// Time between two steps of the tests, in milliseconds; counts come five times a
+/// Time between two steps of the tests, in milliseconds; counts arrive five times a
 /// second.
 pub const STEP_MS: u64 = 200;
-/// Steps that the chance of an error is reckoned for beyond the rollout's duration: the
+/// Steps beyond the rollout's duration for which the chance of an error is calculated: a
 /// cut-over takes 10 s or less.
 const STEPS_AFTER_DEADLINE: u64 = 50;
-/// Tests of each route, and of all together.
+/// Number of tests of each route, and of all routes together.
 const TESTS_PER_ROUTE: usize = 2 + LATE_QUANTILES.len();
-/// Late first bytes hang together by queues: so many count as one.
+/// Number of late first bytes that count as one independent observation; queues make
+/// them correlated.
 const LATE_DESIGN_EFFECT: f64 = 1.5;
 /// Shares of the established engines' answers beyond which a first byte counts as late.
 const LATE_QUANTILES: [f64; 2] = [0.25, 0.1];
-/// Steps over which the established engines' recent answers are taken: 3 s.
+/// Number of steps over which recent answers are counted: 3 s.
 const RECENT_STEPS: usize = 15;
-/// Failures of one engine slot that count as the engine's own fault at most.
+/// Number of failures in one engine slot from which they are no longer attributed to the
+/// engine alone.
 const MAX_SINGLE_ENGINE_FAILURES: u64 = 20;
-/// Failures of all other engines that are borne then, beside their usual rate.
+/// Failures of all other engines that are tolerated in this case, in addition to their
+/// usual rate.
 const TOLERATED_OTHER_ENGINES_FAILURES: f64 = 2.0;
-/// The same as a part of the one engine's failures.
+/// The same, as a fraction of the failing engine's failures.
 const TOLERATED_OTHER_ENGINES_FRACTION: f64 = 0.1;
-/// Answers of other engines from which it can be told that one engine alone is bad.
+/// Minimum number of answers of other engines that shows that only one engine is bad.
 const MIN_OTHER_ENGINES_ANSWERS: u64 = 5;
 
-/// The tests of one route, or of all together.
+/// The tests of one route, or of all routes together.
 #[derive(Clone, Copy, Debug, Default)]
 struct RouteTests {
     failures: ChangeDetector,
@@ -63,7 +66,7 @@
 }
 
 impl Evidence {
-    /// Tests of a rollout that lasts so long, in milliseconds.
+    /// Creates the tests of a rollout with this duration, in milliseconds.
     pub fn for_duration(duration_ms: u64) -> Self {
         Self {
             steps: duration_ms / STEP_MS + STEPS_AFTER_DEADLINE,
@@ -75,7 +78,8 @@
         }
     }
 
-    /// Takes in the fleet's sums; says what is bad, if that is proven.
+    /// Updates the tests with the fleet's sums; returns a finding if the version is
+    /// proven to be bad.
     pub fn update(&mut self, sums: &Counts, is_cutting_over: bool, now: Millis) -> Option<Finding> {
         if let Some(finding) = many_bad_answers(sums, is_cutting_over) {
             return Some(finding);
@@ -101,8 +105,8 @@
         findings.max_by(|one, other| one.evidence.total_cmp(&other.evidence))
     }
 
-    /// Evidence from which a version counts as bad: the chance of an error is shared by
-    /// all tests that run.
+    /// Evidence from which a version counts as bad; all running tests share the chance
+    /// of an error.
     fn threshold(&self) -> f64 {
         let tests = self.tests.len() * TESTS_PER_ROUTE;
         detector::threshold(self.steps, tests, FALSE_ROLL_BACK_CHANCE)
@@ -134,7 +138,8 @@
         self.recent = recent;
     }
 
-    /// All routes together: each answer is measured by its own route's baseline.
+    /// Steps the tests of all routes together; each answer is compared with the baseline
+    /// of its own route.
     fn step_all_routes(&mut self, pooled: &PooledBatches) {
         let tests = self.tests.entry(None).or_default();
         pooled.failures.step(&mut tests.failures, 1.0);
@@ -227,7 +232,8 @@
     }
 }
 
-/// Answers of one step, bad ones among them, and how many would be borne.
+/// The answers of one step, the bad ones among them, and the number of bad ones that is
+/// tolerated.
 #[derive(Clone, Copy, Debug, Default)]
 struct Batch {
     answers: u64,
@@ -259,7 +265,7 @@
     }
 }
 
-/// One step's answers of all routes.
+/// The answers of one step on all routes.
 #[derive(Clone, Copy, Debug, Default)]
 struct PooledBatches {
     failures: Batch,
@@ -267,8 +273,9 @@
     late: [Batch; LATE_QUANTILES.len()],
 }
 
-/// Whether one engine fails and the others do not, lately: its health is at fault, not
-/// the version. Not for ever, for a version may be bad where one engine gets the most.
+/// Whether, in the recent counts, one engine fails while the others do not, so that the
+/// engine is at fault and not the version. Only up to a number of failures, because a
+/// version may be bad on the engine that gets the most requests.
 fn is_single_engine_fault(recent: &Counts) -> bool {
     let slots = &recent.target_engines;
     let Some(worst) = slots.iter().max_by_key(|slot| slot.failures) else {
--- a/crates/rollout/src/excess.rs
+++ b/crates/rollout/src/excess.rs
@@ -1,4 +1,4 @@
-//! Many bad answers: a stop without a test, which needs no decider.
+//! Excess of bad answers: a stop without a statistical test, which needs no decider.
 
 use crate::baseline::{
     late_bucket, Baseline, LATE_MARGIN_BUCKETS, LATE_MARGIN_BUCKETS_IN_CUT_OVER,
@@ -6,17 +6,18 @@
 use crate::counts::{Counts, RouteCounts};
 use crate::finding::{Finding, Symptom};
 
-/// Bad answers in excess of what is borne, over the fleet, from which a version is
-/// stopped without a test; at the fiftieth, the time to stop begins to run.
+/// Bad answers beyond the tolerated number, over the fleet, from which a version is
+/// stopped without a test. Half of the fifty bad answers from which `roll_back_ms` is
+/// measured.
 pub const MANY_BAD_ANSWERS: u64 = 25;
-/// What counts as bad without any test.
+/// The rule that applies without any evidence from the tests.
 const WITHOUT_TEST: ExcessRule = ExcessRule {
     limit: MANY_BAD_ANSWERS,
     factor: 2.0,
     late_quantile: 0.1,
     late_margin_buckets: LATE_MARGIN_BUCKETS_IN_CUT_OVER,
 };
-/// What counts as bad when the tests already show much of a proof.
+/// The rule that applies when the tests already show a large part of a proof.
 const UNDER_SUSPICION: ExcessRule = ExcessRule {
     limit: 20,
     factor: 1.0,
@@ -24,29 +25,30 @@
     late_margin_buckets: LATE_MARGIN_BUCKETS,
 };
 
-/// Bad answers of the target beyond what is borne, when they are many. Every node that
-/// knows the fleet's sums stops by this, with or without a decider.
+/// Finds bad answers of the target beyond the tolerated number when they are many. Every
+/// node that knows the fleet's sums stops by this rule, with or without a decider.
 ///
-/// Once all traffic moves, times are no longer compared without a test: the established
-/// engines do not answer at the same time any more, and caches are cold.
+/// During a cut-over, times are not compared without a test: the established engines no
+/// longer answer at the same time, and caches are cold.
 pub fn many_bad_answers(sums: &Counts, is_cutting_over: bool) -> Option<Finding> {
     excess_finding(sums, &WITHOUT_TEST, is_cutting_over)
 }
 
-/// The same where the tests show much of a proof already: fewer excuses are made.
+/// The same with a stricter rule, for use when the tests already show a large part of a
+/// proof.
 pub fn many_bad_answers_under_suspicion(sums: &Counts, is_cutting_over: bool) -> Option<Finding> {
     excess_finding(sums, &UNDER_SUSPICION, is_cutting_over)
 }
 
-/// Which answers count as bad beyond what is borne.
+/// Defines which answers count as bad beyond the tolerated number.
 struct ExcessRule {
-    /// Bad answers in excess from which the version is stopped.
+    /// Number of excess bad answers from which the version is stopped.
     limit: u64,
     /// Share of the established engines' answers beyond which a first byte is late.
     late_quantile: f64,
-    /// How often more bad answers than the established engines' are borne.
+    /// Factor by which the tolerated rate may be exceeded.
     factor: f64,
-    /// Buckets of room before a first byte counts as late.
+    /// Histogram buckets of margin before a first byte counts as late.
     late_margin_buckets: usize,
 }
 
@@ -75,7 +77,7 @@
     })
 }
 
-/// Bad answers beyond what is borne.
+/// Bad answers beyond the tolerated number.
 #[derive(Clone, Copy, Debug, Default)]
 struct Excess {
     answers: u64,
@@ -106,7 +108,7 @@
         self.answers += answers;
         self.bad += bad;
         self.tolerated += tolerated;
-        // A good route takes nothing off a bad one.
+        // A good route must not offset the excess of a bad one.
         self.excess += (bad as f64 - tolerated).max(0.0);
     }
 }
--- a/crates/rollout/src/finding.rs
+++ b/crates/rollout/src/finding.rs
@@ -1,36 +1,37 @@
-//! What speaks against a version.
+//! Evidence against a version.
 
 use crate::counts::RouteTag;
 
-/// What of the answers is worse.
+/// In which respect the target's answers are worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Symptom {
-    /// More of them fail.
+    /// More answers fail.
     Failures,
-    /// They arrive later.
+    /// First bytes arrive later.
     SlowFirstByte,
-    /// So many are bad that the version is stopped without a test.
+    /// So many answers are bad that the version is stopped without a test.
     ManyBadAnswers,
-    /// Nodes have stopped sending to it by what they saw alone.
+    /// Nodes have stopped sending to the target because of their own answers alone.
     NodesStopped,
 }
 
-/// The evidence that a version is bad, for the log line.
+/// The evidence that a version is bad, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Finding {
-    /// What is worse.
+    /// In which respect the answers are worse.
     pub symptom: Symptom,
-    /// On which route; nothing for all together.
+    /// The route concerned; `None` for all routes together.
     pub route: Option<RouteTag>,
     /// Answers of the target that were judged.
     pub answers: u64,
-    /// Bad ones among them.
+    /// The bad ones among them.
     pub bad: u64,
-    /// Share of bad ones that would be borne, by the established engines' answers.
+    /// Rate of bad answers that would be tolerated because of the established engines'
+    /// answers.
     pub borne_share: f64,
-    /// Logarithm of the evidence; the bad answers in excess for
-    /// [`Symptom::ManyBadAnswers`], nodes for [`Symptom::NodesStopped`].
+    /// Logarithm of the evidence; the number of excess bad answers for
+    /// [`Symptom::ManyBadAnswers`], of nodes for [`Symptom::NodesStopped`].
     pub evidence: f64,
-    /// Where it counts as proof, in the same unit.
+    /// The evidence that counts as proof, in the same unit.
     pub threshold: f64,
 }
--- a/crates/rollout/src/gate_terms.rs
+++ b/crates/rollout/src/gate_terms.rs
@@ -1,4 +1,4 @@
-//! What a gate is asked and what it says.
+//! Input and output of a gate.
 
 use crate::counts::{Counts, RouteTag};
 use crate::credits::Seat;
@@ -7,98 +7,100 @@
 use ploverlift_routing::prompt::ChainKey;
 use ploverlift_routing::software::SoftwareRule;
 
-/// Whether this life of the node was there before the order.
+/// Whether the node's process was already running when the order was given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Joined {
-    /// It ran before the order: it has sent the target nothing uncounted.
+    /// It was running before the order, so all that it has sent to the target is
+    /// counted.
     BeforeOrder,
-    /// It started later: a former life may have used its credits.
+    /// It started later; a former life may have used its credits.
     AfterOrder,
 }
 
-/// A request, as far as its choice for the canary goes.
+/// The properties of a request that decide whether it goes to the canary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CanaryRequest {
-    /// Its route.
+    /// The request's route.
     pub route: RouteTag,
-    /// Whether it may run more than once.
+    /// Whether it may be executed more than once.
     pub is_repeatable: bool,
     /// Key of the shared part of its prompt.
     pub prompt: Option<ChainKey>,
-    /// Whether an engine of the target has failed it already.
+    /// Whether an attempt at an engine of the target has already failed.
     pub was_failed_by_target: bool,
-    /// Whether it was sent to any engine already.
+    /// Whether it was already sent to any engine.
     pub is_retry: bool,
 }
 
-/// What the node knows of the fleet at the time of a decision.
+/// The node's knowledge of the fleet at the time of a decision.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetView<'a> {
-    /// Sums over the fleet, this node's own reports among them or not.
+    /// Sums over the fleet; this node's own reports may or may not be included.
     pub sums: &'a Counts,
-    /// This node's own counts as they are contained in those sums, of this life.
+    /// The counts of this node's current life that are included in those sums.
     pub own_in_sums: Option<&'a Counts>,
-    /// When the news of the present stage was issued, at the earliest, on this node's
-    /// clock: the send of the question whose answer told it, or its receipt less its
-    /// age.
+    /// Earliest time at which the current stage may have been read, on this node's
+    /// clock: when the request was sent whose response contained it, or the time of its
+    /// receipt minus its age.
     pub stage_verified_at: Millis,
     /// This node's seat.
     pub seat: Seat,
 }
 
-/// Why a request may go where it may.
+/// Why a request may go to the versions that the gate allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateReason {
-    /// It is one of the canary's.
+    /// The request goes to the canary.
     Canary,
-    /// It is not one of the canary's.
+    /// The request was not chosen for the canary.
     NotCanary,
-    /// No credit is left to this node.
+    /// This node has no credit left.
     NoCredit,
-    /// The fleet's exposure may be at its bound.
+    /// The fleet's exposure may have reached its bound.
     ExposureBound,
-    /// It was sent before: the canary gets first attempts only.
+    /// The request was already sent to an engine: the canary gets first attempts only.
     SentBefore,
-    /// The news of the stage is older than [`crate::share::STAGE_LEASE_MS`].
+    /// The last confirmation of the stage is older than
+    /// [`crate::share::STAGE_LEASE_MS`].
     StageLeaseExpired,
-    /// This node, or the counts it knows, show the target as bad.
+    /// This node's own answers, or the fleet's counts, show that the target is bad.
     StoppedByEvidence,
     /// The cut-over has begun.
     CuttingOver,
-    /// The cut-over had begun when this node lost touch, and a roll back may be in force
-    /// soon: neither side is safe.
+    /// The node lost touch during a cut-over, and a roll back may take effect soon:
+    /// neither side is safe.
     LostTouchInCutOver,
-    /// This node has been silent so long that the rollout may have completed.
+    /// The node has been cut off so long that the rollout may have completed.
     SilentTooLong,
-    /// This life of the node has not heard of the stage since it began.
+    /// The node has not read the stage since its process started.
     StageNotConfirmed,
     /// The target serves alone.
     Completed,
-    /// The target serves nothing.
+    /// The target gets no requests.
     RolledBack,
 }
 
-/// What the gate says of a request.
+/// The gate's decision on a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GateDecision {
-    /// Which versions may serve it; nothing when none may now.
+    /// The versions that may serve it; `None` if none may now.
     pub rule: Option<SoftwareRule>,
-    /// Why.
+    /// The reason.
     pub reason: GateReason,
 }
 
-/// What a node says to the decider of a stage.
+/// A node's confirmation of a stage, for the decider.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Confirmation {
     /// The rollout.
     pub rollout: RolloutNumber,
-    /// The stage by its epoch.
+    /// The epoch of the stage.
     pub epoch: Epoch,
-    /// Whether it sends established engines nothing more, for good unless a later
-    /// epoch says otherwise.
+    /// Whether the node sends no more requests to established engines, until a later
+    /// epoch allows it again.
     pub has_left_established: bool,
-    /// Requests that it still has on established engines, those being sent among them.
+    /// Requests that it still runs on established engines, including those being sent.
     pub running_on_established: u32,
-    /// Whether it has stopped sending to the target by what it saw alone.
+    /// Whether it has stopped sending to the target because of its own answers alone.
     pub has_stopped: bool,
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,8 +1,9 @@
 //! Progressive delivery of an engine's software: moving a service's traffic to
-//! engines of another version, and back when that version is bad.
+//! engines of another version, and back if that version is bad.
 //!
-//! Pure state machines: time, counts and stored documents are arguments; no I/O, no
-//! clock, no randomness. The gateway stores, reports and enforces what they decide.
+//! The crate contains pure state machines: time, counts and stored documents are
+//! arguments; there is no I/O, no clock and no randomness. The gateway stores, reports
+//! and enforces their decisions.
 //!
 //! ```text
 //! order + status ──▶ progress ──▶ gate of each node ──▶ software rule of a request
@@ -13,27 +14,27 @@
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | [`order`] | what the operator orders, and the state that is recorded with it |
-//! | [`settings`] | bounds that a rollout keeps |
-//! | [`stage`] | stages, epochs, and what a successor of the decider needs |
+//! | [`order`] | the operator's order, and the status that is recorded with it |
+//! | [`settings`] | bounds of a rollout |
+//! | [`stage`] | stages, epochs, and the stored progress of a rollout |
 //! | [`first_byte`] | a coarse histogram of times to the first byte |
-//! | [`counts`] | what nodes count and report, and sums over the fleet |
-//! | [`credits`] | how many requests a node may send to the target by itself |
+//! | [`counts`] | counts that nodes report, and their sums over the fleet |
+//! | [`credits`] | how many requests a node may send to the target on its own |
 //! | [`share`] | a node's gate: which versions may serve this request |
-//! | [`canary_choice`] | which of its requests those are, and at which engines |
-//! | [`own_stop`] | a node stops by what it sees alone |
-//! | [`placement`] | engines of a version that can't be placed yet |
-//! | [`detector`] | a sequential test that finds a change |
-//! | [`evidence`] | target against established engines, by route |
-//! | `baseline` | what of the target's answers is borne by the established engines' |
-//! | `finding` | what speaks against a version |
-//! | [`excess`] | many bad answers: a stop without a test |
-//! | [`acceptance`] | whether it has answered well enough to be completed |
-//! | [`schedule`] | when to cut over so that the exposure stays within its bound |
+//! | [`canary_choice`] | which requests and engines the canary uses |
+//! | [`own_stop`] | a node stops because of its own answers alone |
+//! | [`placement`] | whether a version may be used before all orders are known |
+//! | [`detector`] | a sequential test that detects a rise of a rate |
+//! | [`evidence`] | comparison of the target with the established engines, by route |
+//! | `baseline` | tolerated rates, from the established engines' answers |
+//! | `finding` | evidence against a version |
+//! | [`excess`] | a stop without a test when many answers are bad |
+//! | [`acceptance`] | whether a version has enough good answers to be completed |
+//! | [`schedule`] | the time of the cut-over, so that the exposure stays within its bound |
 //! | [`decider`] | the lease holder's state machine |
-//! | `transition_context` | what one decision weighs |
-//! | `present_rollout` | where it goes on from each stage, and by what it has learned |
-//! | `supply` | engines and versions of the service |
+//! | `transition_context` | the context of one decision |
+//! | `present_rollout` | the decider's state for the current rollout, and its transitions |
+//! | `supply` | available engines and known versions of the service |
 
 pub mod acceptance;
 mod baseline;
--- a/crates/rollout/src/order.rs
+++ b/crates/rollout/src/order.rs
@@ -1,4 +1,4 @@
-//! What the operator orders, and the state that the product records with it.
+//! The operator's rollout order, and the status that is recorded with it.
 
 use ploverlift_routing::configuration::ServiceName;
 use ploverlift_routing::software::SoftwareVersion;
@@ -8,37 +8,37 @@
 pub struct RolloutOrder {
     /// The service.
     pub service: ServiceName,
-    /// The version that is to serve it.
+    /// The version that is to serve the service.
     pub target: SoftwareVersion,
     /// Time from the order until its deadline, in milliseconds.
     pub duration_ms: u64,
-    /// The store's revision of the object that was read; the product's own writes of
-    /// its status raise it too.
+    /// The store's revision of the object that was read; writes of its status raise it
+    /// too.
     pub revision: u64,
-    /// What the product has recorded; nothing before its first write.
+    /// The recorded status; `None` before its first write.
     pub status: Option<RolloutStatus>,
 }
 
-/// How far a rollout is, as the operator reads it.
+/// State of a rollout as the operator reads it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutState {
-    /// Neither version is given up yet.
+    /// Neither version has been given up yet.
     Running,
     /// The target version serves alone; the other engines may stop at once.
     Completed,
-    /// The target version serves nothing; its engines may leave.
+    /// The target version gets no requests; its engines may leave.
     RolledBack,
 }
 
 /// The status of a rollout as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutStatus {
-    /// How far it is.
+    /// State of the rollout.
     pub state: RolloutState,
-    /// The version that the status is about: an older order's status is not the
-    /// present one's.
+    /// The target version that this status belongs to; the status may still be that of
+    /// an earlier order.
     pub target: SoftwareVersion,
-    /// What a successor of the present decider needs to go on, in the product's own
-    /// words; opaque to the site's adapter.
+    /// Encoded [`crate::stage::Progress`], from which another decider continues; opaque
+    /// to the site's adapter.
     pub progress: String,
 }
--- a/crates/rollout/src/own_stop.rs
+++ b/crates/rollout/src/own_stop.rs
@@ -1,4 +1,5 @@
-//! A node that sees the target badly by its own requests stops at once.
+//! A node's own test: it stops sending to the target at once if its own requests show
+//! that the target is bad.
 
 use crate::baseline::upper_share;
 use crate::counts::{RouteCounts, RouteTag};
@@ -6,18 +7,20 @@
 use crate::finding::{Finding, Symptom};
 use std::collections::BTreeMap;
 
-/// Chance that one node stops by the failures of a good version in a rollout: 81 nodes
-/// make it 0.01, and one alone does not roll it back.
+/// Chance that one node stops because of the failures of a good version during a
+/// rollout: about 0.01 for 81 nodes, and one node alone does not roll the version back.
 const FALSE_STOP_CHANCE: f64 = 0.000_1;
-/// Answers of the target at one node that the chance is reckoned for.
+/// Number of the target's answers at one node for which the chance is calculated.
 const EXPECTED_ANSWERS: u64 = 300;
-/// Rate of failures that is always borne: a node has few answers to compare with.
+/// Failure rate that is always tolerated, because a node has few answers to compare
+/// with.
 const MIN_TOLERATED_RATE: f64 = 0.03;
-/// No more than that is borne.
+/// Upper limit of the tolerated failure rate.
 const MAX_TOLERATED_RATE: f64 = 0.8;
 
-/// What a node's own requests have shown of the target, by route: what both versions
-/// fail is the requests' own fault, and differs by route.
+/// The tests of a node's own answers from the target, by route: failures that both
+/// versions have in common are caused by the requests, and their rate differs between
+/// routes.
 #[derive(Clone, Debug, Default)]
 pub struct OwnStop {
     tests: BTreeMap<RouteTag, ChangeDetector>,
@@ -25,7 +28,7 @@
 }
 
 impl OwnStop {
-    /// Takes in an answer of the target on a route; `own` are this node's counts of the
+    /// Adds an answer of the target on a route; `own` are this node's counts of the
     /// route.
     pub fn note(&mut self, route: RouteTag, has_failed: bool, own: &RouteCounts) {
         let established = &own.established;
@@ -49,7 +52,7 @@
         });
     }
 
-    /// Why it stopped, if it did.
+    /// The evidence because of which the node stopped, if it did.
     pub fn finding(&self) -> Option<&Finding> {
         self.finding.as_ref()
     }
--- a/crates/rollout/src/present_rollout.rs
+++ b/crates/rollout/src/present_rollout.rs
@@ -1,5 +1,4 @@
-//! What a decider has learned of the rollout that it decides on, and where it goes on
-//! from each stage.
+//! The decider's state for the current rollout, and the transitions from each stage.
 
 use crate::acceptance::{is_accepted, Assurance};
 use crate::counts::Counts;
@@ -13,17 +12,17 @@
 use crate::transition_context::{cut_over_ms, stay, TransitionContext};
 use ploverlift_policy::ids::Millis;
 
-/// Part of the evidence of a proof from which no stage goes forward, and at which a
-/// version is rolled back once its deadline has passed.
+/// Fraction of a proof's evidence from which the rollout does not advance; after the
+/// deadline the version is then rolled back.
 const SUSPICION_FRACTION: f64 = 0.65;
-/// The same from which many bad answers need no more proof.
+/// Fraction of a proof's evidence from which many bad answers need no further proof.
 const SUSPICION_FRACTION_WITH_MANY_BAD: f64 = 0.4;
-/// Time for which the target may have no engine in a cut-over, in milliseconds.
+/// Time for which the target may have no engine during a cut-over, in milliseconds.
 const MAX_WITHOUT_ENGINES_MS: u64 = 1_000;
-/// Time between two steps up, in milliseconds.
+/// Minimum time between two raises of the share, in milliseconds.
 const SHARE_STEP_MS: u64 = 1_000;
 
-/// What a decider has learned of the rollout that it decides on.
+/// The decider's state for the current rollout.
 #[derive(Clone, Debug)]
 pub(crate) struct PresentRollout {
     pub(crate) number: RolloutNumber,
@@ -31,7 +30,7 @@
     rate: RequestRate,
     began_at: Millis,
     target_gone_since: Option<Millis>,
-    /// Counts when all traffic moved, as this decider saw them.
+    /// The epoch of the last cut-over, and the counts when this decider first saw it.
     at_cut_over: Option<(Epoch, Counts)>,
 }
 
@@ -66,7 +65,8 @@
         }
     }
 
-    /// The strongest evidence against the version, when it is so much of a proof.
+    /// The strongest evidence against the version, if it reaches this fraction of a
+    /// proof.
     fn suspicion_at(&self, part: f64) -> Option<Finding> {
         let strongest = self.evidence.strongest()?;
         let is_suspicious = strongest.evidence >= part * strongest.threshold;
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Within the bound whatever happens; and before the deadline only if the cut-over
-    /// can end by then, else it gains nothing.
+    /// Before the deadline, the cut-over must be able to end by then, or it gains
+    /// nothing, and the exposure must stay within its bound whatever happens.
     fn is_time_to_cut_over(&self, transition: &TransitionContext<'_>) -> bool {
         let may_be_early = transition.settings.strategy != Strategy::HoldPastDeadline;
         let needed_ms = cut_over_ms(transition.input.barrier_ms);
@@ -176,7 +176,7 @@
         if nodes > 0 {
             return stay(Reason::AwaitingNodes { nodes, running });
         }
-        // Where nothing is left to go back to, a verdict would change nothing.
+        // Without established engines to return to, a verdict would change nothing.
         if has_established && !self.is_accepted(transition) {
             return transition.decide_without_proof();
         }
--- a/crates/rollout/src/schedule.rs
+++ b/crates/rollout/src/schedule.rs
@@ -1,44 +1,47 @@
-//! When to cut over so that the exposure stays within its bound, whatever happens.
+//! The time of the cut-over: as late as needed for the exposure to stay within its
+//! bound, whatever happens.
 //!
-//! A version may turn bad at the very end of a stage, and then all that it ever got
-//! since the order counts. So all traffic may move only once what is left until the
-//! deadline fits what is left of the bound: with a share s held until t of a duration
-//! D, s·t + (D − t) ≤ share·D + slack / rate.
+//! A version may turn bad at the very end of a stage, and then all requests that it got
+//! since the order count. So all traffic may move only once the time left until the
+//! deadline fits what is left of the bound: with a share s held until time t of a
+//! duration D, s·t + (D − t) ≤ share·D + slack / rate.
 
 use crate::settings::{RolloutSettings, Strategy};
 use ploverlift_policy::ids::Millis;
 use std::collections::VecDeque;
 
-/// Share that is held past the deadline, as a part of the share that a bad version may
-/// get: as much as judges it soonest, and still within the bound where each credit had
-/// two owners.
+/// Share that is held past the deadline, as a fraction of the share that a bad version
+/// may get: the one that judges a version soonest and would still be within the bound if
+/// each credit had two owners.
 const HOLD_PAST_DEADLINE_FRACTION: f64 = 0.5;
-/// Share that is held where all may move before the deadline: small, for what is used
-/// early is lacking at the cut-over; enough to judge each route.
+/// Share that is held if all traffic may move before the deadline, as a fraction of the
+/// same. Small, because what is used early is missing at the cut-over, but enough to
+/// judge each route.
 const HOLD_FRACTION: f64 = 0.2;
-/// Shares of [`crate::settings::Strategy::Steps`], as parts of the same.
+/// Shares of [`crate::settings::Strategy::Steps`], as fractions of the same.
 const STEP_FRACTIONS: [f64; 3] = [0.2, 0.5, 0.8];
-/// Part of the slack with which the canary begins before requests have earned it
-/// credits, so that small services are judged too.
+/// Fraction of the slack with which the canary begins before requests have earned it
+/// credits, so that services with few requests are judged too.
 const START_FRACTION: f64 = 0.4;
-/// Part of the slack that no plan uses: what nodes have sent and not reported yet, and
-/// retries.
+/// Fraction of the slack that is kept in reserve, for requests that nodes have sent but
+/// not reported yet, and for retries.
 const RESERVED_FRACTION: f64 = 0.2;
-/// How much faster than lately requests may come until the deadline. A burst beyond that
-/// is seen within half a second, and the cut-over is taken back.
+/// Factor by which the rate of requests may rise until the deadline. A larger burst is
+/// noticed within half a second, and the cut-over is reverted.
 const RATE_MARGIN: f64 = 1.3;
-/// Second attempts at the target, for each request that moves to it.
+/// Attempts at the target for each request that moves to it, including second attempts.
 const ATTEMPTS_PER_REQUEST: f64 = 1.05;
-/// Part of the share that a bad version may get, up to which one node's credits go where
-/// others leave theirs unused.
+/// Fraction of the share that a bad version may get, up to which a node's credits rise
+/// where other nodes leave theirs unused.
 const NODE_CAP_FRACTION: f64 = 0.7;
-/// Time over which the recent rate is taken, in milliseconds.
+/// Time over which the recent rate is measured, in milliseconds.
 const RATE_WINDOW_MS: u64 = 1_500;
-/// The shortest time that shows a rate, in milliseconds.
+/// Minimum time over which a rate can be measured, in milliseconds.
 const MIN_RATE_WINDOW_MS: u64 = 800;
 
-/// Whether an order leaves time to move all within the bound before its deadline, when a
-/// cut-over takes so long, by the bound's share alone.
+/// Whether an order leaves time to move all traffic within the bound before its
+/// deadline, for a cut-over that takes `cut_over_ms`, counting the bound's share without
+/// its slack.
 pub fn can_end_in_time(settings: &RolloutSettings, duration_ms: u64, cut_over_ms: u64) -> bool {
     let share = settings.canary_share;
     let left = share * (1.0 - HOLD_FRACTION) * duration_ms as f64;
@@ -46,7 +49,7 @@
     settings.strategy != Strategy::HoldPastDeadline && to_come <= left
 }
 
-/// The share to begin with, in parts of a million.
+/// The initial share, in parts of a million.
 pub fn first_share_ppm(settings: &RolloutSettings, duration_ms: u64, cut_over_ms: u64) -> u32 {
     let part = match can_end_in_time(settings, duration_ms, cut_over_ms) {
         true => HOLD_FRACTION,
@@ -55,31 +58,32 @@
     (settings.canary_share * part * crate::stage::MILLION as f64) as u32
 }
 
-/// The share after this one, in parts of a million; nothing when it is the last.
+/// The next higher share of the steps, in parts of a million; `None` if this one is the
+/// highest.
 pub fn next_share_ppm(settings: &RolloutSettings, share_ppm: u32) -> Option<u32> {
     let million = crate::stage::MILLION as f64;
     let steps = STEP_FRACTIONS.map(|part| (settings.canary_share * part * million) as u32);
     steps.into_iter().find(|&step| step > share_ppm)
 }
 
-/// Share up to which one node's credits go where others leave theirs unused.
+/// The share up to which a node's credits rise where other nodes leave theirs unused.
 pub fn node_cap_share(settings: &RolloutSettings) -> f64 {
     settings.canary_share * NODE_CAP_FRACTION
 }
 
-/// Credits that the fleet has before any request.
+/// The fleet's credits before the first request.
 pub fn start_credits(settings: &RolloutSettings) -> u64 {
     (settings.canary_slack as f64 * START_FRACTION) as u64
 }
 
-/// The rate of requests, by counts that only rise.
+/// The recent rate of requests, from cumulative counts.
 #[derive(Clone, Debug, Default)]
 pub struct RequestRate {
     samples: VecDeque<(Millis, u64)>,
 }
 
 impl RequestRate {
-    /// Takes in the requests known so far.
+    /// Adds a sample: the number of requests known at this time.
     pub fn note(&mut self, requests: u64, now: Millis) {
         self.samples.push_back((now, requests));
         while self.samples.len() > 2 && now.since(self.samples[1].0) >= RATE_WINDOW_MS {
@@ -87,7 +91,7 @@
         }
     }
 
-    /// Requests in a millisecond, lately; nothing before it has been read long enough.
+    /// Recent requests per millisecond; `None` until the samples span enough time.
     pub fn per_ms(&self) -> Option<f64> {
         let (first_at, first) = self.samples.front()?;
         let (last_at, last) = self.samples.back()?;
@@ -96,29 +100,30 @@
     }
 }
 
-/// What is known when a cut-over is weighed.
+/// The exposure on which a cut-over is decided.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Exposure {
-    /// Arrivals at the target since the order, at most.
+    /// Upper bound of the arrivals at the target since the order.
     pub target_arrivals: u64,
-    /// Requests since the order, at least.
+    /// Lower bound of the requests since the order.
     pub requests: u64,
-    /// Requests in a millisecond, lately.
+    /// Recent requests per millisecond.
     pub rate_per_ms: f64,
-    /// Time until the deadline, at most, in milliseconds.
+    /// Upper bound of the time until the deadline, in milliseconds.
     pub remaining_ms: u64,
 }
 
 impl Exposure {
-    /// Arrivals at the target by the deadline beyond the requests' share, when all
-    /// requests go to it from now on.
+    /// Expected arrivals at the target by the deadline, in excess of the bound's share
+    /// of the requests, if all requests go to it from now on.
     fn beyond_share(&self, settings: &RolloutSettings) -> f64 {
         let to_come = self.rate_per_ms * RATE_MARGIN * self.remaining_ms as f64;
         let arrivals = self.target_arrivals as f64 + to_come * ATTEMPTS_PER_REQUEST;
         arrivals - settings.canary_share * (self.requests as f64 + to_come)
     }
 
-    /// Whether all requests may go to the target from now on, even if it turns out bad.
+    /// Whether all requests may go to the target from now on, even if it turns out to be
+    /// bad.
     pub fn may_move_all(&self, settings: &RolloutSettings) -> bool {
         if self.remaining_ms == 0 {
             return true;
@@ -127,8 +132,8 @@
         self.beyond_share(settings) <= usable
     }
 
-    /// Whether a cut-over that has begun must be taken back: what comes at this rate
-    /// would use the reserve too.
+    /// Whether a cut-over that has begun must be reverted, because the expected arrivals
+    /// would use up the reserve too.
     pub fn must_stop(&self, settings: &RolloutSettings) -> bool {
         let beyond = self.beyond_share(settings);
         self.remaining_ms > 0 && beyond > settings.canary_slack as f64
--- a/crates/rollout/src/share.rs
+++ b/crates/rollout/src/share.rs
@@ -1,10 +1,11 @@
-//! A node's gate: which versions may serve this request.
+//! The gate of a node: decides which versions may serve a request.
 //!
-//! Two bounds hold at once. A node uses the credits of its own seat only (see
-//! [`crate::credits`]), which needs nobody's word; and where the fleet's counts show
-//! that others leave theirs unused, it may use some of those, up to a second, higher
-//! number of its own. Which of its requests go is decided by their prompts' shared
-//! parts, so that the same prompts warm the target's caches at each node.
+//! Two bounds hold at once. A node uses the credits of its own seat (see
+//! [`crate::credits`]), which needs no coordination; and where the fleet's counts show
+//! that other nodes leave theirs unused, it may use some of those, up to a second,
+//! higher number of its own. Which of its requests go to the target depends on the
+//! shared parts of their prompts, so that the same prompts warm the target's caches on
+//! each node.
 
 use crate::canary_choice::{is_canary_request, Urgency};
 use crate::counts::{Answer, CountReport, Counts, RouteTag, Side};
@@ -23,28 +24,30 @@
     CanaryRequest, Confirmation, FleetView, GateDecision, GateReason, Joined,
 };
 
-/// Age of the news of a rollout's stage after which a node sends the target nothing, in
-/// milliseconds. Must be below `roll_back_ms` by what an order to stop takes.
+/// Age of the last confirmation of the stage beyond which a node sends nothing to the
+/// target, in milliseconds. Must be below `roll_back_ms` by the time that an order to
+/// stop takes.
 pub const STAGE_LEASE_MS: u64 = 2_000;
-/// Part of `roll_back_ms` that is left, in milliseconds, when a node that has lost touch
-/// in a cut-over stops: news of a stage travel for less.
+/// Part of `roll_back_ms` that is left when a node stops that has lost touch during a
+/// cut-over, in milliseconds. A change of stage reaches the nodes in less time.
 pub const LOST_TOUCH_MARGIN_MS: u64 = 1_000;
-/// Time after which a node of a later life knows what its former life has used, in
+/// Time after which a restarted node knows what its former life has used, in
 /// milliseconds: five reports of its peers.
 pub const SETTLE_MS: u64 = 1_000;
-/// Credits that the fleet leaves unused before a node uses more than its own, and the
-/// part of all credits that they must be too.
+/// Number of credits that the fleet must leave unused before a node uses more than its
+/// own.
 const MIN_UNUSED_CREDITS: u64 = 4;
-/// See [`MIN_UNUSED_CREDITS`]: one of so many.
+/// Divisor of all credits: the unused ones must also be at least this part of them.
 const UNUSED_CREDITS_DIVISOR: u64 = 8;
-/// Requests of the fleet after which it is another node's turn to use more.
+/// Number of requests of the fleet after which the turn to use more passes to another
+/// node.
 const TURN_REQUESTS: u64 = 16;
-/// Part of the slack that the canary leaves to what nodes have not reported yet: one of
-/// so many.
+/// Divisor of the slack: this part is reserved for arrivals that nodes have not reported
+/// yet.
 const RESERVED_SLACK_DIVISOR: u64 = 4;
 
-/// A node's gate for one rollout. Kept from the first sight of its progress until
-/// another rollout of the service supersedes it.
+/// A node's gate for one rollout. It is kept from the first time that the node learns of
+/// the rollout's progress until another rollout of the service supersedes it.
 #[derive(Clone, Debug)]
 pub struct Gate {
     settings: RolloutSettings,
@@ -52,15 +55,17 @@
     progress: Progress,
     began_at: Millis,
     joined: Joined,
-    /// Credits of this seat that a former life may have used.
+    /// Credits of this seat that a former life of the node may have used; `None` until
+    /// known.
     former_life_credits: Option<FormerLifeCredits>,
     own: Counts,
     own_stop: OwnStop,
-    /// The stage of which this node said that it has left established engines.
+    /// Epoch for which this node has confirmed that it sends established engines nothing
+    /// more.
     left_established: Option<Epoch>,
 }
 
-/// Credits that were there for a former life.
+/// Credits that were available to a former life of the node.
 #[derive(Clone, Copy, Debug, Default)]
 struct FormerLifeCredits {
     own: u64,
@@ -68,7 +73,7 @@
 }
 
 impl Gate {
-    /// The gate of a rollout whose progress this node has just learned.
+    /// Creates the gate of a rollout whose progress this node has just learned.
     pub fn new(
         settings: RolloutSettings,
         target: SoftwareVersion,
@@ -93,35 +98,36 @@
         }
     }
 
-    /// Takes in a stage of the same rollout; older epochs change nothing.
+    /// Updates the progress of the same rollout; older epochs are ignored.
     pub fn update_progress(&mut self, progress: Progress) {
         if progress.rollout == self.progress.rollout && progress.epoch > self.progress.epoch {
             self.progress = progress;
         }
     }
 
-    /// The stage that it keeps to.
+    /// The progress that the gate enforces.
     pub fn progress(&self) -> &Progress {
         &self.progress
     }
 
-    /// The version that the rollout is about.
+    /// The target version of the rollout.
     pub fn target(&self) -> &SoftwareVersion {
         &self.target
     }
 
-    /// What this node has counted.
+    /// The counts of this node.
     pub fn own_counts(&self) -> &Counts {
         &self.own
     }
 
-    /// Why this node stopped sending to the target by what it saw alone, if it did.
+    /// Why this node stopped sending to the target because of its own answers alone, if
+    /// it did.
     pub fn own_finding(&self) -> Option<&Finding> {
         self.own_stop.finding()
     }
 
-    /// To be called at each tick: a node of a later life learns by and by what its
-    /// former life may have used.
+    /// Updates what a restarted node assumes that its former life has used. Call it at
+    /// each tick.
     pub fn advance(&mut self, view: &FleetView<'_>, now: Millis) {
         if self.former_life_credits.is_some() || now.since(self.began_at) < SETTLE_MS {
             return;
@@ -135,8 +141,9 @@
         });
     }
 
-    /// Which versions may serve a request. Changes nothing; what is then sent is told
-    /// by [`Self::note_request`] and [`Self::note_target_arrival`].
+    /// Decides which versions may serve a request. Changes no state: attempts that are
+    /// then sent are counted by [`Self::note_request`] and
+    /// [`Self::note_target_arrival`].
     pub fn decide(
         &self,
         request: &CanaryRequest,
@@ -151,17 +158,17 @@
         }
     }
 
-    /// A request reached the service: its first attempt is sent.
+    /// Counts a request that reached the service, when its first attempt is sent.
     pub fn note_request(&mut self, route: RouteTag, is_repeatable: bool) {
         self.own.note_request(route, is_repeatable);
     }
 
-    /// An attempt is sent to an engine of the target.
+    /// Counts an attempt that is sent to an engine of the target.
     pub fn note_target_arrival(&mut self, route: RouteTag) {
         self.own.note_target_arrival(route);
     }
 
-    /// An attempt ended.
+    /// Counts the outcome of an attempt.
     pub fn note_answer(&mut self, route: RouteTag, side: Side, answer: &Answer) {
         self.own.note_answer(route, side, answer);
         if side == Side::Target {
@@ -170,7 +177,7 @@
         }
     }
 
-    /// What to report to the fleet.
+    /// Creates the report for the fleet.
     pub fn report(&self, node: PeerId, life: u64) -> CountReport {
         CountReport {
             rollout: self.progress.rollout,
@@ -180,8 +187,9 @@
         }
     }
 
-    /// What to say to the decider of the present stage. Once it says that established
-    /// engines get nothing, it keeps to that until a later epoch.
+    /// Creates the confirmation of the current stage for the decider. Once it confirms
+    /// that established engines get no requests, the node keeps to that until a later
+    /// epoch.
     pub fn confirm(&mut self, running_on_established: u32) -> Confirmation {
         let is_leaving = matches!(self.progress.stage, Stage::CuttingOver | Stage::Completed);
         let has_stopped = self.own_stop.finding().is_some();
@@ -217,9 +225,10 @@
         }
     }
 
-    /// Age of the news of a cut-over up to which the target serves on while nothing
-    /// speaks against it, in milliseconds. The store may be away for seconds, and neither
-    /// side would be left; whoever is cut off from a roll back must stop in time.
+    /// Age of the last confirmation of a cut-over up to which the target keeps serving
+    /// while there is no evidence against it, in milliseconds. The store may be
+    /// unavailable for seconds, and stopping then would leave neither side; but a node
+    /// that is cut off from a roll back must stop in time.
     fn lost_touch_ms(&self) -> u64 {
         let roll_back_ms = self.settings.roll_back_ms;
         let by_bound = roll_back_ms.saturating_sub(LOST_TOUCH_MARGIN_MS);
@@ -262,8 +271,8 @@
         }
     }
 
-    /// A later life must not rely on news from before it began: a former life may have
-    /// confirmed a later stage.
+    /// A restarted node must not rely on a confirmation from before its start: its
+    /// former life may have confirmed a later stage.
     fn has_verified_stage(&self, view: &FleetView<'_>) -> bool {
         self.joined == Joined::BeforeOrder || view.stage_verified_at >= self.began_at
     }
@@ -273,7 +282,7 @@
         self.own_stop.finding().is_some() || many_bad_answers(view.sums, is_cutting_over).is_some()
     }
 
-    /// Whether one more arrival may be too many by the bound, by what is known.
+    /// Whether one more arrival could exceed the bound, by the counts known here.
     fn is_at_exposure_bound(&self, view: &FleetView<'_>) -> bool {
         let slack = self.settings.canary_slack;
         let usable = slack - slack / RESERVED_SLACK_DIVISOR;
@@ -281,7 +290,8 @@
         (self.target_arrivals(view) + 1) as f64 > share + usable as f64
     }
 
-    /// Whether this node may send one more, and how much the fleet wants it.
+    /// Whether this node may send one more request to the target, and how urgently the
+    /// fleet needs it.
     fn urgency(&self, view: &FleetView<'_>, share_ppm: u32) -> Option<Urgency> {
         let before = self.former_life_credits?;
         let used = self.own.target_arrivals();
@@ -300,7 +310,7 @@
         may_use_others.then_some(Urgency::AnyPrompt)
     }
 
-    /// How many of the unused credits are this node's to use, in turn.
+    /// Number of the unused credits that this node may use, in rotation.
     fn turn_share_of_unused(&self, unused: u64, view: &FleetView<'_>) -> u64 {
         let turn = self.progress.rollout.0 + self.requests(view) / TURN_REQUESTS;
         owned_credits(unused, view.seat, turn)
@@ -315,7 +325,7 @@
         owned_credits(credits, view.seat, self.progress.rollout.0)
     }
 
-    /// The fleet's credits since the order, by the shares of all stages.
+    /// The fleet's credits since the order, accumulated over the shares of all stages.
     fn fleet_credits(&self, view: &FleetView<'_>, share_ppm: u32) -> u64 {
         let since = self.requests(view).saturating_sub(self.progress.requests);
         fleet_credits(since, u64::from(share_ppm), self.progress.credits)
@@ -328,7 +338,7 @@
         owned_credits(credits, view.seat, self.progress.rollout.0)
     }
 
-    /// The fleet's sums with what this node has not reported yet.
+    /// The fleet's sums plus the counts that this node has not reported yet.
     fn known_counts(&self, view: &FleetView<'_>) -> Counts {
         let mut known = view.sums.clone();
         match view.own_in_sums {
@@ -359,8 +369,8 @@
         }
     }
 
-    /// None of the versions that were left; those that come later without an order are
-    /// no concern of the rollout.
+    /// Excludes the versions that the rollout replaced. Versions that appear later
+    /// without an order are not affected by it.
     fn completed(&self) -> GateDecision {
         let avoided = self.progress.avoided.iter();
         let left = avoided.chain(&self.progress.established).cloned();
@@ -370,8 +380,8 @@
         }
     }
 
-    /// Established engines alone: neither the target nor what older orders left
-    /// without proof.
+    /// Allows established engines only: neither the target nor versions that earlier
+    /// orders did not complete.
     fn without_target(&self, reason: GateReason) -> GateDecision {
         let avoided = &self.progress.avoided;
         let rule = match avoided.is_empty() {
--- a/crates/rollout/src/stage.rs
+++ b/crates/rollout/src/stage.rs
@@ -1,4 +1,4 @@
-//! Stages of a rollout, and what a successor of the decider needs to go on.
+//! Stages of a rollout, and the stored progress from which another decider continues.
 
 use crate::order::{RolloutOrder, RolloutState, RolloutStatus};
 use ploverlift_routing::configuration::ServiceName;
@@ -7,16 +7,16 @@
 
 /// Parts of a million, for shares that are stored and compared exactly.
 pub const MILLION: u64 = 1_000_000;
-/// First word of a stored progress; another one is of a release that this one does not
-/// know.
+/// First word of a stored progress. Another one was written by a release whose format
+/// this release can't read.
 const FORMAT: &str = "rollout/1";
 
-/// Number of a rollout: the order's revision when its first status was decided, so a
-/// later rollout of a service has a higher one even if a status was lost.
+/// Number of a rollout: the order's revision when its first status was decided, so that
+/// a later rollout of a service has a higher number even if a status was lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RolloutNumber(pub u64);
 
-/// Rises with each change of a rollout's stage, and over the rollouts of a service.
+/// Rises with each change of stage, also from one rollout of a service to the next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Epoch(pub u64);
 
@@ -27,13 +27,13 @@
     }
 }
 
-/// What makes an order the same order: writes of its status raise the object's
-/// revision, so the revision does not.
+/// Identity of an order. It does not include the object's revision, which writes of its
+/// status raise.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OrderIdentity {
     /// The service.
     pub service: ServiceName,
-    /// The version that is to serve it.
+    /// The version that is to serve the service.
     pub target: SoftwareVersion,
     /// Time from the order until its deadline, in milliseconds.
     pub duration_ms: u64,
@@ -50,20 +50,20 @@
     }
 }
 
-/// Why a version serves nothing any more; of the rollout's last stage.
+/// Why a rollout was rolled back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RollBackCause {
-    /// Its answers were worse than those of the established engines.
+    /// The target's answers were worse than those of the established engines.
     BadAnswers,
-    /// No engine of it came, or none was left.
+    /// No engine of the target appeared, or none was left.
     NoEngines,
-    /// The order can't be carried out as it stands.
+    /// The order can't be carried out as given.
     OrderDoesNotFit,
-    /// Too few answers came to accept it.
+    /// Too few answers arrived to accept the target.
     NoProof,
 }
 
-/// How far a rollout is.
+/// Stage of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Stage {
     /// The target gets a share of the requests.
@@ -71,19 +71,20 @@
         /// The share, in parts of a million.
         share_ppm: u32,
     },
-    /// All new requests go to the target; what runs on established engines ends there.
+    /// All new requests go to the target; requests that run on established engines
+    /// finish there.
     CuttingOver,
-    /// The established engines get nothing ever more.
+    /// The established engines get no more requests, for good.
     Completed,
-    /// The target gets nothing ever more.
+    /// The target gets no more requests, for good.
     RolledBack {
-        /// Why.
+        /// Why it was rolled back.
         cause: RollBackCause,
     },
 }
 
 impl Stage {
-    /// Its name, as it is stored, logged and counted.
+    /// The stage's name, as it is stored, logged and counted.
     pub fn name(self) -> &'static str {
         match self {
             Self::Canary { .. } => "canary",
@@ -102,7 +103,7 @@
         }
     }
 
-    /// What the operator reads.
+    /// The state that the operator reads.
     pub fn state(self) -> RolloutState {
         match self {
             Self::Canary { .. } | Self::CuttingOver => RolloutState::Running,
@@ -117,82 +118,84 @@
     }
 }
 
-/// What is stored of a rollout beside its state.
+/// The stored progress of a rollout, beside its state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Progress {
     /// The rollout.
     pub rollout: RolloutNumber,
-    /// The change of stage that this is.
+    /// The epoch of the stage.
     pub epoch: Epoch,
     /// The stage.
     pub stage: Stage,
-    /// The order's duration that the rollout keeps to, in milliseconds.
+    /// The order's duration, from the order to its deadline, in milliseconds.
     pub duration_ms: u64,
-    /// Time from the order until this was decided, in milliseconds; at least so much
-    /// had passed.
+    /// Time from the order until this stage was decided, in milliseconds; a lower bound.
     pub elapsed_ms: u64,
-    /// Requests of the service since the order, as known then.
+    /// Requests of the service since the order, as known at that time.
     pub requests: u64,
-    /// Arrivals at engines of the target since the order, as known then.
+    /// Arrivals at engines of the target since the order, as known at that time.
     pub target_arrivals: u64,
-    /// Credits that the fleet had by then (see [`crate::credits`]).
+    /// The fleet's credits at that time (see [`crate::credits`]).
     pub credits: u64,
-    /// Versions that older orders left without proof: they serve nothing either.
+    /// Versions that earlier orders rolled out without completing them: they get no
+    /// requests either.
     pub avoided: Vec<SoftwareVersion>,
-    /// The other versions beside the target that were known since the order; once it is
-    /// completed they serve nothing.
+    /// The other versions that were known since the order; once the rollout is completed
+    /// they get no requests.
     pub established: Vec<SoftwareVersion>,
 }
 
-/// A stored progress that this release can't read.
+/// Why a stored progress can't be read.
 #[derive(Debug, Snafu, PartialEq)]
 pub enum ProgressError {
-    /// Written by another release.
-    #[snafu(display("progress of format '{found}', this release reads '{FORMAT}'"))]
+    /// The format is that of another release.
+    #[snafu(display("stored progress has the format '{found}', this release reads '{FORMAT}'"))]
     UnknownFormat {
-        /// What stands in place of the format.
+        /// The text in place of the format.
         found: String,
     },
     /// A field is missing.
-    #[snafu(display("progress without '{field}'"))]
+    #[snafu(display("stored progress lacks the field '{field}'"))]
     MissingField {
         /// Its name.
         field: &'static str,
     },
-    /// A field that is no number.
-    #[snafu(display("progress with {field}={text}: {source}"))]
+    /// A field is not a number.
+    #[snafu(display("stored progress has an invalid number {field}={text}: {source}"))]
     InvalidNumber {
         /// Its name.
         field: &'static str,
-        /// What stands in its place.
+        /// Its text.
         text: String,
-        /// Why it is none.
+        /// Why it can't be parsed.
         source: std::num::ParseIntError,
     },
-    /// An escape in a version that stands for no character.
-    #[snafu(display("progress with the version '{text}', whose escape is broken"))]
+    /// A version contains an escape that stands for no character.
+    #[snafu(display("stored progress has the version '{text}' with an invalid escape"))]
     BrokenEscape {
         /// The version as it is stored.
         text: String,
     },
-    /// A stage that this release does not know.
-    #[snafu(display("progress with the unknown stage '{stage}'"))]
+    /// The stage, or the cause of a roll back, is unknown to this release.
+    #[snafu(display("stored progress has the unknown stage or cause '{stage}'"))]
     UnknownStage {
         /// Its name.
         stage: String,
     },
-    /// The stage and the state that the operator reads contradict each other.
-    #[snafu(display("progress says {stage:?}, the status beside it {state:?}"))]
+    /// The stage contradicts the state that the operator reads.
+    #[snafu(display(
+        "stored progress has the stage {stage:?}, but the status has the state {state:?}"
+    ))]
     Contradiction {
-        /// What the progress says.
+        /// The stage in the progress.
         stage: Stage,
-        /// What the operator reads.
+        /// The state beside it.
         state: RolloutState,
     },
 }
 
 impl Progress {
-    /// The text that is stored.
+    /// Encodes the progress as the text that is stored.
     pub fn encode(&self) -> String {
         let more = match self.stage {
             Stage::Canary { share_ppm } => format!(" share_ppm={share_ppm}"),
@@ -215,7 +218,12 @@
         )
     }
 
-    /// Reads what [`Self::encode`] wrote.
+    /// Decodes a text that [`Self::encode`] wrote.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the text has another format, lacks a field, or has a value that can't be
+    /// read.
     pub fn decode(text: &str) -> Result<Self, ProgressError> {
         let fields = Fields::of(text)?;
         Ok(Self {
@@ -242,19 +250,23 @@
     }
 }
 
-/// What is recorded with an order.
+/// The progress that is recorded with an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Recorded {
-    /// Nothing yet.
+    /// No progress is recorded yet.
     Nothing,
-    /// The end or the progress of an older order, which the present one supersedes.
+    /// The progress of an earlier order, which the current one supersedes.
     OfOlderOrder(Progress),
-    /// The present order's progress.
+    /// The progress of the current order.
     Present(Progress),
 }
 
 impl Recorded {
-    /// What is recorded with an order.
+    /// Decodes the status that is recorded with an order.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the progress can't be read or contradicts the state beside it.
     pub fn of(order: &RolloutOrder) -> Result<Self, ProgressError> {
         let Some(status) = &order.status else {
             return Ok(Self::Nothing);
@@ -274,7 +286,7 @@
         })
     }
 
-    /// The present order's progress, if any is recorded.
+    /// The current order's progress, if any is recorded.
     pub fn present(&self) -> Option<&Progress> {
         match self {
             Self::Present(progress) => Some(progress),
@@ -292,7 +304,7 @@
     }
 }
 
-/// Versions as one word: characters that separate words or versions are escaped.
+/// Encodes versions as one word; characters that separate words or versions are escaped.
 fn encode_versions(versions: &[SoftwareVersion]) -> String {
     let escaped: Vec<String> = versions.iter().map(encode_version).collect();
     escaped.join(",")
@@ -330,7 +342,7 @@
     Ok(SoftwareVersion(version))
 }
 
-/// The words of a stored progress.
+/// The `key=value` words of a stored progress.
 struct Fields<'a> {
     words: Vec<(&'a str, &'a str)>,
 }
--- a/crates/rollout/src/supply.rs
+++ b/crates/rollout/src/supply.rs
@@ -1,11 +1,11 @@
-//! Engines and versions of a service, as a rollout sees them.
+//! Available engines and known versions of a service.
 
 use crate::decision::DeciderInput;
 use crate::order::RolloutOrder;
 use crate::stage::{Progress, Recorded, Stage};
 use ploverlift_routing::software::SoftwareVersion;
 
-/// Engines of the service, as a rollout sees them.
+/// Engines of the service that can serve now, by side of the rollout.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Supply {
     pub(crate) target: u32,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Versions beside the target that are known now or were known before.
+/// Versions other than the target that are known now or were known before.
 pub(crate) fn established_versions(
     before: &[SoftwareVersion],
     input: &DeciderInput<'_>,
@@ -42,8 +42,8 @@
     established
 }
 
-/// Versions that older orders left without proof: none but the target may serve in
-/// their place.
+/// Versions that earlier orders rolled out without completing them; they may not serve
+/// in place of the target.
 pub(crate) fn avoided_versions(recorded: &Recorded, order: &RolloutOrder) -> Vec<SoftwareVersion> {
     let Recorded::OfOlderOrder(older) = recorded else {
         return Vec::new();
--- a/crates/rollout/src/transition_context.rs
+++ b/crates/rollout/src/transition_context.rs
@@ -1,4 +1,4 @@
-//! All that one decision is made by, and what follows from single facts of it.
+//! The context of one decision, and the conclusions from its individual facts.
 
 use crate::acceptance::is_first_byte_timely;
 use crate::counts::Counts;
@@ -10,42 +10,46 @@
 use crate::supply::{established_versions, Supply};
 use ploverlift_policy::ids::Millis;
 
-/// Answers of the target in all that a cut-over needs.
+/// Number of the target's answers on all routes that a cut-over requires.
 const MIN_ANSWERS: u64 = 30;
-/// Answers of the target on each route that has a part of the requests worth judging.
+/// Number of the target's answers that a cut-over requires on each significant route.
 const MIN_ROUTE_ANSWERS: u64 = 8;
-/// Part of the requests that makes a route worth judging: one of so many.
+/// Divisor of all requests: a route with at least this part of them is significant.
 const SIGNIFICANT_ROUTE_DIVISOR: u64 = 10;
-/// How often its duration a rollout waits for evidence or engines, from the order.
+/// Maximum time that a rollout waits for evidence or engines, in multiples of its
+/// duration, from the order.
 const MAX_WAIT_DURATIONS: u64 = 3;
-/// Time after the deadline for which it waits at least, in milliseconds.
+/// Minimum time after the deadline for which it waits, in milliseconds.
 const MIN_WAIT_AFTER_DEADLINE_MS: u64 = 10_000;
-/// Part of the established engines that the target must have to carry all.
+/// Number of engines that the target needs to carry all traffic, as a fraction of the
+/// number of established engines.
 const MIN_ENGINES_FRACTION: f64 = 0.75;
-/// Time that a reported arrival may be old, in milliseconds: two reports and their way.
+/// Maximum age of a reported arrival, in milliseconds: two report intervals and the time
+/// of delivery.
 const MAX_REPORT_AGE_MS: u64 = 500;
-/// Silence from which a node counts as unheard, in milliseconds: five reports.
+/// Silence after which a node counts as unheard, in milliseconds: five reports.
 const UNHEARD_AFTER_MS: u64 = 1_000;
-/// Nodes that stopped by what they saw alone, for which the version counts as bad; in a
-/// smaller fleet, all that are heard: once all have stopped, no more evidence
-/// comes.
+/// Number of nodes that stopped because of their own answers alone from which the
+/// version counts as bad. In a smaller fleet, all nodes that are heard must have
+/// stopped; after that, no more evidence arrives.
 const STOPPED_NODES_LIMIT: usize = 3;
-/// Time for which a single one may hold a cut-over up, in milliseconds.
+/// Time for which a single such node may block a cut-over, in milliseconds.
 const STOPPED_NODE_WAIT_MS: u64 = 5_000;
-/// Time before the deadline at which a rollout is completed at the earliest, in
-/// milliseconds: a version that turns bad later can't be rolled back, so it is watched
-/// as long as it may. Enough for a write of the store and an order that was seen late.
+/// Time before the deadline before which a rollout is not completed, in milliseconds: a
+/// version that turns bad after its completion can't be rolled back, so it is watched as
+/// long as possible. Enough for a write to the store and for an order that was read
+/// late.
 pub(crate) const COMPLETION_MARGIN_MS: u64 = 500;
-/// Time for which the target serves alone before it is completed, in milliseconds: what
-/// shows under full load only shows within a second or two.
+/// Minimum time for which the target serves alone before it is completed, in
+/// milliseconds: defects that show only under full load take a second or two to show.
 pub(crate) const MIN_WATCH_MS: u64 = 3_000;
 
-/// Time that a cut-over takes at least, in milliseconds, when the barrier takes so long.
+/// Minimum time of a cut-over, in milliseconds, for this barrier.
 pub(crate) fn cut_over_ms(barrier_ms: u64) -> u64 {
     barrier_ms.max(MIN_WATCH_MS) + COMPLETION_MARGIN_MS
 }
 
-/// All that one decision is made by.
+/// The context of one decision.
 pub(crate) struct TransitionContext<'a> {
     pub(crate) settings: &'a RolloutSettings,
     pub(crate) progress: &'a Progress,
@@ -75,7 +79,7 @@
         self.sums().requests().max(self.progress.requests)
     }
 
-    /// Time since the order, at least.
+    /// Lower bound of the time since the order.
     fn elapsed_ms(&self) -> u64 {
         let input = self.input;
         let by_status = self
@@ -89,14 +93,14 @@
         self.progress.duration_ms.saturating_sub(self.elapsed_ms())
     }
 
-    /// Whether the target has served alone long enough, and as long as the deadline lets
-    /// it: a version that turns bad after its completion can't be rolled back.
+    /// Whether the target has served alone long enough, and as long as the deadline
+    /// permits: a version that turns bad after its completion can't be rolled back.
     pub(crate) fn is_watch_complete(&self) -> bool {
         let since = self.input.now.since(self.input.status_seen_at);
         since >= MIN_WATCH_MS && self.remaining_ms() <= COMPLETION_MARGIN_MS
     }
 
-    /// The share to begin with.
+    /// The initial share.
     pub(crate) fn first_share_ppm(&self) -> u32 {
         let cut_over_ms = cut_over_ms(self.input.barrier_ms);
         schedule::first_share_ppm(self.settings, self.progress.duration_ms, cut_over_ms)
@@ -115,8 +119,8 @@
         self.supply.target > 0 && f64::from(self.supply.target) >= needed
     }
 
-    /// Goes no further; and back once the deadline has passed, for then nothing is gained
-    /// by waiting, and a bad version would go on answering.
+    /// Keeps the stage, or rolls back once the deadline has passed: then waiting gains
+    /// nothing, and a bad version would keep answering.
     pub(crate) fn decide_under_suspicion(&self, finding: Finding) -> Decision {
         match self.remaining_ms() {
             0 => self.roll_back(RollBackCause::BadAnswers, Reason::Bad(finding)),
@@ -124,8 +128,8 @@
         }
     }
 
-    /// Waits for engines until the deadline; then it ends without any, or, with too few,
-    /// when patience is over.
+    /// Waits for engines. Rolls back at the deadline if there are none, or, if there are
+    /// too few, once the maximum wait is over.
     pub(crate) fn decide_without_engines(&self) -> Decision {
         let has_none = self.supply.target == 0;
         if self.is_wait_exhausted() || (has_none && self.remaining_ms() == 0) {
@@ -138,7 +142,8 @@
         })
     }
 
-    /// Waits for answers; a version without proof is never completed.
+    /// Waits for answers, and rolls back once the maximum wait is over; a version
+    /// without proof is never completed.
     pub(crate) fn decide_without_proof(&self) -> Decision {
         if !self.is_wait_exhausted() {
             return stay(Reason::GatheringEvidence);
@@ -160,14 +165,16 @@
             && is_first_byte_timely(sums)
     }
 
-    /// Requests in a millisecond: lately, or since the order, whichever is higher.
+    /// Requests per millisecond: the higher of the recent rate and the mean since the
+    /// order.
     fn rate_per_ms(&self, recent: f64) -> f64 {
         let since_order = self.requests() as f64 / self.elapsed_ms().max(1) as f64;
         recent.max(since_order)
     }
 
-    /// What the target has got at most: what is known, what nodes that are heard have
-    /// sent since, and what the others may have sent by their highest credits.
+    /// Upper bound of the target's arrivals: those known, those that nodes which are
+    /// heard may have sent since, and those that the other nodes may have sent within
+    /// their highest credits.
     pub(crate) fn exposure(&self, recent_rate_per_ms: f64) -> Exposure {
         let rate_per_ms = self.rate_per_ms(recent_rate_per_ms);
         let share = match self.progress.stage {
@@ -189,7 +196,7 @@
         }
     }
 
-    /// Part of the nodes that were not heard lately.
+    /// Fraction of the nodes that were not heard recently.
     fn unheard_fraction(&self) -> f64 {
         let input = self.input;
         let is_unheard = |member: &&Member| {
@@ -200,15 +207,15 @@
         unheard as f64 / input.members.len().max(1) as f64
     }
 
-    /// Nodes that have to stop before the version counts as bad.
+    /// Number of nodes that must stop before the version counts as bad.
     fn stopped_nodes_threshold(&self) -> usize {
         let heard = 1.0 - self.unheard_fraction();
         let heard = (heard * self.input.members.len() as f64).round() as usize;
         heard.clamp(1, STOPPED_NODES_LIMIT)
     }
 
-    /// Nodes that stopped by what they saw alone, when they are many or hold up a
-    /// cut-over.
+    /// A finding if the nodes that stopped because of their own answers alone are many
+    /// or block a cut-over.
     pub(crate) fn stopped_nodes_finding(&self) -> Option<Finding> {
         let has_stopped = |member: &&Member| {
             let confirmation = member.confirmation;
@@ -232,7 +239,8 @@
         })
     }
 
-    /// Nodes that may still use established engines, and what they have there.
+    /// Number of nodes that may still use established engines, and of the requests that
+    /// they run there.
     pub(crate) fn unconfirmed_nodes(&self, decider_began_at: Millis) -> (u32, u32) {
         let unconfirmed_nodes = self.input.members.iter().filter(|member| {
             !self.has_confirmed(member) && !self.is_silent(member, decider_began_at)
@@ -253,8 +261,9 @@
         })
     }
 
-    /// Silent for so long, since the cut-over was stored, that it serves nothing: a node
-    /// that is not heard may hear, so its silence before that shows nothing.
+    /// Whether a node has been silent for so long since the cut-over was stored that it
+    /// serves nothing. Silence before that shows nothing: a node that can't be heard may
+    /// still receive the stage.
     fn is_silent(&self, member: &Member, decider_began_at: Millis) -> bool {
         let last_heard_at = member.last_heard_at.unwrap_or(decider_began_at);
         let since = last_heard_at.max(self.input.status_seen_at);
