--- a/crates/rollout/examples/rollouts.rs
+++ b/crates/rollout/examples/rollouts.rs
@@ -8,7 +8,7 @@
 
 use fastrand::Rng;
 use fleet::outcome::Outcome;
-use fleet::scenario::{Defect, Disruption, Fault, News, Scenario, SimService};
+use fleet::scenario::{Defect, Disruption, Fault, MessageFaults, Scenario, SimService};
 use fleet::{services, Fleet};
 use ploverlift_rollout::order::RolloutState;
 use ploverlift_rollout::settings::{RolloutSettings, Strategy};
@@ -39,10 +39,10 @@
     }
 }
 
-fn play_all(scenarios: Vec<Scenario>) -> Vec<(Scenario, Outcome)> {
+fn run_all(scenarios: Vec<Scenario>) -> Vec<(Scenario, Outcome)> {
     let threads = std::thread::available_parallelism().map_or(4, |it| it.get().min(6));
     let next = AtomicU64::new(0);
-    let played = Mutex::new(Vec::new());
+    let results = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| loop {
@@ -50,15 +50,15 @@
                 let Some(scenario) = scenarios.get(index) else {
                     return;
                 };
-                let outcome = Fleet::play(scenario.clone());
-                played
+                let outcome = Fleet::run(scenario.clone());
+                results
                     .lock()
                     .expect("no panic")
                     .push((scenario.clone(), outcome));
             });
         }
     });
-    played.into_inner().expect("no panic")
+    results.into_inner().expect("no panic")
 }
 
 fn scenario(service: SimService, settings: RolloutSettings, seed: u64) -> Scenario {
@@ -68,7 +68,7 @@
         settings,
         defect: None,
         disruptions: Vec::new(),
-        news: News::default(),
+        message_faults: MessageFaults::default(),
         seed,
     }
 }
@@ -186,18 +186,18 @@
                     defect,
                     ..scenario(service.clone(), settings, seed)
                 });
-                row(defect_name, way, &play_all(scenarios.collect()));
+                row(defect_name, way, &run_all(scenarios.collect()));
             }
         }
     }
 }
 
-fn row(defect: &str, way: &str, played: &[(Scenario, Outcome)]) {
+fn row(defect: &str, way: &str, results: &[(Scenario, Outcome)]) {
     let bound = RolloutSettings::default();
     let beyond = |outcome: &Outcome| {
         outcome.target_arrivals as f64 - bound.canary_share * outcome.requests as f64
     };
-    let outcomes = || played.iter().map(|(_, outcome)| outcome);
+    let outcomes = || results.iter().map(|(_, outcome)| outcome);
     let worst = outcomes().map(beyond).fold(f64::NEG_INFINITY, f64::max);
     let broken = outcomes()
         .filter(|it| beyond(it) > bound.canary_slack as f64)
@@ -217,7 +217,7 @@
     let completed = outcomes()
         .filter(|it| it.at(RolloutState::Completed).is_some())
         .count();
-    let missed = played.iter().filter(|(scenario, it)| {
+    let missed = results.iter().filter(|(scenario, it)| {
         let wanted = match scenario.defect {
             Some(_) => RolloutState::RolledBack,
             None => RolloutState::Completed,
@@ -228,7 +228,7 @@
     let stopped = outcomes().filter_map(Outcome::stopped_after).max();
     println!(
         "| {defect} | {way} | {broken} of {} | {worst:.0} | {:.3} | {:.1}, {:.1} | {rolled_back} | {completed} | {} | {} |",
-        played.len(),
+        results.len(),
         quantile(&mut shares, 0.5) as f64 / 10_000.0,
         quantile(&mut verdicts, 0.5) as f64 / 1_000.0,
         quantile(&mut verdicts, 0.99) as f64 / 1_000.0,
@@ -296,10 +296,10 @@
     Scenario {
         defect,
         disruptions,
-        news: News {
+        message_faults: MessageFaults {
             lost: [0.0, 0.1, 0.3][rng.usize(0..3)],
             doubled: 0.1,
-            store_away: None,
+            store_unavailable: None,
             answers_lost: 0.1,
         },
         ..scenario(service, settings, seed)
@@ -307,22 +307,22 @@
 }
 
 fn soak(runs: u64, strategy: Strategy) {
-    let played = play_all(
+    let results = run_all(
         (0..runs)
             .map(|seed| random_scenario(seed, strategy))
             .collect(),
     );
-    let requests: u64 = played.iter().map(|(_, it)| it.all_requests).sum();
+    let requests: u64 = results.iter().map(|(_, it)| it.all_requests).sum();
     let bound = RolloutSettings::default();
     let is_bad = |scenario: &Scenario| scenario.defect.is_some();
-    let mut used: Vec<u64> = played
+    let mut used: Vec<u64> = results
         .iter()
         .map(|(_, it)| {
             let allowed = bound.canary_share * it.requests as f64 + bound.canary_slack as f64;
             (it.target_arrivals as f64 / allowed * 1_000.0) as u64
         })
         .collect();
-    let mut stopped: Vec<u64> = played
+    let mut stopped: Vec<u64> = results
         .iter()
         .filter_map(|(scenario, it)| {
             let is_back = it.at(RolloutState::RolledBack).is_some();
@@ -331,11 +331,11 @@
                 .flatten()
         })
         .collect();
-    let escaped = played.iter().filter(|(scenario, it)| {
+    let escaped = results.iter().filter(|(scenario, it)| {
         is_bad(scenario) && it.stopped_after().is_some_and(|ms| ms > bound.roll_back_ms)
     });
     let escaped: Vec<_> = escaped.collect();
-    let good = || played.iter().filter(|(scenario, _)| !is_bad(scenario));
+    let good = || results.iter().filter(|(scenario, _)| !is_bad(scenario));
     let false_backs = good()
         .filter(|(_, it)| it.at(RolloutState::RolledBack).is_some())
         .count();
@@ -348,19 +348,19 @@
                 .is_some_and(|at| at <= scenario.service.duration_ms)
         })
         .count();
-    let bad_completed = played
+    let bad_completed = results
         .iter()
         .filter(|(scenario, it)| is_bad(scenario) && it.at(RolloutState::Completed).is_some())
         .count();
-    let after: u64 = played
+    let after: u64 = results
         .iter()
         .map(|(_, it)| it.established_after_completed)
         .sum();
-    let running: u64 = played.iter().map(|(_, it)| it.running_at_completed).sum();
+    let running: u64 = results.iter().map(|(_, it)| it.running_at_completed).sum();
     println!(
         "runs {runs}, requests {requests}, good {}, bad {}",
         good().count(),
-        played.len() - good().count()
+        results.len() - good().count()
     );
     println!(
         "exposure as a part of its bound: p50 {:.3}, p99.9 {:.3}, worst {:.3}",
@@ -368,7 +368,7 @@
         quantile(&mut used, 0.999) as f64 / 1e3,
         quantile(&mut used, 1.0) as f64 / 1e3
     );
-    let over = played.iter().filter(|(_, it)| {
+    let over = results.iter().filter(|(_, it)| {
         it.target_arrivals as f64
             > bound.canary_share * it.requests as f64 + bound.canary_slack as f64
     });
--- a/crates/rollout/tests/rollouts/counts.rs
+++ b/crates/rollout/tests/rollouts/counts.rs
@@ -53,7 +53,7 @@
     /// Any order, any repetition, and the loss of all but the last report of each node
     /// and life give the same sums.
     #[test]
-    fn late_doubled_and_lost_reports_change_no_sum(
+    fn late_duplicated_and_lost_reports_do_not_change_the_sums(
         lasts in proptest::collection::btree_map((0u64..4, 0u64..3), 1u64..40, 1..8),
         deliveries in proptest::collection::vec((any::<prop::sample::Index>(), 0u64..40), 0..40),
     ) {
@@ -79,7 +79,7 @@
 
     /// No two seats own a credit, and each has an owner.
     #[test]
-    fn credits_of_all_seats_are_the_fleets(
+    fn each_credit_of_the_fleet_belongs_to_one_seat(
         nodes in 1u32..800, credits in 0u64..5_000, rollout in any::<u32>(),
     ) {
         let owned = |rank| owned_credits(credits, Seat { rank, nodes }, u64::from(rollout));
@@ -88,7 +88,7 @@
 
     /// Who knows less of the fleet uses no more.
     #[test]
-    fn credits_only_rise(
+    fn owned_credits_never_decrease(
         nodes in 1u32..800, rank in 0u32..800, credits in 0u64..5_000, more in 0u64..100,
     ) {
         let seat = Seat { rank: rank % nodes, nodes };
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn small_fleets_count_exactly() {
+fn small_counts_of_each_node_sum_to_exact_credits() {
     let mut fleet = FleetCounts::of(ROLLOUT);
     for node in 0..81 {
         fleet.merge_report(&report(node, 1, 1));
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn buckets_tell_twice_as_slow_by_two() {
+fn a_slowdown_by_two_is_two_buckets() {
     for ms in [5, 20, 77, 500, 2_000] {
         assert_eq!(bucket_of(2 * ms), bucket_of(ms) + 2, "{ms} ms");
     }
--- a/crates/rollout/tests/rollouts/deciding/cut_overs.rs
+++ b/crates/rollout/tests/rollouts/deciding/cut_overs.rs
@@ -9,7 +9,7 @@
 use ploverlift_rollout::stage::{Epoch, RolloutNumber, Stage};
 
 #[test]
-fn the_default_way_moves_nothing_before_the_deadline() {
+fn the_default_strategy_does_not_cut_over_before_the_deadline() {
     let mut case = Case::at(CANARY, 11_990);
     assert_eq!(case.decide().reason, Reason::AwaitingExposure);
     case.since_order_ms = 12_000;
@@ -34,14 +34,14 @@
 }
 
 #[test]
-fn holding_cuts_over_only_when_the_bound_holds_whatever_happens() {
+fn hold_cuts_over_only_when_the_bound_holds_in_any_case() {
     // At 1.3 times 0.1 a millisecond, 13.6 s are within the bound.
     let at = cut_over_at(long_case(Strategy::Hold));
     assert!((226_000..=226_800).contains(&at), "{at} ms");
 }
 
 #[test]
-fn holding_past_the_deadline_never_cuts_over_early() {
+fn hold_past_deadline_never_cuts_over_early() {
     let at = cut_over_at(long_case(Strategy::HoldPastDeadline));
     assert_eq!(at, 240_000);
 }
@@ -57,14 +57,14 @@
 }
 
 #[test]
-fn a_window_too_short_for_the_barrier_waits_for_the_deadline() {
+fn a_cut_over_that_can_not_end_in_time_waits_for_the_deadline() {
     let mut case = long_case(Strategy::Hold);
     case.barrier_ms = 14_000;
     assert_eq!(cut_over_at(case), 240_000);
 }
 
 #[test]
-fn a_cut_over_that_runs_ahead_of_the_bound_is_taken_back() {
+fn a_cut_over_that_would_exceed_the_bound_is_reverted() {
     let mut case = Case::at(Stage::CuttingOver, 10_000);
     case.settings.strategy = Strategy::Hold;
     let decision = case.decide();
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn completed_needs_every_node() {
+fn completion_needs_a_confirmation_of_every_node() {
     let mut case = Case::at(Stage::CuttingOver, 16_000);
     let completed = |case: &Case| {
         // The target must have answered since this decider saw the cut-over.
@@ -117,7 +117,7 @@
         assert!(!completed(&case), "{confirmation:?}");
     }
     case.members[1].confirmation = None;
-    assert!(!completed(&case), "said nothing");
+    assert!(!completed(&case), "no confirmation");
     case.members[1].last_heard_at = Some(Millis(6_000));
     assert!(
         !completed(&case),
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_version_is_watched_at_full_load_before_its_completion() {
+fn a_version_serves_at_full_load_for_a_minimum_time_before_completion() {
     let mut case = Case::at(Stage::CuttingOver, 16_000);
     case.status_age_ms = 2_000;
     let mut decider = Decider::new(case.settings);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn the_bound_counts_what_is_still_to_come() {
+fn the_bound_includes_expected_arrivals() {
     let settings = RolloutSettings::default();
     let exposure = |remaining_ms| Exposure {
         target_arrivals: 100,
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_rate_is_not_known_at_once() {
+fn a_rate_needs_a_minimum_time() {
     let mut rate = RequestRate::default();
     rate.note(0, Millis(1_000));
     rate.note(100, Millis(1_200));
--- a/crates/rollout/tests/rollouts/deciding/orders.rs
+++ b/crates/rollout/tests/rollouts/deciding/orders.rs
@@ -1,6 +1,6 @@
 //! What an order leads to: which version it is for, and whether it can end at all.
 
-use crate::decision_case::{answered, back, Case, CANARY, DURATION_MS};
+use crate::decision_case::{answered, expected_roll_back, Case, CANARY, DURATION_MS};
 use crate::stages::{order, progress, version};
 use ploverlift_rollout::decider::Reason;
 use ploverlift_rollout::order::{RolloutState, RolloutStatus};
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_old_version_ordered_back_serves_alone_at_once() {
+fn an_order_for_the_old_version_cuts_over_at_once() {
     let mut case = Case::at(CANARY, 100);
     case.order.target = version("v1");
     let decision = case.decide();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn an_order_for_the_version_that_serves_alone_holds_nothing_back() {
+fn an_order_for_the_version_that_serves_alone_cuts_over_at_once() {
     let mut case = Case::at(CANARY, 0);
     case.order.status = None;
     case.established_engines = 0;
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn ends_stay_ends() {
+fn terminal_stages_are_final() {
     for stage in [
         Stage::Completed,
         Stage::RolledBack {
@@ -75,13 +75,19 @@
 fn an_order_that_does_not_fit_is_rolled_back() {
     let mut case = Case::at(CANARY, 0);
     case.order = order("v2", 0, 30);
-    assert_eq!(case.next(), back(RollBackCause::OrderDoesNotFit));
+    assert_eq!(
+        case.next(),
+        expected_roll_back(RollBackCause::OrderDoesNotFit)
+    );
     case.order = order("", DURATION_MS, 30);
-    assert_eq!(case.next(), back(RollBackCause::OrderDoesNotFit));
+    assert_eq!(
+        case.next(),
+        expected_roll_back(RollBackCause::OrderDoesNotFit)
+    );
 }
 
 #[test]
-fn engines_that_never_come_end_it_at_the_deadline() {
+fn a_target_without_engines_is_rolled_back_at_the_deadline() {
     let mut case = Case::at(CANARY, 11_900);
     case.target_engines = 0;
     assert!(matches!(
@@ -89,20 +95,20 @@
         Reason::AwaitingEngines { .. }
     ));
     case.since_order_ms = 12_000;
-    assert_eq!(case.next(), back(RollBackCause::NoEngines));
+    assert_eq!(case.next(), expected_roll_back(RollBackCause::NoEngines));
 }
 
 #[test]
-fn too_few_engines_hold_the_canary_and_end_it_when_patience_is_over() {
+fn too_few_engines_hold_the_canary_until_the_maximum_wait_is_over() {
     let mut case = Case::at(CANARY, 12_000);
     case.target_engines = 2;
     assert_eq!(case.next(), None);
     case.since_order_ms = 36_000;
-    assert_eq!(case.next(), back(RollBackCause::NoEngines));
+    assert_eq!(case.next(), expected_roll_back(RollBackCause::NoEngines));
 }
 
 #[test]
-fn a_successor_goes_on_from_what_is_stored() {
+fn a_successor_continues_from_the_stored_progress() {
     let mut case = Case::at(CANARY, 6_000);
     let stored = Progress {
         elapsed_ms: 11_000,
@@ -122,7 +128,7 @@
 }
 
 #[test]
-fn huge_numbers_do_no_harm() {
+fn huge_numbers_do_not_overflow() {
     let mut case = Case::at(CANARY, 3_000);
     case.order = order("v2", u64::MAX, u64::MAX);
     let stored = Progress {
--- a/crates/rollout/tests/rollouts/deciding/roll_backs.rs
+++ b/crates/rollout/tests/rollouts/deciding/roll_backs.rs
@@ -1,12 +1,12 @@
 //! What rolls a version back, and what only holds it.
 
-use crate::decision_case::{answered, back, member, Case, CANARY};
+use crate::decision_case::{answered, expected_roll_back, member, Case, CANARY};
 use ploverlift_rollout::decider::{Decider, Member, Reason};
 use ploverlift_rollout::share::Confirmation;
 use ploverlift_rollout::stage::{Epoch, RollBackCause, Stage};
 
 #[test]
-fn bad_answers_roll_it_back_at_any_stage() {
+fn bad_answers_roll_back_at_any_stage() {
     for stage in [CANARY, Stage::CuttingOver] {
         let mut case = Case::at(stage, 2_000);
         case.counts = answered(60, 20);
@@ -16,8 +16,11 @@
             "{:?}",
             decision.reason
         );
-        let next = decision.next.expect("an end");
-        assert_eq!(Some(next.stage), back(RollBackCause::BadAnswers));
+        let next = decision.next.expect("a terminal stage");
+        assert_eq!(
+            Some(next.stage),
+            expected_roll_back(RollBackCause::BadAnswers)
+        );
         assert_eq!(next.epoch, Epoch(13));
     }
 }
@@ -28,16 +31,20 @@
     case.counts = answered(10, 0);
     assert_eq!(case.next(), None);
     case.since_order_ms = 36_000;
-    assert_eq!(case.next(), back(RollBackCause::NoProof));
+    assert_eq!(case.next(), expected_roll_back(RollBackCause::NoProof));
     let mut case = Case::at(Stage::CuttingOver, 36_000);
     case.counts = answered(10, 0);
-    assert_eq!(case.next(), back(RollBackCause::NoProof));
+    assert_eq!(case.next(), expected_roll_back(RollBackCause::NoProof));
     case.established_engines = 0;
-    assert_eq!(case.next(), Some(Stage::Completed), "nothing to go back to");
+    assert_eq!(
+        case.next(),
+        Some(Stage::Completed),
+        "no established engines to return to"
+    );
 }
 
 #[test]
-fn a_suspicion_holds_the_canary_and_ends_it_at_the_deadline() {
+fn a_suspicion_holds_the_canary_and_rolls_back_at_the_deadline() {
     let mut case = Case::at(CANARY, 6_000);
     let mut is_suspicious = |bad| {
         case.counts = answered(200, bad);
@@ -47,13 +54,13 @@
     case.counts = answered(200, bad);
     assert_eq!(case.next(), None);
     case.since_order_ms = 12_000;
-    assert_eq!(case.next(), back(RollBackCause::BadAnswers));
+    assert_eq!(case.next(), expected_roll_back(RollBackCause::BadAnswers));
     case.counts = answered(200, 0);
     assert_eq!(case.next(), Some(Stage::CuttingOver));
 }
 
 #[test]
-fn nodes_that_stopped_by_themselves_roll_it_back() {
+fn enough_nodes_that_stopped_on_their_own_roll_back() {
     let mut case = Case::at(CANARY, 3_000);
     let stopped = |node| {
         let confirmation = member(node).confirmation.map(|it| Confirmation {
@@ -75,16 +82,16 @@
     ];
     assert_eq!(case.next(), None, "two nodes may have bad links");
     case.members[2] = stopped(3);
-    assert_eq!(case.next(), back(RollBackCause::BadAnswers));
+    assert_eq!(case.next(), expected_roll_back(RollBackCause::BadAnswers));
 }
 
 #[test]
-fn a_target_that_lost_its_engines_in_the_cut_over_gives_way() {
+fn a_target_that_loses_its_engines_in_a_cut_over_is_rolled_back() {
     let mut case = Case::at(Stage::CuttingOver, 12_500);
     case.target_engines = 0;
     let mut decider = Decider::new(case.settings);
     assert_eq!(case.decide_with(&mut decider).next, None);
     case.since_order_ms += 1_000;
     let next = case.decide_with(&mut decider).next.map(|it| it.stage);
-    assert_eq!(next, back(RollBackCause::NoEngines));
+    assert_eq!(next, expected_roll_back(RollBackCause::NoEngines));
 }
--- a/crates/rollout/tests/rollouts/decision_case.rs
+++ b/crates/rollout/tests/rollouts/decision_case.rs
@@ -133,7 +133,7 @@
     fleet
 }
 
-pub fn back(cause: RollBackCause) -> Option<Stage> {
+pub fn expected_roll_back(cause: RollBackCause) -> Option<Stage> {
     Some(Stage::RolledBack { cause })
 }
 
--- a/crates/rollout/tests/rollouts/evidence.rs
+++ b/crates/rollout/tests/rollouts/evidence.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_share_of_failures_is_found() {
+fn failures_of_a_part_of_the_answers_are_detected() {
     for fails in [0.2, 0.6] {
         for (_, finding) in found_in_each(&Traffic {
             fails,
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn answers_several_times_slower_are_found() {
+fn answers_several_times_slower_are_detected() {
     for slower in [4.0, 8.0] {
         for (_, finding) in found_in_each(&Traffic {
             slower,
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_version_that_turns_bad_late_is_found_as_fast() {
+fn a_version_that_turns_bad_late_is_detected_as_fast() {
     let mean = |bad_from_step| {
         let traffic = Traffic {
             fails: 0.1,
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn answers_twice_as_slow_are_found_and_never_prompt() {
+fn answers_twice_as_slow_are_detected() {
     let traffic = Traffic {
         slower: 2.0,
         ..Traffic::default()
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_rare_route_is_judged_by_itself() {
+fn a_route_with_few_requests_is_judged_separately() {
     let failing = |engine| Answer {
         engine,
         ..answer(true, 0)
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_version_that_is_bad_on_one_route_only_is_found() {
+fn a_version_that_is_bad_on_one_route_is_detected() {
     for (route, fails, slower) in [("screen", 0.5, 1.0), ("reply", 0.0, 5.0)] {
         let traffic = Traffic {
             bad_route: Some(route),
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn fewer_than_one_good_version_in_a_thousand_is_found_bad() {
+fn fewer_than_one_in_a_thousand_good_versions_is_found_bad() {
     for own_failures in [0.0, 0.003, 0.02, 0.1] {
         let traffic = Traffic {
             own_failures,
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn what_both_versions_fail_is_no_evidence() {
+fn failures_common_to_both_versions_are_no_evidence() {
     let traffic = Traffic {
         own_failures: 0.3,
         ..Traffic::default()
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn one_bad_engine_is_no_bad_version() {
+fn one_bad_engine_does_not_make_a_bad_version() {
     let traffic = Traffic {
         fails: 0.3,
         bad_engine: Some(1),
@@ -231,11 +231,11 @@
     };
     let early = (0..100).filter_map(|seed| found(&traffic, seed));
     let few = early.filter(|(_, finding)| finding.bad < 15);
-    assert_eq!(few.count(), 0, "its health is given time to take it out");
+    assert_eq!(few.count(), 0, "its health check is given time to eject it");
 }
 
 #[test]
-fn many_bad_answers_stop_it_without_a_test() {
+fn many_bad_answers_stop_a_version_without_a_test() {
     let mut sums = Counts::default();
     for number in 0..1_000 {
         sums.note_answer(
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn the_chance_of_an_error_is_as_stated() {
+fn the_chance_of_a_false_alarm_is_within_its_bound() {
     let limit = threshold(STEPS, 1, 0.01);
     let mut rng = Rng::with_seed(5);
     let mut errors = 0;
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn only_a_version_whose_first_bytes_come_as_soon_is_prompt() {
+fn only_a_version_with_equally_early_first_bytes_is_timely() {
     let answered = |answers, slower: f64| {
         let mut rng = Rng::with_seed(3);
         let mut counts = Counts::default();
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn a_good_route_takes_nothing_off_a_bad_one() {
+fn a_good_route_does_not_offset_a_bad_one() {
     let mut sums = Counts::default();
     let (good, bad) = (RouteTag::of("balance"), RouteTag::of("send"));
     for number in 0..1_000 {
@@ -348,7 +348,7 @@
     );
     assert!(
         !is_accepted(&sums(400, 0), &none, Assurance::Full),
-        "nothing since it moved"
+        "no answers since the cut-over"
     );
     assert!(
         !is_accepted(&sums(60, 0), &since, Assurance::Full),
--- a/crates/rollout/tests/rollouts/fleet/news.rs
+++ b/crates/rollout/tests/rollouts/fleet/delivery.rs
@@ -1,6 +1,6 @@
 //! News of the stage and of counts: late, lost or doubled.
 
-use super::{Fleet, SimReport, NEWS_MS, REPORT_MS, TICK_MS};
+use super::{Fleet, SimReport, MAX_DELIVERY_MS, REPORT_MS, TICK_MS};
 use ploverlift_balancing::peer_loads::PeerId;
 use ploverlift_policy::ids::Millis;
 use ploverlift_rollout::counts::CountReport;
@@ -9,28 +9,28 @@
 use std::collections::VecDeque;
 
 impl Fleet {
-    pub(super) fn hear_and_report(&mut self, node: usize) {
+    pub(super) fn sync_and_report(&mut self, node: usize) {
         let now = self.now;
-        if !self.is_in_touch(node) {
+        if !self.is_connected(node) {
             return;
         }
         self.nodes[node].established.retain(|end| *end > now);
-        if self.nodes[node].reads_at > now {
+        if self.nodes[node].next_read_at > now {
             return;
         }
-        self.nodes[node].reads_at = now + REPORT_MS / 2 + self.rng.u64(0..REPORT_MS);
-        self.hear_of_stage(node);
-        self.hear_of_sums(node);
+        self.nodes[node].next_read_at = now + REPORT_MS / 2 + self.rng.u64(0..REPORT_MS);
+        self.read_stage(node);
+        self.read_sums(node);
         self.report(node);
     }
 
     /// Reads the present stage: the store's answer is as old as its way.
-    pub(super) fn hear_of_stage(&mut self, node: usize) {
-        if self.is_store_away() {
+    pub(super) fn read_stage(&mut self, node: usize) {
+        if self.is_store_unavailable() {
             return;
         }
         let now = self.now;
-        self.nodes[node].heard_at = now - TICK_MS;
+        self.nodes[node].stage_read_at = now - TICK_MS;
         let Some(progress) = self.progress.clone() else {
             return;
         };
@@ -40,7 +40,7 @@
         match &mut node.gate {
             Some(gate) => gate.update_progress(progress),
             None => {
-                let joined = match node.is_new {
+                let joined = match node.has_restarted {
                     true => Joined::AfterOrder,
                     false => Joined::BeforeOrder,
                 };
@@ -50,18 +50,18 @@
         }
     }
 
-    pub(super) fn hear_of_sums(&mut self, node: usize) {
+    pub(super) fn read_sums(&mut self, node: usize) {
         let life = self.nodes[node].life;
-        let own = self.board.of_life(PeerId(node as u64), life);
+        let own = self.fleet_counts.of_life(PeerId(node as u64), life);
         self.nodes[node].own_in_sums = own.cloned().unwrap_or_default();
-        self.nodes[node].sums = self.board.sums().clone();
+        self.nodes[node].sums = self.fleet_counts.sums().clone();
         let seat = self.seat(node);
         let now = Millis(self.now);
         let node = &mut self.nodes[node];
         let view = FleetView {
             sums: &node.sums,
             own_in_sums: Some(&node.own_in_sums),
-            stage_verified_at: Millis(node.heard_at),
+            stage_verified_at: Millis(node.stage_read_at),
             seat,
         };
         if let Some(gate) = &mut node.gate {
@@ -77,15 +77,15 @@
     }
 
     pub(super) fn report(&mut self, node: usize) {
-        let news = self.scenario.news;
-        if self.rng.f64() < news.lost {
+        let message_faults = self.scenario.message_faults;
+        if self.rng.f64() < message_faults.lost {
             return;
         }
-        let way = TICK_MS + self.rng.u64(0..NEWS_MS);
+        let delivery_ms = TICK_MS + self.rng.u64(0..MAX_DELIVERY_MS);
         let sim = &mut self.nodes[node];
         let running = sim.established.len() as u32;
         let report = SimReport {
-            arrives_at: self.now + way,
+            arrives_at: self.now + delivery_ms,
             sent_at: self.now,
             node: node as u32,
             life: sim.life,
@@ -96,7 +96,7 @@
                 .unwrap_or_default(),
             confirmation: sim.gate.as_mut().map(|gate| gate.confirm(running)),
         };
-        if self.rng.f64() < news.doubled {
+        if self.rng.f64() < message_faults.doubled {
             let mut late = report.clone();
             late.arrives_at += 1_000;
             self.reports.push_back(late);
@@ -120,12 +120,12 @@
                 member.confirmation = report.confirmation;
             }
             let counted = CountReport {
-                rollout: self.board.rollout(),
+                rollout: self.fleet_counts.rollout(),
                 node: PeerId(u64::from(report.node)),
                 life: report.life,
                 counts: report.counts,
             };
-            self.board.merge_report(&counted);
+            self.fleet_counts.merge_report(&counted);
         }
     }
 }
--- a/crates/rollout/tests/rollouts/fleet/mod.rs
+++ b/crates/rollout/tests/rollouts/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! A fleet in virtual time: nodes with gates, one decider at a time, a store, and news
 //! that is late, lost or doubled. Randomness is seeded.
 
-mod news;
+mod delivery;
 pub mod outcome;
 pub mod scenario;
 pub mod services;
@@ -30,9 +30,9 @@
 /// Time without a decider after which another node has the lease, in milliseconds.
 const LEASE_MS: u64 = 3_000;
 /// Time in which a node that was cut off is heard again, in milliseconds.
-const RETURN_MS: u64 = 1_000;
+const RECONNECT_MS: u64 = 1_000;
 /// Longest way of a report or of news of the store, in milliseconds.
-const NEWS_MS: u64 = 200;
+const MAX_DELIVERY_MS: u64 = 200;
 /// When the order comes, in milliseconds; nodes are there before.
 pub const ORDERED_AT_MS: u64 = 20_000;
 
@@ -51,14 +51,14 @@
 struct SimNode {
     life: u64,
     cut_until: u64,
-    stopped_until: u64,
+    halted_until: u64,
     is_dead: bool,
-    is_new: bool,
+    has_restarted: bool,
     gate: Option<Gate>,
     sums: Counts,
     own_in_sums: Counts,
-    heard_at: u64,
-    reads_at: u64,
+    stage_read_at: u64,
+    next_read_at: u64,
     /// Ends of requests on established engines.
     established: Vec<u64>,
     /// A decision that it made before it stood still.
@@ -85,13 +85,13 @@
     nodes: Vec<SimNode>,
     reports: VecDeque<SimReport>,
     answers: Vec<SimAnswer>,
-    board: FleetCounts,
+    fleet_counts: FleetCounts,
     members: Vec<Member>,
-    holder: u32,
-    holder_lost_at: Option<u64>,
+    lease_holder: u32,
+    lease_holder_lost_at: Option<u64>,
     decider: Decider,
     bad_answers: u64,
-    owed: f64,
+    pending_requests: f64,
     cut_over_at: Option<u64>,
     repeatable_answers: u64,
     outcome: Outcome,
@@ -99,7 +99,7 @@
 
 impl Fleet {
     /// Plays a scenario to its end.
-    pub fn play(scenario: Scenario) -> Outcome {
+    pub fn run(scenario: Scenario) -> Outcome {
         let mut fleet = Self::new(scenario);
         let until = ORDERED_AT_MS + fleet.scenario.until_ms;
         while fleet.now < until {
@@ -114,14 +114,14 @@
         let node = SimNode {
             life: 1,
             cut_until: 0,
-            stopped_until: 0,
+            halted_until: 0,
             is_dead: false,
-            is_new: false,
+            has_restarted: false,
             gate: None,
             sums: Counts::default(),
             own_in_sums: Counts::default(),
-            heard_at: ORDERED_AT_MS,
-            reads_at: 0,
+            stage_read_at: ORDERED_AT_MS,
+            next_read_at: 0,
             established: Vec::new(),
             pending: None,
         };
@@ -145,13 +145,13 @@
             nodes: vec![node; service.nodes as usize],
             reports: VecDeque::new(),
             answers: Vec::new(),
-            board: FleetCounts::of(RolloutNumber(0)),
+            fleet_counts: FleetCounts::of(RolloutNumber(0)),
             members: (0..service.nodes).map(member).collect(),
-            holder: 0,
-            holder_lost_at: None,
+            lease_holder: 0,
+            lease_holder_lost_at: None,
             decider: Decider::new(scenario.settings),
             bad_answers: 0,
-            owed: 0.0,
+            pending_requests: 0.0,
             cut_over_at: None,
             repeatable_answers: 0,
             outcome: Outcome {
@@ -167,33 +167,33 @@
     }
 
     fn step(&mut self) {
-        self.disrupt();
+        self.apply_disruptions();
         self.deliver_reports();
         self.deliver_answers();
         for node in 0..self.nodes.len() {
-            self.hear_and_report(node);
+            self.sync_and_report(node);
         }
         if self.now % DECIDE_MS == 0 {
             self.decide();
         }
         self.send_requests();
-        self.watch_bound();
+        self.record_exposure();
     }
 
-    fn disrupt(&mut self) {
+    fn apply_disruptions(&mut self) {
         let since = self.since_order();
         for disruption in self.scenario.disruptions.clone() {
             if disruption.from_ms / TICK_MS != since / TICK_MS {
                 continue;
             }
-            let node = disruption.node.unwrap_or(self.holder) as usize;
+            let node = disruption.node.unwrap_or(self.lease_holder) as usize;
             let until = self.now + disruption.for_ms;
             let node = &mut self.nodes[node];
             match disruption.fault {
                 Fault::Cut => node.cut_until = until,
-                Fault::Pause => node.stopped_until = until,
+                Fault::Pause => node.halted_until = until,
                 Fault::Kill => {
-                    node.stopped_until = until;
+                    node.halted_until = until;
                     node.is_dead = true;
                     node.life += 1;
                     node.established.clear();
@@ -203,36 +203,39 @@
             }
         }
         for node in &mut self.nodes {
-            if node.is_dead && node.stopped_until <= self.now {
+            if node.is_dead && node.halted_until <= self.now {
                 node.is_dead = false;
-                node.is_new = true;
+                node.has_restarted = true;
                 node.sums = Counts::default();
                 node.own_in_sums = Counts::default();
-                node.reads_at = self.now;
+                node.next_read_at = self.now;
             }
         }
     }
 
-    fn runs(&self, node: usize) -> bool {
-        self.nodes[node].stopped_until <= self.now
+    fn is_up(&self, node: usize) -> bool {
+        self.nodes[node].halted_until <= self.now
     }
 
-    fn is_in_touch(&self, node: usize) -> bool {
-        self.runs(node) && self.nodes[node].cut_until <= self.now
+    fn is_connected(&self, node: usize) -> bool {
+        self.is_up(node) && self.nodes[node].cut_until <= self.now
     }
 
-    fn is_store_away(&self) -> bool {
-        let away = self.scenario.news.store_away;
+    fn is_store_unavailable(&self) -> bool {
+        let away = self.scenario.message_faults.store_unavailable;
         away.is_some_and(|(from, until)| (from..until).contains(&self.since_order()))
     }
 
     fn decide(&mut self) {
-        self.choose_holder();
-        let holder = self.holder as usize;
-        if let Some((revision, progress)) = self.nodes[holder].pending.take() {
+        self.choose_lease_holder();
+        let lease_holder = self.lease_holder as usize;
+        if let Some((revision, progress)) = self.nodes[lease_holder].pending.take() {
             self.write(revision, &progress, None);
         }
-        if !self.is_in_touch(holder) || self.is_store_away() || self.holder_lost_at.is_some() {
+        if !self.is_connected(lease_holder)
+            || self.is_store_unavailable()
+            || self.lease_holder_lost_at.is_some()
+        {
             return;
         }
         let engines = self.supply();
@@ -241,47 +244,50 @@
             order: &self.order,
             order_seen_at: Millis(ORDERED_AT_MS + TICK_MS),
             status_seen_at: Millis(self.written_at),
-            counts: &self.board,
+            counts: &self.fleet_counts,
             members: &self.members,
             engines: &engines,
             barrier_ms: self.scenario.service.barrier_ms,
         };
-        let decision = self.decider.decide(&input).expect("a status of our own");
+        let decision = self
+            .decider
+            .decide(&input)
+            .expect("a status that this test wrote");
         let Decision { next, reason } = decision;
         let Some(next) = next else {
             return;
         };
         let revision = self.order.revision;
-        self.nodes[holder].pending = Some((revision, next.clone()));
+        self.nodes[lease_holder].pending = Some((revision, next.clone()));
         self.write(revision, &next, Some(reason));
-        if self.rng.f64() >= self.scenario.news.answers_lost {
-            self.nodes[holder].pending = None;
+        if self.rng.f64() >= self.scenario.message_faults.answers_lost {
+            self.nodes[lease_holder].pending = None;
         }
     }
 
     /// Another node decides some time after the one that did was lost; that one may
     /// come back with what it decided before.
-    fn choose_holder(&mut self) {
-        if self.is_in_touch(self.holder as usize) {
-            self.holder_lost_at = None;
+    fn choose_lease_holder(&mut self) {
+        if self.is_connected(self.lease_holder as usize) {
+            self.lease_holder_lost_at = None;
             return;
         }
-        let lost_at = *self.holder_lost_at.get_or_insert(self.now);
+        let lost_at = *self.lease_holder_lost_at.get_or_insert(self.now);
         if self.now - lost_at < LEASE_MS {
             return;
         }
-        let in_touch = (0..self.nodes.len()).find(|&node| self.is_in_touch(node));
-        if let Some(node) = in_touch {
-            self.holder = node as u32;
-            self.holder_lost_at = None;
+        let connected = (0..self.nodes.len()).find(|&node| self.is_connected(node));
+        if let Some(node) = connected {
+            self.lease_holder = node as u32;
+            self.lease_holder_lost_at = None;
             self.decider = Decider::new(self.scenario.settings);
         }
     }
 
     fn supply(&self) -> Vec<VersionSupply> {
         let service = &self.scenario.service;
-        let is_there = |after: u64| self.since_order() >= after;
-        let target = match service.engines_after_ms.is_some_and(is_there) {
+        let is_available = |after: u64| self.since_order() >= after;
+        let target = match service.engines_after_ms.is_some_and(is_available) {
             true => service.engines,
             false => 0,
         };
@@ -297,14 +303,14 @@
         if self.order.revision != revision {
             return;
         }
-        let before = Recorded::of(&self.order).expect("a status of our own");
+        let before = Recorded::of(&self.order).expect("a status that this test wrote");
         let was_end = before.present().is_some_and(|it| it.stage.is_terminal());
-        assert!(!was_end, "a stage after an end");
+        assert!(!was_end, "a stage after a terminal one");
         self.order.status = Some(progress.status(&self.order));
         self.order.revision += 1;
         self.written_at = self.now;
         if self.progress.is_none() {
-            self.board = FleetCounts::of(progress.rollout);
+            self.fleet_counts = FleetCounts::of(progress.rollout);
         }
         self.progress = Some(progress.clone());
         let since = self.since_order();
@@ -312,26 +318,26 @@
             self.cut_over_at = Some(self.now);
         }
         if progress.stage == Stage::Completed {
-            self.outcome.running_at_completed = self.running_in_touch();
+            self.outcome.running_at_completed = self.running_on_connected();
         }
         self.outcome.stages.push((since, progress.stage, reason));
     }
 
-    fn running_in_touch(&self) -> u64 {
+    fn running_on_connected(&self) -> u64 {
         let now = self.now;
-        let was_cut_lately = |node: usize| {
-            self.nodes[node].cut_until + RETURN_MS > now && self.nodes[node].cut_until > 0
+        let was_cut_recently = |node: usize| {
+            self.nodes[node].cut_until + RECONNECT_MS > now && self.nodes[node].cut_until > 0
         };
-        let in_touch =
-            (0..self.nodes.len()).filter(|&node| self.is_in_touch(node) && !was_cut_lately(node));
+        let connected = (0..self.nodes.len())
+            .filter(|&node| self.is_connected(node) && !was_cut_recently(node));
         let running = |node: usize| {
             let ends = self.nodes[node].established.iter();
             ends.filter(|end| **end > now).count() as u64
         };
-        in_touch.map(running).sum()
+        connected.map(running).sum()
     }
 
-    fn watch_bound(&mut self) {
+    fn record_exposure(&mut self) {
         if self.since_order() > self.scenario.service.duration_ms {
             return;
         }
--- a/crates/rollout/tests/rollouts/fleet/scenario.rs
+++ b/crates/rollout/tests/rollouts/fleet/scenario.rs
@@ -87,13 +87,13 @@
 
 /// How news go.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct News {
+pub struct MessageFaults {
     /// Part of the reports that are lost.
     pub lost: f64,
     /// Part that come twice, the second time late.
     pub doubled: f64,
     /// The store answers nobody between these times since the order.
-    pub store_away: Option<(u64, u64)>,
+    pub store_unavailable: Option<(u64, u64)>,
     /// Part of the writes whose answer is lost.
     pub answers_lost: f64,
 }
@@ -110,7 +110,7 @@
     /// Faults of nodes.
     pub disruptions: Vec<Disruption>,
     /// News.
-    pub news: News,
+    pub message_faults: MessageFaults,
     /// Time after which the run ends, since the order, in milliseconds.
     pub until_ms: u64,
     /// Seed of the run.
--- a/crates/rollout/tests/rollouts/fleet/traffic.rs
+++ b/crates/rollout/tests/rollouts/fleet/traffic.rs
@@ -16,23 +16,23 @@
             .burst
             .filter(|(from, _)| self.since_order() >= *from);
         let factor = burst.map_or(1.0, |(_, factor)| factor);
-        self.owed += service.rate * factor * TICK_MS as f64 / 1_000.0;
-        while self.owed >= 1.0 {
-            self.owed -= 1.0;
+        self.pending_requests += service.rate * factor * TICK_MS as f64 / 1_000.0;
+        while self.pending_requests >= 1.0 {
+            self.pending_requests -= 1.0;
             let node = self
                 .rng
                 .usize(0..self.scenario.service.nodes_with_traffic as usize);
-            if self.runs(node) {
+            if self.is_up(node) {
                 self.send_request(node);
             }
         }
     }
 
     pub(super) fn send_request(&mut self, node: usize) {
-        let route_index = self.any_route();
+        let route_index = self.pick_route();
         let route = self.scenario.service.routes[route_index];
         let tag = RouteTag::of(route.name);
-        let prompt = self.any_prompt();
+        let prompt = self.pick_prompt();
         self.outcome.all_requests += 1;
         if self.since_order() <= self.scenario.service.duration_ms {
             self.outcome.requests += 1;
@@ -48,7 +48,7 @@
         let now = Millis(self.now);
         let sim = &mut self.nodes[node];
         let Some(gate) = &mut sim.gate else {
-            if sim.is_new {
+            if sim.has_restarted {
                 self.outcome.unserved += 1;
             } else {
                 self.send_to_established(node, route_index);
@@ -58,7 +58,7 @@
         let view = FleetView {
             sums: &sim.sums,
             own_in_sums: Some(&sim.own_in_sums),
-            stage_verified_at: Millis(sim.heard_at),
+            stage_verified_at: Millis(sim.stage_read_at),
             seat,
         };
         let decision = gate.decide(&request, &view, now);
@@ -75,7 +75,7 @@
         }
     }
 
-    pub(super) fn any_prompt(&mut self) -> Option<ChainKey> {
+    pub(super) fn pick_prompt(&mut self) -> Option<ChainKey> {
         let hot_part = self.scenario.service.hot_prompt?;
         let is_hot = self.rng.f64() < hot_part;
         Some(match is_hot {
@@ -84,7 +84,7 @@
         })
     }
 
-    pub(super) fn any_route(&mut self) -> usize {
+    pub(super) fn pick_route(&mut self) -> usize {
         let mut place = self.rng.f64();
         for (index, route) in self.scenario.service.routes.iter().enumerate() {
             if place < route.part {
@@ -119,12 +119,12 @@
         }
         self.answer(node, route_index, Side::Target, has_defect_shown, slower);
         if has_defect_shown && route.is_repeatable {
-            self.send_again(node, route_index);
+            self.retry_on_established(node, route_index);
         }
     }
 
     /// A request that the target failed: to an established engine where that is allowed.
-    pub(super) fn send_again(&mut self, node: usize, route_index: usize) {
+    pub(super) fn retry_on_established(&mut self, node: usize, route_index: usize) {
         let is_canary = matches!(
             self.nodes[node]
                 .gate
@@ -153,14 +153,14 @@
     pub(super) fn active_defect(&self, route: &str) -> Option<Defect> {
         let defect = self.scenario.defect?;
         let since = self.since_order();
-        let is_late = match (defect.after_cut_over_ms, self.cut_over_at) {
+        let has_begun = match (defect.after_cut_over_ms, self.cut_over_at) {
             (Some(after), Some(at)) => self.now >= at + after,
             (Some(_), None) => false,
             (None, _) => since >= defect.from_ms,
         };
         let is_on_route = defect.route.is_none_or(|only| only == route);
         let is_under_load = !defect.under_load || self.is_target_loaded();
-        (is_late && is_on_route && is_under_load).then_some(defect)
+        (has_begun && is_on_route && is_under_load).then_some(defect)
     }
 
     /// Whether an engine of the target carries as much as an established one does.
--- a/crates/rollout/tests/rollouts/gate/canary_requests.rs
+++ b/crates/rollout/tests/rollouts/gate/canary_requests.rs
@@ -1,6 +1,6 @@
 //! Which requests and engines carry the canary.
 
-use crate::gate_case::{gate, offer, read, reason_of, view, NOW, SHARE};
+use crate::gate_case::{gate, offer, read_request, reason_of, view, NOW, SHARE};
 use crate::stages::version;
 use ploverlift_rollout::canary_choice::{canary_engines, canary_subset};
 use ploverlift_rollout::counts::{Counts, RouteTag};
@@ -10,17 +10,17 @@
 use ploverlift_routing::software::SoftwareRule;
 
 #[test]
-fn the_canary_keeps_to_some_prompts_and_each_node_to_the_same() {
+fn the_canary_prefers_some_prompts_and_each_node_prefers_the_same() {
     let mut chosen = Vec::new();
     for _ in 0..2 {
         let mut gate = gate(SHARE);
         let mut sums = Counts::default();
-        (0..200).for_each(|_| sums.note_request(read().route, true));
-        (0..22).for_each(|_| sums.note_target_arrival(read().route));
+        (0..200).for_each(|_| sums.note_request(read_request().route, true));
+        (0..22).for_each(|_| sums.note_target_arrival(read_request().route));
         let prompts = (0..1_000).filter(|number| {
             let request = CanaryRequest {
                 prompt: Some(ChainKey(*number)),
-                ..read()
+                ..read_request()
             };
             offer(&mut gate, &request, &view(&sums))
         });
@@ -31,7 +31,7 @@
     let decided = |number: &u64| {
         let request = CanaryRequest {
             prompt: Some(ChainKey(*number)),
-            ..read()
+            ..read_request()
         };
         let nothing = Counts::default();
         let first = gate(SHARE);
@@ -42,15 +42,15 @@
 }
 
 #[test]
-fn a_prompt_that_is_not_preferred_stays_where_its_cache_is() {
+fn a_prompt_that_is_not_preferred_stays_on_established_engines() {
     let mut sums = Counts::default();
-    (0..200).for_each(|_| sums.note_request(read().route, true));
+    (0..200).for_each(|_| sums.note_request(read_request().route, true));
     (0..23).for_each(|_| sums.note_target_arrival(RouteTag::of("other")));
     let gate = gate(SHARE);
     let went = |number: u64| {
         let request = CanaryRequest {
             prompt: Some(ChainKey(number)),
-            ..read()
+            ..read_request()
         };
         reason_of(&gate, &request, &view(&sums)) == GateReason::Canary
     };
@@ -62,12 +62,12 @@
 }
 
 #[test]
-fn what_the_canary_failed_goes_to_an_established_engine() {
+fn a_request_that_the_canary_failed_is_retried_on_an_established_engine() {
     let nothing = Counts::default();
     let failed = CanaryRequest {
         was_failed_by_target: true,
         is_retry: true,
-        ..read()
+        ..read_request()
     };
     let decision = gate(SHARE).decide(&failed, &view(&nothing), NOW);
     assert_eq!(decision.rule, Some(SoftwareRule::Except(version("v2"))));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn few_engines_carry_the_canary_and_each_node_takes_the_same() {
+fn the_canary_uses_few_engines_and_each_node_selects_the_same() {
     assert_eq!(
         canary_engines(60, 60, 50_000),
         3,
--- a/crates/rollout/tests/rollouts/gate/shares.rs
+++ b/crates/rollout/tests/rollouts/gate/shares.rs
@@ -1,7 +1,9 @@
 //! The target's share of the requests, kept over a whole fleet.
 
 use crate::counts::answer;
-use crate::gate_case::{gate, gate_at, offer, read, reason_of, send, view, NOW, SHARE};
+use crate::gate_case::{
+    gate, gate_at, offer, read_request, reason_of, send_once_request, view, NOW, SHARE,
+};
 use crate::stages::{progress, version};
 use ploverlift_balancing::peer_loads::PeerId;
 use ploverlift_policy::ids::Millis;
@@ -13,10 +15,10 @@
 use proptest::prelude::*;
 
 #[test]
-fn the_share_is_kept_by_counts_not_by_dice() {
+fn the_share_is_kept_by_counts_not_at_random() {
     let mut gate = gate(SHARE);
     let nothing = Counts::default();
-    let sent = (0..10_000).filter(|_| offer(&mut gate, &read(), &view(&nothing)));
+    let sent = (0..10_000).filter(|_| offer(&mut gate, &read_request(), &view(&nothing)));
     let sent = sent.count();
     assert!(
         (290..=320).contains(&sent),
@@ -25,7 +27,7 @@
 }
 
 #[test]
-fn eighty_one_nodes_with_a_request_each_count_exactly() {
+fn eighty_one_nodes_with_one_request_each_keep_the_share() {
     let settings = RolloutSettings::default();
     let mut present = progress(SHARE, 12_000);
     present.credits = 3;
@@ -44,7 +46,7 @@
             seat,
             ..view(&sums)
         };
-        sent += u64::from(offer(&mut gate, &read(), &view));
+        sent += u64::from(offer(&mut gate, &read_request(), &view));
         let own = gate.report(PeerId(u64::from(rank)), 1).counts;
         sums.add(&own);
     }
@@ -58,7 +60,7 @@
     /// Nodes that hear nothing of each other, or whatever part of the counts: together
     /// they never send more than the bound.
     #[test]
-    fn no_division_of_the_fleet_breaks_the_bound(
+    fn no_partition_of_the_fleet_exceeds_the_bound(
         nodes in 1u32..40,
         requests in proptest::collection::vec((any::<u32>(), any::<bool>()), 1..600),
     ) {
@@ -68,9 +70,9 @@
             .collect();
         let mut known = vec![(Counts::default(), Counts::default()); nodes as usize];
         let mut sent = 0u64;
-        for (number, (node, is_told)) in requests.iter().enumerate() {
+        for (number, (node, has_synced)) in requests.iter().enumerate() {
             let node = (node % nodes) as usize;
-            if *is_told {
+            if *has_synced {
                 let mut sums = Counts::default();
                 gates.iter().for_each(|gate| sums.add(gate.own_counts()));
                 known[node] = (sums, gates[node].own_counts().clone());
@@ -82,7 +84,7 @@
                 stage_verified_at: NOW,
                 seat: Seat { rank: node as u32, nodes },
             };
-            sent += u64::from(offer(&mut gates[node], &read(), &view));
+            sent += u64::from(offer(&mut gates[node], &read_request(), &view));
             let bound = settings.canary_share * (number + 1) as f64 + settings.canary_slack as f64;
             prop_assert!(sent as f64 <= bound, "{sent} sent of {}", number + 1);
         }
@@ -90,10 +92,10 @@
 }
 
 #[test]
-fn others_unused_credits_are_used() {
+fn unused_credits_of_other_nodes_are_used() {
     let sums = {
         let mut sums = Counts::default();
-        (0..2_000).for_each(|_| sums.note_request(read().route, true));
+        (0..2_000).for_each(|_| sums.note_request(read_request().route, true));
         sums
     };
     let mut gate = gate(SHARE);
@@ -109,7 +111,7 @@
             seat,
             ..view(&known)
         };
-        sent += u64::from(offer(&mut gate, &read(), &view));
+        sent += u64::from(offer(&mut gate, &read_request(), &view));
     }
     assert!(sent >= 2, "{sent}: its own credits are 1 at most");
     assert!(
@@ -119,29 +121,33 @@
 }
 
 #[test]
-fn the_fleets_bound_stops_a_node_with_credits() {
+fn the_exposure_bound_of_the_fleet_stops_a_node_with_credits() {
     let mut sums = Counts::default();
     for _ in 0..100 {
-        sums.note_request(read().route, true);
+        sums.note_request(read_request().route, true);
     }
     for _ in 0..48 {
         sums.note_target_arrival(RouteTag::of("other"));
     }
-    let reason = reason_of(&gate(SHARE), &read(), &view(&sums));
+    let reason = reason_of(&gate(SHARE), &read_request(), &view(&sums));
     assert_eq!(reason, GateReason::ExposureBound);
 }
 
 #[test]
-fn each_route_gets_its_part() {
+fn each_route_gets_its_share_of_the_canary() {
     let mut gate = gate(SHARE);
     let nothing = Counts::default();
     let rare = CanaryRequest {
         route: RouteTag::of("rare"),
-        ..read()
+        ..read_request()
     };
     let mut of_rare = 0;
     for number in 0..5_000 {
-        let request = if number % 20 == 0 { rare } else { read() };
+        let request = if number % 20 == 0 {
+            rare
+        } else {
+            read_request()
+        };
         let is_canary = offer(&mut gate, &request, &view(&nothing));
         of_rare += u64::from(is_canary && request.route == rare.route);
     }
@@ -150,21 +156,21 @@
 }
 
 #[test]
-fn what_may_run_once_goes_last_and_least() {
+fn requests_that_may_run_once_reach_the_target_last_and_least() {
     let mut gate = gate(SHARE);
     let nothing = Counts::default();
-    let before = (0..500).filter(|_| offer(&mut gate, &send(), &view(&nothing)));
+    let before = (0..500).filter(|_| offer(&mut gate, &send_once_request(), &view(&nothing)));
     let before = before.count();
     // Nothing of the service may be repeated: half the share, after some requests.
     assert!(before <= 11, "{before} of 500");
     let mut gate = self::gate(SHARE);
-    gate.note_request(read().route, true);
-    let waits = (0..500).filter(|_| offer(&mut gate, &send(), &view(&nothing)));
-    assert_eq!(waits.count(), 0, "reads have not shown it yet");
+    gate.note_request(read_request().route, true);
+    let waits = (0..500).filter(|_| offer(&mut gate, &send_once_request(), &view(&nothing)));
+    assert_eq!(waits.count(), 0, "too few answers to repeatable requests");
     for _ in 0..MIN_REPEATABLE_ANSWERS {
-        gate.note_answer(read().route, Side::Target, &answer(false, 20));
+        gate.note_answer(read_request().route, Side::Target, &answer(false, 20));
     }
-    let shown = (0..500).filter(|_| offer(&mut gate, &send(), &view(&nothing)));
+    let shown = (0..500).filter(|_| offer(&mut gate, &send_once_request(), &view(&nothing)));
     let shown = shown.count();
     assert!(
         (1..=18).contains(&shown),
@@ -173,21 +179,24 @@
 }
 
 #[test]
-fn a_later_life_does_not_use_its_former_lifes_credits() {
+fn a_restarted_node_does_not_use_credits_of_its_former_life() {
     let mut gate = gate_at(SHARE, Joined::AfterOrder);
     let mut sums = Counts::default();
-    (0..100).for_each(|_| sums.note_request(read().route, true));
+    (0..100).for_each(|_| sums.note_request(read_request().route, true));
     (0..23).for_each(|_| sums.note_target_arrival(RouteTag::of("other")));
     assert_eq!(
-        reason_of(&gate, &read(), &view(&sums)),
+        reason_of(&gate, &read_request(), &view(&sums)),
         GateReason::NoCredit
     );
     let later = Millis(NOW.0 + SETTLE_MS);
     gate.advance(&view(&sums), later);
     assert_eq!(
-        reason_of(&gate, &read(), &view(&sums)),
+        reason_of(&gate, &read_request(), &view(&sums)),
         GateReason::NoCredit
     );
-    (0..100).for_each(|_| sums.note_request(read().route, true));
-    assert_eq!(reason_of(&gate, &read(), &view(&sums)), GateReason::Canary);
+    (0..100).for_each(|_| sums.note_request(read_request().route, true));
+    assert_eq!(
+        reason_of(&gate, &read_request(), &view(&sums)),
+        GateReason::Canary
+    );
 }
--- a/crates/rollout/tests/rollouts/gate/stages.rs
+++ b/crates/rollout/tests/rollouts/gate/stages.rs
@@ -1,7 +1,7 @@
 //! What a gate does in each stage, and without news of it.
 
 use crate::counts::answer;
-use crate::gate_case::{gate, gate_at, read, reason_of, view, NOW, SHARE};
+use crate::gate_case::{gate, gate_at, read_request, reason_of, view, NOW, SHARE};
 use crate::stages::{progress, version};
 use ploverlift_policy::ids::Millis;
 use ploverlift_rollout::counts::{Counts, RouteTag, Side};
@@ -13,7 +13,7 @@
 use ploverlift_routing::software::SoftwareRule;
 
 #[test]
-fn old_news_of_the_stage_stop_the_canary_and_then_all() {
+fn an_outdated_stage_stops_the_canary_and_later_all_requests() {
     let nothing = Counts::default();
     let heard = |ms: u64| FleetView {
         stage_verified_at: Millis(NOW.0 - ms),
@@ -21,22 +21,22 @@
     };
     let gate = gate(SHARE);
     assert_eq!(
-        reason_of(&gate, &read(), &heard(STAGE_LEASE_MS)),
+        reason_of(&gate, &read_request(), &heard(STAGE_LEASE_MS)),
         GateReason::Canary
     );
-    let expired = gate.decide(&read(), &heard(STAGE_LEASE_MS + 1), NOW);
+    let expired = gate.decide(&read_request(), &heard(STAGE_LEASE_MS + 1), NOW);
     assert_eq!(expired.reason, GateReason::StageLeaseExpired);
     assert_eq!(expired.rule, Some(SoftwareRule::Except(version("v2"))));
-    let silent = gate.decide(&read(), &heard(5_001), NOW);
+    let silent = gate.decide(&read_request(), &heard(5_001), NOW);
     assert_eq!(silent.reason, GateReason::SilentTooLong);
     assert_eq!(silent.rule, None);
 }
 
 #[test]
-fn after_the_cut_over_began_established_engines_get_nothing() {
+fn in_a_cut_over_established_engines_get_no_requests() {
     let nothing = Counts::default();
     let gate = gate(Stage::CuttingOver);
-    let decision = gate.decide(&read(), &view(&nothing), NOW);
+    let decision = gate.decide(&read_request(), &view(&nothing), NOW);
     assert_eq!(decision.rule, Some(SoftwareRule::Only(version("v2"))));
     // Whoever is cut off from a roll back stops before its bound is over.
     let roll_back_ms = RolloutSettings::default().roll_back_ms;
@@ -44,20 +44,20 @@
         stage_verified_at: Millis(NOW.0 - (roll_back_ms - LOST_TOUCH_MARGIN_MS) - 1),
         ..view(&nothing)
     };
-    let decision = gate.decide(&read(), &lost_touch, NOW);
+    let decision = gate.decide(&read_request(), &lost_touch, NOW);
     assert_eq!(decision.reason, GateReason::LostTouchInCutOver);
     assert_eq!(decision.rule, None);
 }
 
 #[test]
-fn a_store_that_is_away_in_a_cut_over_ends_nothing_while_the_evidence_is_clean() {
+fn a_store_outage_in_a_cut_over_stops_nothing_without_evidence_against_the_target() {
     let away = |sums| FleetView {
         stage_verified_at: Millis(NOW.0 - STAGE_LEASE_MS - 500),
         ..view(sums)
     };
     let nothing = Counts::default();
     let mut gate = gate(Stage::CuttingOver);
-    let decision = gate.decide(&read(), &away(&nothing), NOW);
+    let decision = gate.decide(&read_request(), &away(&nothing), NOW);
     assert_eq!(decision.rule, Some(SoftwareRule::Only(version("v2"))));
     assert_eq!(decision.reason, GateReason::CuttingOver);
     gate.confirm(0);
@@ -68,13 +68,13 @@
         bad.note_target_arrival(route);
         bad.note_answer(route, Side::Target, &answer(true, engine));
     }
-    let stopped = gate.decide(&read(), &away(&bad), NOW);
+    let stopped = gate.decide(&read_request(), &away(&bad), NOW);
     assert_eq!(stopped.reason, GateReason::StoppedByEvidence);
     assert_eq!(stopped.rule, None);
 }
 
 #[test]
-fn a_later_life_uses_nothing_before_it_hears_of_the_stage_itself() {
+fn a_restarted_node_allows_no_version_before_it_reads_the_stage() {
     let nothing = Counts::default();
     for stage in [SHARE, Stage::CuttingOver] {
         let gate = gate_at(stage, Joined::AfterOrder);
@@ -82,7 +82,7 @@
             stage_verified_at: Millis(NOW.0 - 1),
             ..view(&nothing)
         };
-        let decision = gate.decide(&read(), &old_news, NOW);
+        let decision = gate.decide(&read_request(), &old_news, NOW);
         assert_eq!(
             (decision.rule, decision.reason),
             (None, GateReason::StageNotConfirmed)
@@ -105,24 +105,26 @@
     assert_eq!(confirmation.running_on_established, 2);
     gate.update_progress(at(12, SHARE));
     assert_eq!(
-        reason_of(&gate, &read(), &view(&nothing)),
+        reason_of(&gate, &read_request(), &view(&nothing)),
         GateReason::CuttingOver
     );
     gate.update_progress(at(14, SHARE));
     assert_ne!(
-        reason_of(&gate, &read(), &view(&nothing)),
+        reason_of(&gate, &read_request(), &view(&nothing)),
         GateReason::CuttingOver
     );
 }
 
 #[test]
-fn ends_need_no_news() {
+fn terminal_stages_need_no_confirmation() {
     let nothing = Counts::default();
     let unheard = FleetView {
         stage_verified_at: Millis(0),
         ..view(&nothing)
     };
-    let completed = gate(Stage::Completed).decide(&read(), &unheard, NOW).rule;
+    let completed = gate(Stage::Completed)
+        .decide(&read_request(), &unheard, NOW)
+        .rule;
     let completed = completed.expect("a rule");
     assert!(!completed.allows(&version("v1")));
     assert!(completed.allows(&version("v2")));
@@ -132,13 +134,13 @@
     );
     let cause = RollBackCause::BadAnswers;
     let back = gate(Stage::RolledBack { cause })
-        .decide(&read(), &unheard, NOW)
+        .decide(&read_request(), &unheard, NOW)
         .rule;
     assert_eq!(back, Some(SoftwareRule::Except(version("v2"))));
 }
 
 #[test]
-fn what_older_orders_left_without_proof_serves_nothing_either() {
+fn versions_that_earlier_orders_did_not_complete_get_no_requests() {
     let nothing = Counts::default();
     let present = Progress {
         avoided: vec![version("v0")],
@@ -148,7 +150,7 @@
     let gate = Gate::new(settings, version("v2"), present, Joined::BeforeOrder, NOW);
     let retry = CanaryRequest {
         is_retry: true,
-        ..read()
+        ..read_request()
     };
     let rule = gate
         .decide(&retry, &view(&nothing), NOW)
--- a/crates/rollout/tests/rollouts/gate_case.rs
+++ b/crates/rollout/tests/rollouts/gate_case.rs
@@ -37,7 +37,7 @@
     }
 }
 
-pub fn read() -> CanaryRequest {
+pub fn read_request() -> CanaryRequest {
     CanaryRequest {
         route: RouteTag::of("read"),
         is_repeatable: true,
@@ -47,11 +47,11 @@
     }
 }
 
-pub fn send() -> CanaryRequest {
+pub fn send_once_request() -> CanaryRequest {
     CanaryRequest {
         route: RouteTag::of("send"),
         is_repeatable: false,
-        ..read()
+        ..read_request()
     }
 }
 
--- a/crates/rollout/tests/rollouts/main.rs
+++ b/crates/rollout/tests/rollouts/main.rs
@@ -10,4 +10,4 @@
 mod schedules;
 mod stages;
 mod versions;
-mod whole;
+mod whole_rollouts;
--- a/crates/rollout/tests/rollouts/schedules.rs
+++ b/crates/rollout/tests/rollouts/schedules.rs
@@ -1,7 +1,7 @@
 //! Properties over random schedules of cuts, kills, pauses, restarts and news that is
 //! late, lost or doubled.
 
-use crate::fleet::scenario::{Defect, Disruption, Fault, News, Scenario, SimService};
+use crate::fleet::scenario::{Defect, Disruption, Fault, MessageFaults, Scenario, SimService};
 use crate::fleet::{services, Fleet};
 use ploverlift_rollout::order::RolloutState;
 use ploverlift_rollout::settings::RolloutSettings;
@@ -39,14 +39,14 @@
     })
 }
 
-fn news() -> impl Strategy<Value = News> {
+fn message_faults() -> impl Strategy<Value = MessageFaults> {
     let away = proptest::option::of((0u64..12_000, 100u64..4_000));
     (0.0f64..0.5, 0.0f64..0.5, 0.0f64..0.5, away).prop_map(|(lost, doubled, answers_lost, away)| {
-        News {
+        MessageFaults {
             lost,
             doubled,
             answers_lost,
-            store_away: away.map(|(from, length)| (from, from + length)),
+            store_unavailable: away.map(|(from, length)| (from, from + length)),
         }
     })
 }
@@ -54,8 +54,8 @@
 fn scenario() -> impl Strategy<Value = Scenario> {
     let faults = proptest::collection::vec(disruption(12), 0..8);
     let service = (any::<bool>(), 20.0f64..400.0, 4_000u64..12_000);
-    (service, defect(), faults, news(), any::<u64>()).prop_map(
-        |((is_model, rate, duration_ms), defect, disruptions, news, seed)| {
+    (service, defect(), faults, message_faults(), any::<u64>()).prop_map(
+        |((is_model, rate, duration_ms), defect, disruptions, message_faults, seed)| {
             let service = match is_model {
                 true => services::models(),
                 false => services::payments(),
@@ -71,7 +71,7 @@
                 settings: RolloutSettings::default(),
                 defect,
                 disruptions,
-                news,
+                message_faults,
                 until_ms: duration_ms + AFTER_DEADLINE_MS,
                 seed,
             }
@@ -83,9 +83,9 @@
     #![proptest_config(ProptestConfig::with_cases(96))]
 
     #[test]
-    fn no_schedule_breaks_a_bound(scenario in scenario()) {
+    fn no_schedule_of_faults_exceeds_a_bound(scenario in scenario()) {
         let roll_back_ms = scenario.settings.roll_back_ms;
-        let outcome = Fleet::play(scenario);
+        let outcome = Fleet::run(scenario);
         prop_assert!(outcome.beyond_bound <= 0.0, "{}", outcome.beyond_bound);
         prop_assert_eq!(outcome.established_after_completed, 0);
         prop_assert_eq!(outcome.running_at_completed, 0);
--- a/crates/rollout/tests/rollouts/stages.rs
+++ b/crates/rollout/tests/rollouts/stages.rs
@@ -81,7 +81,7 @@
     }
 
     #[test]
-    fn any_other_text_is_an_error_and_no_panic(text in ".*") {
+    fn no_text_makes_decoding_panic(text in ".*") {
         let _ = Progress::decode(&text);
         let _ = Progress::decode(&format!("rollout/1 {text}"));
     }
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn own_writes_leave_the_order_the_same() {
+fn writes_of_the_status_do_not_change_the_order_identity() {
     let mut order = order("v2", 12_000, 14);
     let before = OrderIdentity::of(&order);
     let progress = progress(Stage::CuttingOver, 12_000);
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn another_target_or_duration_supersedes() {
+fn an_order_with_another_target_or_duration_supersedes() {
     let status =
         |target: &str| progress(Stage::Completed, 12_000).status(&order(target, 12_000, 14));
     let of = |target: &str, duration_ms, status| RolloutOrder {
--- a/crates/rollout/tests/rollouts/versions.rs
+++ b/crates/rollout/tests/rollouts/versions.rs
@@ -4,7 +4,7 @@
 use ploverlift_rollout::placement::VersionLedger;
 
 #[test]
-fn a_record_newer_than_the_known_orders_gets_nothing() {
+fn an_engine_record_newer_than_the_known_orders_is_not_placed() {
     let mut ledger = VersionLedger::default();
     ledger.note_orders_known_up_to(100);
     ledger.note_engine(&version("v1"), 90);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn without_an_order_nothing_is_held_back() {
+fn engines_are_placed_without_an_order() {
     let mut ledger = VersionLedger::default();
     ledger.note_orders_known_up_to(100);
     ledger.note_engine(&version("v1"), 90);
@@ -26,14 +26,14 @@
 }
 
 #[test]
-fn a_fresh_node_uses_no_engine_before_it_knows_the_orders() {
+fn a_new_node_places_no_engine_before_it_knows_the_orders() {
     let mut ledger = VersionLedger::default();
     ledger.note_engine(&version("v1"), 1);
     assert!(!ledger.is_placed(&version("v1"), 1));
 }
 
 #[test]
-fn a_version_that_left_must_be_placed_anew() {
+fn a_version_whose_engines_left_must_be_placed_again() {
     let mut ledger = VersionLedger::default();
     ledger.note_orders_known_up_to(100);
     ledger.note_engine(&version("v1"), 90);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn knowledge_of_orders_never_goes_back() {
+fn the_revision_of_known_orders_never_decreases() {
     let mut ledger = VersionLedger::default();
     ledger.note_orders_known_up_to(100);
     ledger.note_orders_known_up_to(50);
--- a/crates/rollout/tests/rollouts/whole.rs
+++ b/crates/rollout/tests/rollouts/whole_rollouts.rs
@@ -1,7 +1,7 @@
 //! Whole rollouts over a simulated fleet.
 
 use crate::fleet::outcome::Outcome;
-use crate::fleet::scenario::{Defect, Disruption, Fault, News, Scenario, SimService};
+use crate::fleet::scenario::{Defect, Disruption, Fault, MessageFaults, Scenario, SimService};
 use crate::fleet::{services, Fleet};
 use ploverlift_rollout::order::RolloutState;
 use ploverlift_rollout::settings::RolloutSettings;
@@ -14,7 +14,7 @@
         settings: RolloutSettings::default(),
         defect,
         disruptions: Vec::new(),
-        news: News::default(),
+        message_faults: MessageFaults::default(),
         seed,
     }
 }
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn a_good_version_is_completed_and_nothing_is_cut() {
+fn a_good_version_is_completed_without_interrupted_requests() {
     for service in both() {
-        let outcome = Fleet::play(scenario(service, None, 1));
+        let outcome = Fleet::run(scenario(service, None, 1));
         assert!(
             outcome.at(RolloutState::Completed).is_some(),
             "{:?}",
@@ -58,9 +58,9 @@
 }
 
 #[test]
-fn the_share_is_exact_and_each_route_has_its_part() {
+fn the_share_is_exact_and_each_route_gets_requests() {
     for service in both() {
-        let outcome = Fleet::play(scenario(service, None, 2));
+        let outcome = Fleet::run(scenario(service, None, 2));
         assert!(
             (0.045..0.065).contains(&outcome.share()),
             "{}",
@@ -72,13 +72,13 @@
 }
 
 #[test]
-fn reads_that_fail_by_themselves_keep_no_good_version_back() {
+fn requests_that_fail_by_themselves_do_not_block_a_good_version() {
     let service = SimService {
         own_failures: 0.14,
         ..services::payments()
     };
     for seed in 0..20 {
-        let outcome = Fleet::play(scenario(service.clone(), None, seed));
+        let outcome = Fleet::run(scenario(service.clone(), None, seed));
         let is_shown = outcome.first_once_after.is_some();
         assert!(is_shown, "seed {seed}: {:?}", outcome.stages);
         let stages = &outcome.stages;
@@ -93,7 +93,7 @@
         route: Some("send"),
         ..fails(0.4)
     };
-    assert_rolled_back(&Fleet::play(scenario(service, Some(on_send), 10)));
+    assert_rolled_back(&Fleet::run(scenario(service, Some(on_send), 10)));
 }
 
 #[test]
@@ -103,7 +103,7 @@
             duration_ms: 60_000,
             ..service
         };
-        let outcome = Fleet::play(scenario(service, None, 11));
+        let outcome = Fleet::run(scenario(service, None, 11));
         let at = outcome.at(RolloutState::Completed);
         assert!(at.is_some_and(|at| at <= 60_000), "{:?}", outcome.stages);
         assert!(outcome.beyond_bound <= 0.0);
@@ -111,8 +111,8 @@
 }
 
 #[test]
-fn what_may_run_once_waits_for_twenty_answers() {
-    let outcome = Fleet::play(scenario(services::payments(), None, 3));
+fn requests_that_may_run_once_wait_for_twenty_answers() {
+    let outcome = Fleet::run(scenario(services::payments(), None, 3));
     assert!(
         outcome.first_once_after >= Some(20),
         "{:?}",
@@ -147,46 +147,46 @@
     ];
     for service in both() {
         for defect in kinds {
-            assert_rolled_back(&Fleet::play(scenario(service.clone(), Some(defect), 4)));
+            assert_rolled_back(&Fleet::run(scenario(service.clone(), Some(defect), 4)));
         }
         let route = Some(service.routes[1].name);
         let on_one_route = Defect {
             route,
             ..fails(0.4)
         };
-        assert_rolled_back(&Fleet::play(scenario(service, Some(on_one_route), 4)));
+        assert_rolled_back(&Fleet::run(scenario(service, Some(on_one_route), 4)));
     }
 }
 
 #[test]
-fn where_few_nodes_have_traffic_they_use_more_than_their_own_credits() {
+fn nodes_use_more_than_their_own_credits_when_few_have_traffic() {
     let service = SimService {
         nodes_with_traffic: 12,
         ..services::models()
     };
-    let outcome = Fleet::play(scenario(service, None, 5));
+    let outcome = Fleet::run(scenario(service, None, 5));
     let own_credits = 0.05 * 12.0 / 81.0;
     assert!(outcome.share() > 1.3 * own_credits, "{}", outcome.share());
     assert!(outcome.at(RolloutState::Completed).is_some());
 }
 
 #[test]
-fn engines_that_never_come_end_as_rolled_back() {
+fn a_rollout_without_target_engines_is_rolled_back() {
     let service = SimService {
         engines_after_ms: None,
         ..services::payments()
     };
-    let outcome = Fleet::play(scenario(service, None, 6));
+    let outcome = Fleet::run(scenario(service, None, 6));
     let cause = RollBackCause::NoEngines;
     let last = outcome.stages.last().map(|(at, stage, _)| (*at, *stage));
-    let (at, stage) = last.expect("an end");
+    let (at, stage) = last.expect("a terminal stage");
     assert_eq!(stage, Stage::RolledBack { cause });
     assert!((12_000..12_500).contains(&at), "{at} ms");
     assert_eq!(outcome.unserved, 0);
 }
 
 #[test]
-fn a_deciders_death_cut_and_pause_end_in_one_true_state() {
+fn a_killed_cut_off_or_paused_decider_leads_to_one_correct_state() {
     for fault in [Fault::Kill, Fault::Cut, Fault::Pause] {
         for from_ms in [1_000, 6_000, 11_800, 12_300] {
             let disruption = Disruption {
@@ -197,7 +197,7 @@
             };
             let mut good = scenario(services::payments(), None, 7);
             good.disruptions.push(disruption);
-            let outcome = Fleet::play(good);
+            let outcome = Fleet::run(good);
             assert!(
                 outcome.at(RolloutState::Completed).is_some(),
                 "{fault:?} at {from_ms}"
@@ -208,7 +208,7 @@
             );
             let mut bad = scenario(services::payments(), Some(fails(0.5)), 7);
             bad.disruptions.push(disruption);
-            let outcome = Fleet::play(bad);
+            let outcome = Fleet::run(bad);
             assert!(
                 outcome.at(RolloutState::RolledBack).is_some(),
                 "{fault:?} at {from_ms}"
@@ -219,11 +219,11 @@
 }
 
 #[test]
-fn a_store_that_is_away_at_the_deadline_breaks_nothing() {
+fn a_store_outage_at_the_deadline_breaks_no_bound() {
     for defect in [None, Some(fails(0.5))] {
         let mut away = scenario(services::payments(), defect, 8);
-        away.news.store_away = Some((11_000, 14_000));
-        let outcome = Fleet::play(away);
+        away.message_faults.store_unavailable = Some((11_000, 14_000));
+        let outcome = Fleet::run(away);
         assert!(outcome.beyond_bound <= 0.0);
         assert_eq!(outcome.established_after_completed, 0);
         let is_ended = outcome
@@ -235,12 +235,12 @@
 }
 
 #[test]
-fn a_hot_prompt_and_a_burst_stay_within_the_bound() {
+fn a_hot_prompt_and_a_burst_do_not_exceed_the_bound() {
     let service = SimService {
         hot_prompt: Some(0.8),
         burst: Some((11_500, 3.0)),
         ..services::models()
     };
-    let outcome = Fleet::play(scenario(service, Some(fails(0.05)), 9));
+    let outcome = Fleet::run(scenario(service, Some(fails(0.05)), 9));
     assert!(outcome.beyond_bound <= 0.0, "{}", outcome.beyond_bound);
 }
