--- a/crates/rollout/examples/rollouts.rs
+++ b/crates/rollout/examples/rollouts.rs
@@ -1,7 +1,9 @@
-//! Figures of rollouts over simulated fleets: the ways to hold or raise the share, on
-//! bad versions and good ones; and random rollouts by the million requests.
+//! Measures rollouts over simulated fleets: the strategies for the share on bad and good
+//! versions, and random rollouts with millions of requests.
 //!
-//! `cargo run --release -p ploverlift-rollout --example rollouts -- table|soak [runs]`
+//! `cargo run --release -p ploverlift-rollout --example rollouts -- MODE [runs]`
+//!
+//! MODE is one of table, soak, soak-past and soak-steps.
 
 #[path = "../tests/rollouts/fleet/mod.rs"]
 mod fleet;
@@ -15,13 +17,13 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// Runs of each row of the table.
+/// Number of runs for each row of the table.
 const TABLE_RUNS: u64 = 40;
-/// Runs of the soak: some six thousand requests each.
+/// Number of runs of the soak, with about six thousand requests each.
 const SOAK_RUNS: u64 = 400;
-/// How many times later slow versions answer: from, to.
+/// Range of the factor on the time to the first byte for slow versions.
 const SLOWER: (f64, f64) = (2.0, 9.0);
-/// Time after the deadline that is played too, in milliseconds.
+/// Simulated time after the deadline, in milliseconds.
 const AFTER_DEADLINE_MS: u64 = 20_000;
 
 fn main() {
--- a/crates/rollout/src/decision.rs
+++ b/crates/rollout/src/decision.rs
@@ -62,7 +62,8 @@
     OrderedBack,
     /// The evidence does not suffice yet.
     GatheringEvidence,
-    /// The evidence suffices, but a cut-over now could exceed the exposure bound.
+    /// The evidence suffices, but the exposure bound or the strategy does not allow the
+    /// cut-over yet.
     AwaitingExposure,
     /// The target version has too few engines.
     AwaitingEngines {
--- a/crates/rollout/src/excess.rs
+++ b/crates/rollout/src/excess.rs
@@ -46,7 +46,7 @@
     limit: u64,
     /// Share of the established engines' answers beyond which a first byte is late.
     late_quantile: f64,
-    /// Factor by which the tolerated rate may be exceeded.
+    /// Multiple of the tolerated rate beyond which bad answers are in excess.
     factor: f64,
     /// Histogram buckets of margin before a first byte counts as late.
     late_margin_buckets: usize,
--- a/crates/rollout/tests/rollouts/counts.rs
+++ b/crates/rollout/tests/rollouts/counts.rs
@@ -1,4 +1,4 @@
-//! What nodes report, sums over the fleet, and credits.
+//! Reports of nodes, their sums over the fleet, and credits.
 
 use ploverlift_balancing::peer_loads::PeerId;
 use ploverlift_rollout::counts::{
@@ -23,7 +23,7 @@
     }
 }
 
-/// Counts after so many requests, a third of them at the target.
+/// Counts after this many requests, a third of them at the target.
 fn counted(requests: u64) -> Counts {
     let mut counts = Counts::default();
     for number in 0..requests {
@@ -50,8 +50,8 @@
 }
 
 proptest! {
-    /// Any order, any repetition, and the loss of all but the last report of each node
-    /// and life give the same sums.
+    /// Any order and repetition of reports, and the loss of all but the last report of
+    /// each node and life, give the same sums.
     #[test]
     fn late_duplicated_and_lost_reports_do_not_change_the_sums(
         lasts in proptest::collection::btree_map((0u64..4, 0u64..3), 1u64..40, 1..8),
@@ -77,7 +77,7 @@
         prop_assert_eq!(fleet.sums(), &expected);
     }
 
-    /// No two seats own a credit, and each has an owner.
+    /// Each credit belongs to exactly one seat.
     #[test]
     fn each_credit_of_the_fleet_belongs_to_one_seat(
         nodes in 1u32..800, credits in 0u64..5_000, rollout in any::<u32>(),
@@ -86,7 +86,7 @@
         prop_assert_eq!((0..nodes).map(owned).sum::<u64>(), credits);
     }
 
-    /// Who knows less of the fleet uses no more.
+    /// A node that knows less of the fleet uses no more credits.
     #[test]
     fn owned_credits_never_decrease(
         nodes in 1u32..800, rank in 0u32..800, credits in 0u64..5_000, more in 0u64..100,
@@ -143,7 +143,7 @@
     assert_eq!(histogram.count_from_bucket(bucket_of(20) + 1), 0);
 }
 
-/// Bytes of a number as a varint with its tag.
+/// Bytes of a number as a varint with its tag; zero is not encoded.
 fn varint_bytes(number: u64) -> usize {
     match number {
         0 => 0,
@@ -161,8 +161,9 @@
     varint_bytes(side.answers) + varint_bytes(side.failures) + times + 2
 }
 
-/// A node of Liffeyward's size reports three hundred bytes or so with each report that
-/// brings news; what a fleet of 780 sends its relays follows.
+/// The reports of a large site's nodes take about 300 bytes when they contain new
+/// counts, which determines the load that a fleet of 780 nodes puts on its relays. The
+/// counts here take at most 200 bytes.
 #[test]
 fn a_report_is_small() {
     let mut counts = Counts::default();
--- a/crates/rollout/tests/rollouts/deciding/cut_overs.rs
+++ b/crates/rollout/tests/rollouts/deciding/cut_overs.rs
@@ -1,4 +1,4 @@
-//! When everything moves to the target, and when that is completed.
+//! When all requests move to the target, and when the rollout is completed.
 
 use crate::decision_case::{answered, long_case, member, Case, CANARY};
 use ploverlift_policy::ids::Millis;
@@ -23,7 +23,7 @@
     assert_eq!(case.decide().reason, Reason::GatheringEvidence);
 }
 
-/// When the cut-over begins.
+/// The time from the order at which the cut-over begins, in milliseconds.
 fn cut_over_at(mut case: Case) -> u64 {
     let mut decider = Decider::new(case.settings);
     while case.decide_with(&mut decider).next.is_none() {
@@ -35,7 +35,7 @@
 
 #[test]
 fn hold_cuts_over_only_when_the_bound_holds_in_any_case() {
-    // At 1.3 times 0.1 a millisecond, 13.6 s are within the bound.
+    // At 1.3 times 0.1 requests per millisecond, 13.6 s are within the bound.
     let at = cut_over_at(long_case(Strategy::Hold));
     assert!((226_000..=226_800).contains(&at), "{at} ms");
 }
@@ -77,7 +77,7 @@
 fn completion_needs_a_confirmation_of_every_node() {
     let mut case = Case::at(Stage::CuttingOver, 16_000);
     let completed = |case: &Case| {
-        // The target must have answered since this decider saw the cut-over.
+        // The target must have answered since this decider first read the cut-over.
         let mut decider = Decider::new(case.settings);
         assert_ne!(
             case.decide_with(&mut decider).next.map(|it| it.stage),
--- a/crates/rollout/tests/rollouts/deciding/mod.rs
+++ b/crates/rollout/tests/rollouts/deciding/mod.rs
@@ -1,4 +1,4 @@
-//! The decider, sentence by sentence.
+//! Tests of each rule of the decider.
 
 mod cut_overs;
 mod orders;
--- a/crates/rollout/tests/rollouts/deciding/orders.rs
+++ b/crates/rollout/tests/rollouts/deciding/orders.rs
@@ -1,4 +1,5 @@
-//! What an order leads to: which version it is for, and whether it can end at all.
+//! The first stage of an order, its end without engines, and the continuation by a
+//! successor.
 
 use crate::decision_case::{answered, expected_roll_back, Case, CANARY, DURATION_MS};
 use crate::stages::{order, progress, version};
@@ -48,7 +49,7 @@
     case.established_engines = 0;
     let next = case.decide().next.expect("a cut-over");
     assert_eq!(next.stage, Stage::CuttingOver);
-    // Ordered again once it was completed, with another duration.
+    // The same version ordered again after its completion, with another duration.
     let mut again = Case::at(Stage::Completed, 13_000);
     again.order.duration_ms = 2 * DURATION_MS;
     again.established_engines = 0;
--- a/crates/rollout/tests/rollouts/deciding/roll_backs.rs
+++ b/crates/rollout/tests/rollouts/deciding/roll_backs.rs
@@ -1,4 +1,4 @@
-//! What rolls a version back, and what only holds it.
+//! Conditions that roll a version back, and those that only hold the canary.
 
 use crate::decision_case::{answered, expected_roll_back, member, Case, CANARY};
 use ploverlift_rollout::decider::{Decider, Member, Reason};
--- a/crates/rollout/tests/rollouts/decision_case.rs
+++ b/crates/rollout/tests/rollouts/decision_case.rs
@@ -1,4 +1,4 @@
-//! What one decision is made by.
+//! Input of one decision of the decider.
 
 use crate::counts::answer;
 use crate::stages::{order, progress, version};
@@ -15,7 +15,7 @@
 pub const DURATION_MS: u64 = 12_000;
 pub const CANARY: Stage = Stage::Canary { share_ppm: 30_000 };
 
-/// What one decision is made by; each test changes what it is about.
+/// Input of one decision; each test changes the fields that it is about.
 pub struct Case {
     pub settings: RolloutSettings,
     pub order: RolloutOrder,
@@ -79,13 +79,14 @@
         self.decide_with(&mut Decider::new(self.settings))
     }
 
-    /// The stage to be stored next.
+    /// The next stage to be stored, if any.
     pub fn next(&self) -> Option<Stage> {
         self.decide().next.map(|progress| progress.stage)
     }
 }
 
-/// A member whose `last_heard_at` is its age.
+/// A member whose `last_heard_at` is an age, which [`Case::decide_with`] converts to a
+/// time.
 pub fn member(node: u64) -> Member {
     Member {
         node: PeerId(node),
@@ -137,7 +138,7 @@
     Some(Stage::RolledBack { cause })
 }
 
-/// A long order of which 600 of 24,000 requests went to the target.
+/// A 240 s order of which 600 of 24,000 requests went to the target.
 pub fn long_case(strategy: Strategy) -> Case {
     let mut case = Case::at(CANARY, 220_000);
     case.order = order("v2", 240_000, 30);
--- a/crates/rollout/tests/rollouts/evidence.rs
+++ b/crates/rollout/tests/rollouts/evidence.rs
@@ -1,4 +1,4 @@
-//! The sequential tests, sentence by sentence.
+//! The sequential tests, the stop without a test, and the acceptance test.
 
 use crate::counts::answer;
 use fastrand::Rng;
@@ -12,7 +12,7 @@
 const DURATION_MS: u64 = 12_000;
 const STEPS: u64 = DURATION_MS / STEP_MS;
 
-/// How the answers of a step come about.
+/// Simulated traffic: numbers and quality of the answers of each step.
 struct Traffic {
     target_a_step: u64,
     established_a_step: u64,
@@ -41,7 +41,8 @@
     }
 }
 
-/// Plays the traffic; says at which step the version was found bad.
+/// Runs the traffic; returns the step at which the version was found bad, with the
+/// finding.
 fn found(traffic: &Traffic, seed: u64) -> Option<(u64, Finding)> {
     let mut rng = Rng::with_seed(seed);
     let mut counts = Counts::default();
@@ -145,7 +146,8 @@
     }
 }
 
-/// One answer in twenty is of a route of its own: in all together it drowns.
+/// Runs traffic of which one answer in twenty is on a rare route, too few to show in the
+/// test of all routes together.
 fn found_on_rare_route(answer_of_rare: impl Fn(u64) -> Answer) -> Option<Finding> {
     let (rare, usual) = (RouteTag::of("rare"), RouteTag::of("usual"));
     let mut counts = Counts::default();
@@ -254,7 +256,7 @@
     bad(&mut sums, 3);
     let finding = many_bad_answers(&sums, false).expect("many");
     assert_eq!(finding.symptom, Symptom::ManyBadAnswers);
-    // A good version's few failures among many answers are none.
+    // The few failures among many answers of a good version are no finding.
     let mut sums = Counts::default();
     for number in 0..10_000 {
         let answer = answer(number % 100 == 0, 20 + number % 40);
--- a/crates/rollout/tests/rollouts/fleet/delivery.rs
+++ b/crates/rollout/tests/rollouts/fleet/delivery.rs
@@ -1,4 +1,4 @@
-//! News of the stage and of counts: late, lost or doubled.
+//! Delivery of stages and counts: late, lost or duplicated.
 
 use super::{Fleet, SimReport, MAX_DELIVERY_MS, REPORT_MS, TICK_MS};
 use ploverlift_balancing::peer_loads::PeerId;
@@ -24,7 +24,7 @@
         self.report(node);
     }
 
-    /// Reads the present stage: the store's answer is as old as its way.
+    /// Reads the current stage; the store's answer is one tick old.
     pub(super) fn read_stage(&mut self, node: usize) {
         if self.is_store_unavailable() {
             return;
--- a/crates/rollout/tests/rollouts/fleet/mod.rs
+++ b/crates/rollout/tests/rollouts/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: nodes with gates, one decider at a time, a store, and news
-//! that is late, lost or doubled. Randomness is seeded.
+//! Simulation of a fleet in virtual time: nodes with gates, one decider at a time, a
+//! store, and messages that are late, lost or duplicated. Randomness is seeded.
 
 mod delivery;
 pub mod outcome;
@@ -21,22 +21,22 @@
 use scenario::{Fault, Scenario};
 use std::collections::VecDeque;
 
-/// Virtual time between two steps of the fleet, in milliseconds.
+/// Virtual time between two steps of the simulation, in milliseconds.
 const TICK_MS: u64 = 20;
 /// Time between two reports of a node, in milliseconds.
 const REPORT_MS: u64 = 200;
 /// Time between two decisions, in milliseconds.
 const DECIDE_MS: u64 = 100;
-/// Time without a decider after which another node has the lease, in milliseconds.
+/// Time without a decider after which another node gets the lease, in milliseconds.
 const LEASE_MS: u64 = 3_000;
-/// Time in which a node that was cut off is heard again, in milliseconds.
+/// Time within which a node that was cut off is heard again, in milliseconds.
 const RECONNECT_MS: u64 = 1_000;
-/// Longest way of a report or of news of the store, in milliseconds.
+/// Longest delivery time of a report or of an answer of the store, in milliseconds.
 const MAX_DELIVERY_MS: u64 = 200;
-/// When the order comes, in milliseconds; nodes are there before.
+/// When the order is given, in milliseconds; all nodes run before.
 pub const ORDERED_AT_MS: u64 = 20_000;
 
-/// What one node tells the others.
+/// A report of one node on its way to the others.
 #[derive(Clone, Debug)]
 struct SimReport {
     arrives_at: u64,
@@ -59,9 +59,10 @@
     own_in_sums: Counts,
     stage_read_at: u64,
     next_read_at: u64,
-    /// Ends of requests on established engines.
+    /// Times at which requests on established engines end.
     established: Vec<u64>,
-    /// A decision that it made before it stood still.
+    /// A decision that it made before it was paused or whose answer was lost, with the
+    /// revision that it was based on.
     pending: Option<(u64, Progress)>,
 }
 
@@ -74,7 +75,7 @@
     answer: Answer,
 }
 
-/// The fleet.
+/// The simulated fleet.
 pub struct Fleet {
     scenario: Scenario,
     rng: Rng,
@@ -98,7 +99,7 @@
 }
 
 impl Fleet {
-    /// Plays a scenario to its end.
+    /// Runs a scenario to its end.
     pub fn run(scenario: Scenario) -> Outcome {
         let mut fleet = Self::new(scenario);
         let until = ORDERED_AT_MS + fleet.scenario.until_ms;
@@ -265,8 +266,8 @@
         }
     }
 
-    /// Another node decides some time after the one that did was lost; that one may
-    /// come back with what it decided before.
+    /// Gives the lease to another node some time after its holder was lost; the former
+    /// holder may come back with an earlier decision.
     fn choose_lease_holder(&mut self) {
         if self.is_connected(self.lease_holder as usize) {
             self.lease_holder_lost_at = None;
@@ -298,7 +299,7 @@
         vec![version("v1", service.engines), version("v2", target)]
     }
 
-    /// Stores a progress if nobody else has written since.
+    /// Stores a progress unless another one was written since the given revision.
     fn write(&mut self, revision: u64, progress: &Progress, reason: Option<Reason>) {
         if self.order.revision != revision {
             return;
--- a/crates/rollout/tests/rollouts/fleet/scenario.rs
+++ b/crates/rollout/tests/rollouts/fleet/scenario.rs
@@ -1,4 +1,4 @@
-//! What is played: a service, how its new version is bad, what fails.
+//! Scenarios: a service, the defects of its new version, and faults of the fleet.
 
 use ploverlift_rollout::settings::RolloutSettings;
 
@@ -7,9 +7,9 @@
 pub struct SimRoute {
     /// Its name.
     pub name: &'static str,
-    /// Part of the requests.
+    /// Fraction of the requests.
     pub part: f64,
-    /// Whether they may run more than once.
+    /// Whether its requests may be executed more than once.
     pub is_repeatable: bool,
     /// Median time to the first byte, in milliseconds.
     pub first_byte_ms: f64,
@@ -17,99 +17,103 @@
     pub rest_ms: f64,
 }
 
-/// A service and the fleet before it.
+/// A service and the fleet in front of it.
 #[derive(Clone, Debug)]
 pub struct SimService {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: u32,
-    /// Nodes that callers know; the others get no request.
+    /// Number of nodes that callers know; the others get no requests.
     pub nodes_with_traffic: u32,
-    /// Engines of each version.
+    /// Number of engines of each version.
     pub engines: u32,
-    /// Requests in a second.
+    /// Requests per second.
     pub rate: f64,
     /// Time from the order to its deadline, in milliseconds.
     pub duration_ms: u64,
     /// Routes.
     pub routes: Vec<SimRoute>,
-    /// Part of all answers, of either version, that fail by the requests' own fault.
+    /// Fraction of the answers to repeatable requests, of either version, that fail
+    /// because of the requests themselves.
     pub own_failures: f64,
-    /// Part of the requests that ask for one prompt; nothing when there are no prompts.
+    /// Fraction of the requests that use one prompt; `None` if there are no prompts.
     pub hot_prompt: Option<f64>,
-    /// From when on so many times more requests come.
+    /// Time since the order from which more requests arrive, in milliseconds, and the
+    /// factor.
     pub burst: Option<(u64, f64)>,
-    /// Time until the target's engines are there, from the order; nothing if never.
+    /// Time from the order until the target's engines are available; `None` if they
+    /// never are.
     pub engines_after_ms: Option<u64>,
-    /// What the decider is told of the barrier, in milliseconds.
+    /// The barrier that the decider is given, in milliseconds.
     pub barrier_ms: u64,
 }
 
-/// How a version is bad.
+/// Defect of a version.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Defect {
-    /// From when on, since the order, in milliseconds.
+    /// Time since the order from which the defect shows, in milliseconds.
     pub from_ms: u64,
-    /// From when on after all traffic moved, in milliseconds; before any other time.
+    /// Time since the cut-over from which the defect shows, in milliseconds; takes
+    /// precedence over `from_ms`.
     pub after_cut_over_ms: Option<u64>,
-    /// Part of its answers that fail.
+    /// Fraction of its answers that fail.
     pub fails: f64,
-    /// How many times later the first byte comes; 0 is 1.
+    /// Factor on the time to the first byte; 0 means 1.
     pub slower: f64,
-    /// Only on engines that carry as much as established ones.
+    /// Whether it shows only on engines that carry as much load as established ones.
     pub under_load: bool,
-    /// Only on one route.
+    /// The only route on which it shows; `None` for all.
     pub route: Option<&'static str>,
 }
 
-/// What happens to a node.
+/// Fault of a node.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// It hears and tells nothing, and goes on serving.
+    /// The node is cut off from the store and the other nodes, and keeps serving.
     Cut,
-    /// It stands still.
+    /// The process is paused.
     Pause,
-    /// It ends, and comes back with a later life.
+    /// The process is killed, and starts again with a later life.
     Kill,
 }
 
-/// A fault, from a time on since the order.
+/// A fault with its time.
 #[derive(Clone, Copy, Debug)]
 pub struct Disruption {
-    /// Node, or the one that decides at that time.
+    /// The node; `None` for the decider at that time.
     pub node: Option<u32>,
-    /// What.
+    /// The fault.
     pub fault: Fault,
-    /// From when, in milliseconds since the order.
+    /// Start, in milliseconds since the order.
     pub from_ms: u64,
-    /// For how long, in milliseconds.
+    /// Duration, in milliseconds.
     pub for_ms: u64,
 }
 
-/// How news go.
+/// Faults in the delivery of messages.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MessageFaults {
-    /// Part of the reports that are lost.
+    /// Fraction of the reports that are lost.
     pub lost: f64,
-    /// Part that come twice, the second time late.
+    /// Fraction of the reports that arrive twice, the second time late.
     pub doubled: f64,
-    /// The store answers nobody between these times since the order.
+    /// Times since the order between which the store does not answer.
     pub store_unavailable: Option<(u64, u64)>,
-    /// Part of the writes whose answer is lost.
+    /// Fraction of the writes whose answer is lost.
     pub answers_lost: f64,
 }
 
-/// One run.
+/// One run of the simulation.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// The service.
     pub service: SimService,
     /// The bounds.
     pub settings: RolloutSettings,
-    /// How the target is bad, if it is.
+    /// Defect of the target, if any.
     pub defect: Option<Defect>,
     /// Faults of nodes.
     pub disruptions: Vec<Disruption>,
-    /// News.
+    /// Faults in the delivery of messages.
     pub message_faults: MessageFaults,
     /// Time after which the run ends, since the order, in milliseconds.
     pub until_ms: u64,
--- a/crates/rollout/tests/rollouts/fleet/services.rs
+++ b/crates/rollout/tests/rollouts/fleet/services.rs
@@ -1,4 +1,4 @@
-//! The two services that the figures are made with.
+//! The two services of the simulations.
 
 use super::scenario::{SimRoute, SimService};
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// 60 engines of a language model, 495 requests a second.
+/// 60 engines of a language model, 495 requests per second.
 pub fn models() -> SimService {
     SimService {
         nodes: 81,
@@ -38,7 +38,8 @@
     }
 }
 
-/// 4 engines of a plain service, 154 requests a second, most of which run once.
+/// 4 engines of a service without a model, 154 requests per second, most of which may
+/// run only once.
 pub fn payments() -> SimService {
     SimService {
         nodes: 81,
--- a/crates/rollout/tests/rollouts/fleet/traffic.rs
+++ b/crates/rollout/tests/rollouts/fleet/traffic.rs
@@ -1,4 +1,4 @@
-//! Requests of the fleet, and how engines answer them.
+//! Requests of the fleet and the engines' answers.
 
 use super::scenario::Defect;
 use super::{Fleet, SimAnswer, TICK_MS};
@@ -123,7 +123,8 @@
         }
     }
 
-    /// A request that the target failed: to an established engine where that is allowed.
+    /// Sends a request that the target failed to an established engine, where that is
+    /// allowed.
     pub(super) fn retry_on_established(&mut self, node: usize, route_index: usize) {
         let is_canary = matches!(
             self.nodes[node]
@@ -135,7 +136,7 @@
         if !is_canary {
             return;
         }
-        // Runs there, and is no evidence: only first attempts are.
+        // The retry runs there but is not counted as evidence: only first attempts are.
         let rest_ms = self.scenario.service.routes[route_index].rest_ms;
         let ends_at = self.now + rest_ms as u64;
         self.nodes[node].established.push(ends_at);
@@ -163,7 +164,7 @@
         (has_begun && is_on_route && is_under_load).then_some(defect)
     }
 
-    /// Whether an engine of the target carries as much as an established one does.
+    /// Whether an engine of the target carries as much load as an established one.
     pub(super) fn is_target_loaded(&self) -> bool {
         let engines = self.scenario.service.engines as usize;
         match self.progress.as_ref().map(|progress| progress.stage) {
@@ -185,7 +186,7 @@
         slower: f64,
     ) {
         let times = self.scenario.service.routes[route];
-        // About a lognormal spread: the sum of some uniform numbers as the exponent.
+        // Approximately lognormal: the exponent is a sum of uniform numbers.
         let spread = (0..4).map(|_| self.rng.f64() - 0.5).sum::<f64>() * 0.9;
         let first_byte_ms = times.first_byte_ms * spread.exp() * slower;
         let rest_ms = times.rest_ms * (0.5 + self.rng.f64());
--- a/crates/rollout/tests/rollouts/gate/canary_requests.rs
+++ b/crates/rollout/tests/rollouts/gate/canary_requests.rs
@@ -1,4 +1,4 @@
-//! Which requests and engines carry the canary.
+//! Which requests and engines are chosen for the canary.
 
 use crate::gate_case::{gate, offer, read_request, reason_of, view, NOW, SHARE};
 use crate::stages::version;
--- a/crates/rollout/tests/rollouts/gate/mod.rs
+++ b/crates/rollout/tests/rollouts/gate/mod.rs
@@ -1,4 +1,4 @@
-//! A node's gate, sentence by sentence.
+//! Tests of each rule of a node's gate.
 
 mod canary_requests;
 mod own_evidence;
--- a/crates/rollout/tests/rollouts/gate/own_evidence.rs
+++ b/crates/rollout/tests/rollouts/gate/own_evidence.rs
@@ -1,4 +1,4 @@
-//! What makes a node stop by itself, without a decider.
+//! Evidence by which a node stops sending to the target without a decider.
 
 use crate::counts::answer;
 use crate::gate_case::{gate, read_request, reason_of, view, NOW, SHARE};
--- a/crates/rollout/tests/rollouts/gate/shares.rs
+++ b/crates/rollout/tests/rollouts/gate/shares.rs
@@ -1,4 +1,4 @@
-//! The target's share of the requests, kept over a whole fleet.
+//! The target's share of the requests over the whole fleet.
 
 use crate::counts::answer;
 use crate::gate_case::{
@@ -57,8 +57,8 @@
 }
 
 proptest! {
-    /// Nodes that hear nothing of each other, or whatever part of the counts: together
-    /// they never send more than the bound.
+    /// Nodes that know nothing of each other, or any part of the counts, together never
+    /// send more to the target than the bound.
     #[test]
     fn no_partition_of_the_fleet_exceeds_the_bound(
         nodes in 1u32..40,
@@ -102,7 +102,7 @@
     let seat = Seat { rank: 5, nodes: 81 };
     let mut sent = 0;
     for _ in 0..200 {
-        // Its own part is in the sums at once; it alone has traffic.
+        // The node's own counts are in the sums at once; no other node has traffic.
         let own = gate.own_counts().clone();
         let mut known = sums.clone();
         known.add(&own);
@@ -161,7 +161,7 @@
     let nothing = Counts::default();
     let before = (0..500).filter(|_| offer(&mut gate, &send_once_request(), &view(&nothing)));
     let before = before.count();
-    // Nothing of the service may be repeated: half the share, after some requests.
+    // No request of the service is repeatable: half the share, after some requests.
     assert!(before <= 11, "{before} of 500");
     let mut gate = self::gate(SHARE);
     gate.note_request(read_request().route, true);
--- a/crates/rollout/tests/rollouts/gate/stages.rs
+++ b/crates/rollout/tests/rollouts/gate/stages.rs
@@ -1,4 +1,4 @@
-//! What a gate does in each stage, and without news of it.
+//! A gate's decisions in each stage, and when the stage has not been confirmed recently.
 
 use crate::counts::answer;
 use crate::gate_case::{gate, gate_at, read_request, reason_of, view, NOW, SHARE};
@@ -38,7 +38,8 @@
     let gate = gate(Stage::CuttingOver);
     let decision = gate.decide(&read_request(), &view(&nothing), NOW);
     assert_eq!(decision.rule, Some(SoftwareRule::Only(version("v2"))));
-    // Whoever is cut off from a roll back stops before its bound is over.
+    // A node that is cut off from a roll back stops before the bound of the roll back is
+    // over.
     let roll_back_ms = RolloutSettings::default().roll_back_ms;
     let lost_touch = FleetView {
         stage_verified_at: Millis(NOW.0 - (roll_back_ms - LOST_TOUCH_MARGIN_MS) - 1),
--- a/crates/rollout/tests/rollouts/gate_case.rs
+++ b/crates/rollout/tests/rollouts/gate_case.rs
@@ -1,4 +1,4 @@
-//! A gate, and requests that it is offered.
+//! A gate with its fleet view, and requests for its decisions.
 
 use crate::stages::{progress, version};
 use ploverlift_policy::ids::Millis;
@@ -55,7 +55,7 @@
     }
 }
 
-/// Offers a request; true if it went to the target.
+/// Lets the gate decide on a request and counts it; true if it went to the target.
 pub fn offer(gate: &mut Gate, request: &CanaryRequest, view: &FleetView<'_>) -> bool {
     let decision = gate.decide(request, view, NOW);
     gate.note_request(request.route, request.is_repeatable);
--- a/crates/rollout/tests/rollouts/main.rs
+++ b/crates/rollout/tests/rollouts/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the rollout crate. `fleet` is a fleet in virtual time.
+//! Tests of the rollout crate. `fleet` simulates a fleet in virtual time.
 
 mod counts;
 mod deciding;
--- a/crates/rollout/tests/rollouts/schedules.rs
+++ b/crates/rollout/tests/rollouts/schedules.rs
@@ -1,5 +1,5 @@
-//! Properties over random schedules of cuts, kills, pauses, restarts and news that is
-//! late, lost or doubled.
+//! Properties over random schedules of partitions, kills, pauses and restarts, with
+//! messages that are late, lost or duplicated.
 
 use crate::fleet::scenario::{Defect, Disruption, Fault, MessageFaults, Scenario, SimService};
 use crate::fleet::{services, Fleet};
@@ -8,7 +8,7 @@
 use ploverlift_rollout::stage::Stage;
 use proptest::prelude::*;
 
-/// Time for which an end is given time to come after the deadline, in milliseconds.
+/// Simulated time after the deadline, in which the rollout can end, in milliseconds.
 const AFTER_DEADLINE_MS: u64 = 12_000;
 
 fn defect() -> impl Strategy<Value = Option<Defect>> {
--- a/crates/rollout/tests/rollouts/stages.rs
+++ b/crates/rollout/tests/rollouts/stages.rs
@@ -1,4 +1,4 @@
-//! What is stored of a rollout, and which order it is about.
+//! The stored progress of a rollout, and the identity of its order.
 
 use ploverlift_rollout::order::{RolloutOrder, RolloutState, RolloutStatus};
 use ploverlift_rollout::stage::{
--- a/crates/rollout/tests/rollouts/versions.rs
+++ b/crates/rollout/tests/rollouts/versions.rs
@@ -1,4 +1,4 @@
-//! Engines of a version that can't be placed yet.
+//! Placement of engines before all orders are known.
 
 use crate::stages::version;
 use ploverlift_rollout::placement::VersionLedger;
--- a/crates/rollout/tests/rollouts/whole_rollouts.rs
+++ b/crates/rollout/tests/rollouts/whole_rollouts.rs
@@ -1,4 +1,4 @@
-//! Whole rollouts over a simulated fleet.
+//! Complete rollouts over a simulated fleet.
 
 use crate::fleet::outcome::Outcome;
 use crate::fleet::scenario::{Defect, Disruption, Fault, MessageFaults, Scenario, SimService};
