--- a/crates/rollout/src/canary_choice.rs
+++ b/crates/rollout/src/canary_choice.rs
@@ -56,19 +56,19 @@
     let Some(prompt) = prompt else {
         return true;
     };
-    let place = xxh3_64_with_seed(&prompt.0.to_le_bytes(), rollout.0) % MILLION;
-    place < PREFERRED_PROMPTS_FACTOR * u64::from(share_ppm)
+    let position = xxh3_64_with_seed(&prompt.0.to_le_bytes(), rollout.0) % MILLION;
+    position < PREFERRED_PROMPTS_FACTOR * u64::from(share_ppm)
 }
 
 /// Whether the route's allowance of the canary is not used up.
 fn has_route_allowance(request: &CanaryRequest, known: &Counts, share_ppm: u32) -> bool {
     let nothing = RouteCounts::default();
     let counts = known.routes.get(&request.route).unwrap_or(&nothing);
-    let part = match request.is_repeatable {
+    let share_factor = match request.is_repeatable {
         true => ROUTE_SHARE_FACTOR,
         false => ONCE_ROUTE_SHARE_FACTOR,
     };
-    let share = part * f64::from(share_ppm) / MILLION as f64;
+    let share = share_factor * f64::from(share_ppm) / MILLION as f64;
     (counts.target_arrivals as f64) < share * counts.requests as f64 + ROUTE_START_ARRIVALS
 }
 
--- a/crates/rollout/src/present_rollout.rs
+++ b/crates/rollout/src/present_rollout.rs
@@ -147,8 +147,8 @@
 
     fn raised_share_ppm(&self, transition: &TransitionContext<'_>, share_ppm: u32) -> Option<u32> {
         let settings = transition.settings;
-        let since = transition.input.now.since(transition.input.status_seen_at);
-        if settings.strategy != Strategy::Steps || since < SHARE_STEP_MS {
+        let time_in_stage_ms = transition.input.now.since(transition.input.status_seen_at);
+        if settings.strategy != Strategy::Steps || time_in_stage_ms < SHARE_STEP_MS {
             return None;
         }
         schedule::next_share_ppm(settings, share_ppm)
--- a/crates/rollout/src/schedule.rs
+++ b/crates/rollout/src/schedule.rs
@@ -51,11 +51,11 @@
 
 /// The initial share, in parts of a million.
 pub fn first_share_ppm(settings: &RolloutSettings, duration_ms: u64, cut_over_ms: u64) -> u32 {
-    let part = match can_end_in_time(settings, duration_ms, cut_over_ms) {
+    let fraction = match can_end_in_time(settings, duration_ms, cut_over_ms) {
         true => HOLD_FRACTION,
         false => HOLD_PAST_DEADLINE_FRACTION,
     };
-    (settings.canary_share * part * crate::stage::MILLION as f64) as u32
+    (settings.canary_share * fraction * crate::stage::MILLION as f64) as u32
 }
 
 /// The next higher share of the steps, in parts of a million; `None` if this one is the
--- a/crates/rollout/src/share.rs
+++ b/crates/rollout/src/share.rs
@@ -327,8 +327,12 @@
 
     /// The fleet's credits since the order, accumulated over the shares of all stages.
     fn fleet_credits(&self, view: &FleetView<'_>, share_ppm: u32) -> u64 {
-        let since = self.requests(view).saturating_sub(self.progress.requests);
-        fleet_credits(since, u64::from(share_ppm), self.progress.credits)
+        let requests_since_stage = self.requests(view).saturating_sub(self.progress.requests);
+        fleet_credits(
+            requests_since_stage,
+            u64::from(share_ppm),
+            self.progress.credits,
+        )
     }
 
     fn cap_credits(&self, view: &FleetView<'_>) -> u64 {
--- a/crates/rollout/src/transition_context.rs
+++ b/crates/rollout/src/transition_context.rs
@@ -96,8 +96,8 @@
     /// Whether the target has served alone long enough, and as long as the deadline
     /// permits: a version that turns bad after its completion can't be rolled back.
     pub(crate) fn is_watch_complete(&self) -> bool {
-        let since = self.input.now.since(self.input.status_seen_at);
-        since >= MIN_WATCH_MS && self.remaining_ms() <= COMPLETION_MARGIN_MS
+        let time_in_stage_ms = self.input.now.since(self.input.status_seen_at);
+        time_in_stage_ms >= MIN_WATCH_MS && self.remaining_ms() <= COMPLETION_MARGIN_MS
     }
 
     /// The initial share.
@@ -222,20 +222,20 @@
             confirmation.is_some_and(|it| it.rollout == self.progress.rollout && it.has_stopped)
         };
         let stopped = self.input.members.iter().filter(has_stopped).count();
-        let since = self.input.now.since(self.input.status_seen_at);
+        let time_in_stage_ms = self.input.now.since(self.input.status_seen_at);
         let blocks_cut_over = stopped > 0
             && self.progress.stage == Stage::CuttingOver
-            && since >= STOPPED_NODE_WAIT_MS;
+            && time_in_stage_ms >= STOPPED_NODE_WAIT_MS;
         let target = self.sums().all_routes(crate::counts::Side::Target);
-        let enough = self.stopped_nodes_threshold();
-        (stopped >= enough || blocks_cut_over).then_some(Finding {
+        let required = self.stopped_nodes_threshold();
+        (stopped >= required || blocks_cut_over).then_some(Finding {
             symptom: Symptom::NodesStopped,
             route: None,
             answers: target.answers,
             bad: target.failures,
             borne_share: 0.0,
             evidence: stopped as f64,
-            threshold: enough as f64,
+            threshold: required as f64,
         })
     }
 
@@ -266,8 +266,8 @@
     /// still receive the stage.
     fn is_silent(&self, member: &Member, decider_began_at: Millis) -> bool {
         let last_heard_at = member.last_heard_at.unwrap_or(decider_began_at);
-        let since = last_heard_at.max(self.input.status_seen_at);
-        self.input.now.since(since) > self.settings.silence_bound_ms
+        let silent_since = last_heard_at.max(self.input.status_seen_at);
+        self.input.now.since(silent_since) > self.settings.silence_bound_ms
     }
 
     pub(crate) fn enter(&self, stage: Stage, reason: Reason) -> Decision {
@@ -280,7 +280,7 @@
 
     fn next_progress(&self, stage: Stage) -> Progress {
         let requests = self.requests();
-        let since = requests.saturating_sub(self.progress.requests);
+        let requests_since_stage = requests.saturating_sub(self.progress.requests);
         let share_ppm = match self.progress.stage {
             Stage::Canary { share_ppm } => u64::from(share_ppm),
             _ => 0,
@@ -294,7 +294,11 @@
             elapsed_ms: self.elapsed_ms(),
             requests,
             target_arrivals: target_arrivals.max(self.progress.target_arrivals),
-            credits: crate::credits::fleet_credits(since, share_ppm, self.progress.credits),
+            credits: crate::credits::fleet_credits(
+                requests_since_stage,
+                share_ppm,
+                self.progress.credits,
+            ),
             avoided: self.progress.avoided.clone(),
             established: established_versions(&self.progress.established, self.input),
         }
--- a/crates/rollout/tests/rollouts/fleet/mod.rs
+++ b/crates/rollout/tests/rollouts/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! Simulation of a fleet in virtual time: nodes with gates, one decider at a time, a
 //! store, and messages that are late, lost or duplicated. Randomness is seeded.
 
-mod delivery;
+mod message_delivery;
 pub mod outcome;
 pub mod scenario;
 pub mod services;
