--- a/crates/rollout/src/schedule.rs
+++ b/crates/rollout/src/schedule.rs
@@ -26,8 +26,9 @@
 /// Fraction of the slack that is kept in reserve, for requests that nodes have sent but
 /// not reported yet, and for retries.
 const RESERVED_FRACTION: f64 = 0.2;
-/// Factor by which the rate of requests may rise until the deadline. A larger burst is
-/// noticed within half a second, and the cut-over is reverted.
+/// Factor by which the rate of requests may rise above the recent rate until the
+/// deadline. A larger burst is noticed within half a second, and the cut-over is
+/// reverted.
 const RATE_MARGIN: f64 = 1.3;
 /// Attempts at the target for each request that moves to it, including second attempts.
 const ATTEMPTS_PER_REQUEST: f64 = 1.05;
--- a/crates/rollout/src/stage.rs
+++ b/crates/rollout/src/stage.rs
@@ -74,9 +74,9 @@
     /// All new requests go to the target; requests that run on established engines
     /// finish there.
     CuttingOver,
-    /// The established engines get no more requests, for good.
+    /// The established engines permanently get no more requests.
     Completed,
-    /// The target gets no more requests, for good.
+    /// The target permanently gets no more requests.
     RolledBack {
         /// Why it was rolled back.
         cause: RollBackCause,
@@ -118,7 +118,7 @@
     }
 }
 
-/// The stored progress of a rollout, beside its state.
+/// The progress of a rollout, which is stored together with its state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Progress {
     /// The rollout.
@@ -189,7 +189,7 @@
     Contradiction {
         /// The stage in the progress.
         stage: Stage,
-        /// The state beside it.
+        /// The state in the status.
         state: RolloutState,
     },
 }
@@ -266,7 +266,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the progress can't be read or contradicts the state beside it.
+    /// Fails if the progress can't be read or contradicts the state in the status.
     pub fn of(order: &RolloutOrder) -> Result<Self, ProgressError> {
         let Some(status) = &order.status else {
             return Ok(Self::Nothing);
--- a/crates/rollout/src/transition_context.rs
+++ b/crates/rollout/src/transition_context.rs
@@ -35,10 +35,10 @@
 const STOPPED_NODES_LIMIT: usize = 3;
 /// Time for which a single such node may block a cut-over, in milliseconds.
 const STOPPED_NODE_WAIT_MS: u64 = 5_000;
-/// Time before the deadline before which a rollout is not completed, in milliseconds: a
-/// version that turns bad after its completion can't be rolled back, so it is watched as
-/// long as possible. Enough for a write to the store and for an order that was read
-/// late.
+/// A rollout is completed at the earliest this long before its deadline, in
+/// milliseconds: a version that turns bad after its completion can't be rolled back, so
+/// it is watched as long as possible. Enough for a write to the store and for an order
+/// that was read late.
 pub(crate) const COMPLETION_MARGIN_MS: u64 = 500;
 /// Minimum time for which the target serves alone before it is completed, in
 /// milliseconds: defects that show only under full load take a second or two to show.
