--- a/crates/gateway/src/leases/holder.rs
+++ b/crates/gateway/src/leases/holder.rs
@@ -84,7 +84,7 @@
             view.on_era(era, now);
         }
         if let Some(heard) = heard {
-            view.on_heard(heard.renewal.token, heard.heard_at);
+            view.on_holder_announced(heard.renewal.token, heard.heard_at);
         }
         view
     }
@@ -159,7 +159,7 @@
 
     fn last_renewal(&self) -> Option<LeaseRenewal> {
         let view = self.view();
-        let lease = view.seen()?;
+        let lease = view.observed_lease()?;
         Some(LeaseRenewal {
             token: lease.token(),
             revision: StoreRevision::of_packed(lease.version.0).number,
@@ -170,7 +170,7 @@
         let mut io = self.io.lock().await;
         let now = self.gateway.clock.now();
         let is_own = self.is_own();
-        if !is_own && self.present_view(now).hears_holder(now) {
+        if !is_own && self.present_view(now).has_recent_announcement(now) {
             return false;
         }
         if io.has_just_failed(now) && self.token().is_none() {
@@ -250,7 +250,7 @@
 
     /// The store has no lease.
     fn note_absent(&self, view: &LeaseView, era: StoreEra) {
-        let Some(known) = view.seen() else {
+        let Some(known) = view.observed_lease() else {
             return;
         };
         self.gateway.metrics.missing_leases.inc();
@@ -260,8 +260,8 @@
     }
 
     async fn write(&self, io: &mut LeaseIo, write: LeaseWrite) {
-        let before = self.view().seen().cloned();
-        let since = self.view().seen_since();
+        let before = self.view().observed_lease().cloned();
+        let since = self.view().observed_since();
         let content = LeaseDocument::of(&write.lease).to_json();
         let written = io
             .client
@@ -285,7 +285,7 @@
             Err(StoreError::Conflict { current }) => {
                 slog::info!(self.gateway.log, "lease not written";
                     "lease" => self.lease.stored_name(), "error" => "conflict",
-                    "ground" => write.ground.name());
+                    "ground" => write.reason.name());
                 self.view().on_write_failed();
                 match current.filter(|current| read_lease(current).is_some()) {
                     Some(current) => self.see(Some(&current), era),
@@ -295,7 +295,7 @@
             Err(error) => {
                 slog::info!(self.gateway.log, "lease not written";
                     "lease" => self.lease.stored_name(), "error" => error.to_string(),
-                    "ground" => write.ground.name());
+                    "ground" => write.reason.name());
                 self.view().on_write_failed();
                 io.failed_at = Some(self.gateway.clock.now());
                 self.look_for(io, write).await;
@@ -326,7 +326,7 @@
     ) {
         slog::info!(self.gateway.log, "lease taken"; "lease" => self.lease.stored_name(),
             "token" => write.lease.token().0, "revision" => revision,
-            "era" => write.lease.era.0, "ground" => write.ground.name(),
+            "era" => write.lease.era.0, "ground" => write.reason.name(),
             "token_before" => before.map(|lease| lease.token().0),
             "holder_before" => before.map(|lease| lease.spec.holder.0.clone()),
             "seen_ms" => seen_ms);
@@ -347,7 +347,7 @@
             return self.see(object.as_ref(), era);
         };
         slog::info!(self.gateway.log, "lease found written";
-            "lease" => name, "revision" => object.revision, "ground" => write.ground.name());
+            "lease" => name, "revision" => object.revision, "ground" => write.reason.name());
         self.note_written(write, object, era);
     }
 }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -23,7 +23,7 @@
 pub mod token;
 pub mod view;
 
-pub use step::{Ground, LeaseStep, LeaseWrite};
+pub use step::{LeaseReason, LeaseStep, LeaseWrite};
 pub use timing::LeaseTiming;
 pub use token::FencingToken;
 pub use view::{LeaseView, StoredLease};
--- a/crates/lease/src/step.rs
+++ b/crates/lease/src/step.rs
@@ -5,7 +5,7 @@
 
 /// Why a node writes a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ground {
+pub enum LeaseReason {
     /// It holds the lease and renews it.
     Renewal,
     /// It held the lease when the store came back from a copy, and still might act.
@@ -22,7 +22,7 @@
     Absent,
 }
 
-impl Ground {
+impl LeaseReason {
     /// Its name in logs.
     pub fn name(self) -> &'static str {
         match self {
@@ -47,7 +47,7 @@
     /// When the write began; the lease counts from then.
     pub began: Millis,
     /// Why it is written.
-    pub ground: Ground,
+    pub reason: LeaseReason,
 }
 
 /// What a node should do about a lease.
--- a/crates/lease/src/view.rs
+++ b/crates/lease/src/view.rs
@@ -1,6 +1,6 @@
 //! One node's view of one lease.
 
-use crate::step::{Ground, LeaseStep, LeaseWrite};
+use crate::step::{LeaseReason, LeaseStep, LeaseWrite};
 use crate::timing::LeaseTiming;
 use crate::token::{FencingToken, NodeNumber};
 use ploverlift_policy::ids::{Millis, NodeName, ResourceVersion, StoreEra};
@@ -9,7 +9,7 @@
 /// Pause after an engine refused a token before the next write, in milliseconds: an
 /// engine that refuses each token must not keep the store busy. An order waits for the
 /// store and the engine some 100 ms at most, so a load is late by little more than this.
-const REFUSED_PAUSE_MS: u64 = 250;
+const REFUSED_TOKEN_BACKOFF_MS: u64 = 250;
 
 /// A lease as the store has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 
 /// What a node has seen of the lease in the present era.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Sight {
+enum Observed {
     /// Nothing yet.
     Unread,
     /// The store has none since then.
@@ -44,48 +44,48 @@
 #[derive(Clone, Debug)]
 pub struct LeaseView {
     timing: LeaseTiming,
-    own: NodeName,
+    own_name: NodeName,
     own_life: u64,
-    number: NodeNumber,
+    own_number: NodeNumber,
     /// The latest era of the store that is known.
     era: StoreEra,
-    sight: Sight,
+    observed: Observed,
     /// When the last renewal of the lease that is seen began, if it is this node's.
     renewed_at: Option<Millis>,
     /// Until when this node might have acted when the store came back from a copy. Nobody
     /// else can have taken the lease before.
-    continues_until: Option<Millis>,
+    prior_era_right_until: Option<Millis>,
     writing_since: Option<Millis>,
     /// The highest token of anybody that is known.
-    highest: FencingToken,
+    highest_known: FencingToken,
     /// When another holder was last heard.
-    heard_at: Option<Millis>,
+    announced_at: Option<Millis>,
     /// The highest token that an engine has refused.
-    refused: FencingToken,
+    highest_refused: FencingToken,
     refused_at: Option<Millis>,
 }
 
 impl LeaseView {
     /// A view that has seen nothing yet, with the usual durations.
-    pub fn new(own: NodeName, own_life: u64) -> Self {
-        Self::with_timing(own, own_life, LeaseTiming::default())
+    pub fn new(own_name: NodeName, own_life: u64) -> Self {
+        Self::with_timing(own_name, own_life, LeaseTiming::default())
     }
 
     /// A view that has seen nothing yet.
-    pub fn with_timing(own: NodeName, own_life: u64, timing: LeaseTiming) -> Self {
+    pub fn with_timing(own_name: NodeName, own_life: u64, timing: LeaseTiming) -> Self {
         Self {
             timing,
-            number: NodeNumber::of(&own),
-            own,
+            own_number: NodeNumber::of(&own_name),
+            own_name,
             own_life,
             era: StoreEra(0),
-            sight: Sight::Unread,
+            observed: Observed::Unread,
             renewed_at: None,
-            continues_until: None,
+            prior_era_right_until: None,
             writing_since: None,
-            highest: FencingToken::default(),
-            heard_at: None,
-            refused: FencingToken::default(),
+            highest_known: FencingToken::default(),
+            announced_at: None,
+            highest_refused: FencingToken::default(),
             refused_at: None,
         }
     }
@@ -96,11 +96,11 @@
         if era <= self.era {
             return;
         }
-        let acted_until = self.token(now).and(self.renewed_at);
-        let acted_until = acted_until.map(|at| at.plus(self.timing.stop_acting_after_ms));
-        self.continues_until = self.continues_until.max(acted_until);
+        let right_until = self.token(now).and(self.renewed_at);
+        let right_until = right_until.map(|at| at.plus(self.timing.stop_acting_after_ms));
+        self.prior_era_right_until = self.prior_era_right_until.max(right_until);
         self.era = era;
-        self.sight = Sight::Unread;
+        self.observed = Observed::Unread;
         self.renewed_at = None;
     }
 
@@ -114,20 +114,20 @@
         }
         let Some(lease) = lease else {
             self.renewed_at = None;
-            if !matches!(self.sight, Sight::Absent { .. }) {
-                self.sight = Sight::Absent { since: known_at };
+            if !matches!(self.observed, Observed::Absent { .. }) {
+                self.observed = Observed::Absent { since: known_at };
             }
             return;
         };
-        self.highest = self.highest.max(lease.token());
+        self.highest_known = self.highest_known.max(lease.token());
         if !self.is_own(&lease) {
             self.renewed_at = None;
         }
         let is_known =
-            matches!(&self.sight, Sight::Present { lease: known, .. } if *known == lease);
+            matches!(&self.observed, Observed::Present { lease: known, .. } if *known == lease);
         if !is_known {
             let since = known_at;
-            self.sight = Sight::Present { lease, since };
+            self.observed = Observed::Present { lease, since };
         }
     }
 
@@ -138,16 +138,16 @@
         self.on_era(era, now);
         if lease.era != era || era < self.era {
             // It may be gone with the era, or stand where another lease did.
-            self.sight = Sight::Unread;
+            self.observed = Observed::Unread;
             self.renewed_at = None;
             return;
         }
-        let had_token = self.seen().map(StoredLease::token);
+        let had_token = self.observed_lease().map(StoredLease::token);
         let is_same_token = had_token == Some(lease.token());
         let renewed_before = self.renewed_at.filter(|_| is_same_token);
         self.on_read(Some(lease), era, now);
         self.renewed_at = renewed_before.max(Some(began));
-        self.continues_until = None;
+        self.prior_era_right_until = None;
     }
 
     /// A write failed or its reply was lost.
@@ -155,12 +155,12 @@
         self.writing_since = None;
     }
 
-    /// A holder told at `heard_at` that it acts under a token. The echo of this node's own
+    /// A holder told at `announced_at` that it acts under a token. The echo of this node's own
     /// is ignored.
-    pub fn on_heard(&mut self, token: FencingToken, heard_at: Millis) {
-        self.highest = self.highest.max(token);
-        if token.node() != Some(self.number) {
-            self.heard_at = self.heard_at.max(Some(heard_at));
+    pub fn on_holder_announced(&mut self, token: FencingToken, announced_at: Millis) {
+        self.highest_known = self.highest_known.max(token);
+        if token.node() != Some(self.own_number) {
+            self.announced_at = self.announced_at.max(Some(announced_at));
         }
     }
 
@@ -168,75 +168,75 @@
     /// node gives no more orders under this one, also when a renewal of it is on its way,
     /// and the next write raises it.
     pub fn on_token_refused(&mut self, token: FencingToken, now: Millis) {
-        self.refused = self.refused.max(token);
+        self.highest_refused = self.highest_refused.max(token);
         self.refused_at = Some(now);
     }
 
     /// The last lease that was seen in the present era.
-    pub fn seen(&self) -> Option<&StoredLease> {
-        match &self.sight {
-            Sight::Present { lease, .. } => Some(lease),
-            Sight::Unread | Sight::Absent { .. } => None,
+    pub fn observed_lease(&self) -> Option<&StoredLease> {
+        match &self.observed {
+            Observed::Present { lease, .. } => Some(lease),
+            Observed::Unread | Observed::Absent { .. } => None,
         }
     }
 
     /// Since when the store has been seen to have the lease, or none, as it is.
-    pub fn seen_since(&self) -> Option<Millis> {
-        match &self.sight {
-            Sight::Unread => None,
-            Sight::Absent { since } | Sight::Present { since, .. } => Some(*since),
+    pub fn observed_since(&self) -> Option<Millis> {
+        match &self.observed {
+            Observed::Unread => None,
+            Observed::Absent { since } | Observed::Present { since, .. } => Some(*since),
         }
     }
 
     /// Whether the lease must be read before anything can be done about it.
     pub fn is_unread(&self) -> bool {
-        self.sight == Sight::Unread
+        self.observed == Observed::Unread
     }
 
     /// Whether the last lease that was seen is this node's of the present era, lapsed or
     /// not.
     pub fn is_own_lease(&self) -> bool {
-        let seen = self.seen();
-        seen.is_some_and(|lease| self.is_own(lease) && self.is_of_present_era(lease))
+        let last_read = self.observed_lease();
+        last_read.is_some_and(|lease| self.is_own(lease) && self.is_of_present_era(lease))
     }
 
     /// Whether another holder was heard within the lease's duration: nobody succeeds it.
-    pub fn hears_holder(&self, now: Millis) -> bool {
-        let heard_at = self.heard_at;
-        heard_at.is_some_and(|heard_at| now.since(heard_at) < self.timing.duration_ms)
+    pub fn has_recent_announcement(&self, now: Millis) -> bool {
+        let announced_at = self.announced_at;
+        announced_at.is_some_and(|announced_at| now.since(announced_at) < self.timing.duration_ms)
     }
 
     /// The highest token that is known of anybody.
     pub fn highest_token(&self) -> FencingToken {
-        self.highest
+        self.highest_known
     }
 
     /// The token for orders, while this node may act as the holder.
     pub fn token(&self, now: Millis) -> Option<FencingToken> {
         let renewed_at = self.renewed_at?;
-        let lease = self.seen()?;
+        let lease = self.observed_lease()?;
         let is_fresh = now.since(renewed_at) < self.timing.stop_acting_after_ms;
         let may_act = is_fresh && self.is_own_lease() && !self.is_overtaken(lease);
         may_act.then(|| lease.token())
     }
 
-    /// What to do at `now`. `wants` tells whether this node is a candidate.
-    pub fn step(&mut self, wants: bool, unix_ms: u64, now: Millis) -> LeaseStep {
+    /// What to do at `now`. `is_candidate` tells whether this node is a candidate.
+    pub fn step(&mut self, is_candidate: bool, unix_ms: u64, now: Millis) -> LeaseStep {
         if self.must_pause(now) {
             return LeaseStep::Wait;
         }
-        let Some(ground) = self.ground(wants, now) else {
+        let Some(reason) = self.write_reason(is_candidate, now) else {
             return LeaseStep::Wait;
         };
-        let Some(token) = self.token_for(ground) else {
+        let Some(token) = self.token_for(reason) else {
             return LeaseStep::NoTokenLeft;
         };
         self.writing_since = Some(now);
         let condition = self
-            .seen()
+            .observed_lease()
             .map_or(ResourceVersion(0), |lease| lease.version);
         let spec = LeaseSpec {
-            holder: self.own.clone(),
+            holder: self.own_name.clone(),
             holder_life: self.own_life,
             fencing_token: token.0,
             expires_unix_ms: unix_ms + self.timing.duration_ms,
@@ -249,7 +249,7 @@
                 era: self.era,
             },
             began: now,
-            ground,
+            reason,
         })
     }
 
@@ -258,79 +258,80 @@
             since.is_some_and(|since| now.since(since) < pause_ms)
         };
         is_within(self.writing_since, self.timing.renew_after_ms)
-            || is_within(self.refused_at, REFUSED_PAUSE_MS)
+            || is_within(self.refused_at, REFUSED_TOKEN_BACKOFF_MS)
     }
 
     /// Why this node may write the lease now, if it may.
-    fn ground(&self, wants: bool, now: Millis) -> Option<Ground> {
-        match &self.sight {
-            Sight::Unread => None,
-            Sight::Present { lease, since } if self.is_of_present_era(lease) => {
+    fn write_reason(&self, is_candidate: bool, now: Millis) -> Option<LeaseReason> {
+        match &self.observed {
+            Observed::Unread => None,
+            Observed::Present { lease, since } if self.is_of_present_era(lease) => {
                 if self.is_own(lease) {
-                    return self.ground_as_holder(lease, now);
+                    return self.holder_reason(lease, now);
                 }
-                if !wants || self.hears_holder(now) {
+                if !is_candidate || self.has_recent_announcement(now) {
                     return None;
                 }
                 // An earlier life of this node is certainly over.
-                if lease.spec.holder == self.own {
-                    return Some(Ground::EarlierLife);
+                if lease.spec.holder == self.own_name {
+                    return Some(LeaseReason::EarlierLife);
                 }
-                self.has_waited(*since, now).then_some(Ground::Expired)
+                self.has_waited_for_expiry(*since, now)
+                    .then_some(LeaseReason::Expired)
             }
-            Sight::Present { since, .. } => self.ground_in_later_era(wants, *since, now),
-            Sight::Absent { since } => {
-                let ground = self.ground_in_later_era(wants, *since, now)?;
-                Some(match ground {
-                    Ground::Expired => Ground::Absent,
-                    ground => ground,
+            Observed::Present { since, .. } => self.era_reason(is_candidate, *since, now),
+            Observed::Absent { since } => {
+                let reason = self.era_reason(is_candidate, *since, now)?;
+                Some(match reason {
+                    LeaseReason::Expired => LeaseReason::Absent,
+                    reason => reason,
                 })
             }
         }
     }
 
-    fn ground_as_holder(&self, lease: &StoredLease, now: Millis) -> Option<Ground> {
-        if self.hears_holder(now) && self.is_overtaken(lease) {
+    fn holder_reason(&self, lease: &StoredLease, now: Millis) -> Option<LeaseReason> {
+        if self.has_recent_announcement(now) && self.is_overtaken(lease) {
             return None;
         }
         if self.is_overtaken(lease) {
-            return Some(Ground::Overtaken);
+            return Some(LeaseReason::Overtaken);
         }
         let renewed_at = self.renewed_at.unwrap_or(Millis(0));
         let passed_ms = now.since(renewed_at);
         if passed_ms >= self.timing.stop_acting_after_ms {
             // After a pause beyond the lease somebody else may have acted.
-            return (!self.hears_holder(now)).then_some(Ground::Lapsed);
+            return (!self.has_recent_announcement(now)).then_some(LeaseReason::Lapsed);
         }
-        (passed_ms >= self.timing.renew_after_ms).then_some(Ground::Renewal)
+        (passed_ms >= self.timing.renew_after_ms).then_some(LeaseReason::Renewal)
     }
 
     /// There is no lease of the present era: whoever held the last one may still act.
-    fn ground_in_later_era(&self, wants: bool, since: Millis, now: Millis) -> Option<Ground> {
-        if !wants {
+    fn era_reason(&self, is_candidate: bool, since: Millis, now: Millis) -> Option<LeaseReason> {
+        if !is_candidate {
             return None;
         }
-        if self.continues_until.is_some_and(|until| now < until) {
-            return Some(Ground::Continuation);
+        if self.prior_era_right_until.is_some_and(|until| now < until) {
+            return Some(LeaseReason::Continuation);
         }
-        let is_over = self.has_waited(since, now) && !self.hears_holder(now);
-        is_over.then_some(Ground::Expired)
+        let is_over = self.has_waited_for_expiry(since, now) && !self.has_recent_announcement(now);
+        is_over.then_some(LeaseReason::Expired)
     }
 
-    fn has_waited(&self, since: Millis, now: Millis) -> bool {
+    fn has_waited_for_expiry(&self, since: Millis, now: Millis) -> bool {
         now.since(since) >= self.timing.duration_ms
     }
 
-    fn token_for(&self, ground: Ground) -> Option<FencingToken> {
-        if ground == Ground::Renewal {
-            return self.seen().map(StoredLease::token);
+    fn token_for(&self, reason: LeaseReason) -> Option<FencingToken> {
+        if reason == LeaseReason::Renewal {
+            return self.observed_lease().map(StoredLease::token);
         }
-        let known = self.highest.max(self.refused);
-        FencingToken::next(known, self.era, self.number)
+        let known = self.highest_known.max(self.highest_refused);
+        FencingToken::next(known, self.era, self.own_number)
     }
 
     fn is_own(&self, lease: &StoredLease) -> bool {
-        lease.spec.holder == self.own && lease.spec.holder_life == self.own_life
+        lease.spec.holder == self.own_name && lease.spec.holder_life == self.own_life
     }
 
     fn is_of_present_era(&self, lease: &StoredLease) -> bool {
@@ -339,6 +340,6 @@
 
     /// Whether a token above that of a lease of this node is known, or an engine refused it.
     fn is_overtaken(&self, lease: &StoredLease) -> bool {
-        lease.token() < self.highest || lease.token() <= self.refused
+        lease.token() < self.highest_known || lease.token() <= self.highest_refused
     }
 }
--- a/crates/lease/tests/leases/holders.rs
+++ b/crates/lease/tests/leases/holders.rs
@@ -1,7 +1,7 @@
 //! Single courses of a lease.
 
 use crate::world::{Action, Breaches, World, Write, TIMING};
-use ploverlift_lease::{FencingToken, Ground, LeaseStep};
+use ploverlift_lease::{FencingToken, LeaseReason, LeaseStep};
 use ploverlift_policy::ids::StoreEra;
 
 const KEEP: Action = Action::Keep(Write::Answered);
@@ -75,7 +75,7 @@
     let LeaseStep::Write(renewal) = world.views[0].step(true, 99, world.now) else {
         panic!("a renewal was due");
     };
-    assert_eq!(renewal.ground, Ground::Renewal);
+    assert_eq!(renewal.reason, LeaseReason::Renewal);
     world.views[0].on_token_refused(refused, world.now);
     let era = renewal.lease.era;
     world.views[0].on_written(renewal.lease, renewal.began, era, world.now);
@@ -103,7 +103,7 @@
 fn a_holder_that_hears_a_higher_token_gives_no_more_orders() {
     let mut world = held(2, false);
     let own = token(&world, 0).expect("a token");
-    world.views[0].on_heard(FencingToken(own.0 + 1), world.now);
+    world.views[0].on_holder_announced(FencingToken(own.0 + 1), world.now);
     assert_eq!(token(&world, 0), None);
 }
 
--- a/crates/lease/tests/leases/world.rs
+++ b/crates/lease/tests/leases/world.rs
@@ -260,7 +260,7 @@
         let view = &mut self.views[node];
         view.on_era(era, self.now);
         if let Some(token) = token {
-            view.on_heard(token, self.now);
+            view.on_holder_announced(token, self.now);
         }
     }
 
--- a/crates/node/src/engines/orders.rs
+++ b/crates/node/src/engines/orders.rs
@@ -81,7 +81,10 @@
     };
     let version = stored.metadata.resource_version;
     // Copies of objects come from several nodes, so an older one may come late.
-    if lease.seen().is_some_and(|known| known.version >= version) {
+    if lease
+        .observed_lease()
+        .is_some_and(|known| known.version >= version)
+    {
         return;
     }
     if let Ok(spec) = stored.typed::<LeaseSpec>() {
--- a/crates/simulation/src/world/object_api.rs
+++ b/crates/simulation/src/world/object_api.rs
@@ -65,7 +65,10 @@
         for object in objects.iter().filter(|object| object.kind == Kind::Lease) {
             let version = object.metadata.resource_version;
             let lease = &mut self.nodes[node].lease;
-            if lease.seen().is_some_and(|known| known.version >= version) {
+            if lease
+                .observed_lease()
+                .is_some_and(|known| known.version >= version)
+            {
                 continue;
             }
             if let Ok(spec) = object.typed::<LeaseSpec>() {
