--- a/crates/gateway/src/rollouts/choice.rs
+++ b/crates/gateway/src/rollouts/choice.rs
@@ -57,7 +57,7 @@
         let unplaced = self.unplaced(request.service, engines);
         let Some(rollout) = self.services.get(request.service) else {
             return Some(SoftwareChoice {
-                rule: SoftwareRule::Any.less(&unplaced)?,
+                rule: SoftwareRule::Any.excluding(&unplaced)?,
                 ..SoftwareChoice::default()
             });
         };
@@ -73,7 +73,7 @@
                 false => SoftwareRule::Any,
             };
             return Some(SoftwareChoice {
-                rule: rule.less(&held_back)?,
+                rule: rule.excluding(&held_back)?,
                 ..SoftwareChoice::default()
             });
         };
@@ -85,11 +85,11 @@
             Some(Stage::Completed) => SoftwareRule::Any,
             _ => decision.rule?,
         };
-        let established = || SoftwareRule::Except(target.clone()).less(&held_back);
+        let established = || SoftwareRule::Except(target.clone()).excluding(&held_back);
         // An order that was given again supersedes the stage of the former one: while its
         // target is held back, what served before serves.
         Some(SoftwareChoice {
-            rule: rule.less(&held_back).or_else(established)?,
+            rule: rule.excluding(&held_back).or_else(established)?,
             otherwise: is_canary.then(established).flatten(),
             spared: match is_canary {
                 true => spared_engines(rollout, request.service, engines),
--- a/crates/routing/src/software.rs
+++ b/crates/routing/src/software.rs
@@ -28,7 +28,7 @@
 
 impl SoftwareRule {
     /// The rule without some versions; nothing when it then allows none.
-    pub fn less(self, excluded: &[SoftwareVersion]) -> Option<Self> {
+    pub fn excluding(self, excluded: &[SoftwareVersion]) -> Option<Self> {
         if excluded.is_empty() {
             return Some(self);
         }
