--- a/crates/balancing/src/engine_notices/exchange.rs
+++ b/crates/balancing/src/engine_notices/exchange.rs
@@ -6,7 +6,7 @@
 use super::{EngineLife, EngineNotices, LeavingNotice, NoticeSource, KEPT_MS};
 use crate::names::EngineTag;
 use ploverlift_policy::ids::Millis;
-use ploverlift_policy::telling::Telling;
+use ploverlift_policy::update_broadcast::UpdateBroadcast;
 
 /// Engines in one message: with them it stays within one datagram.
 pub const MAX_TOLD: usize = 32;
@@ -43,7 +43,7 @@
         for engine in &told {
             let leaving = self.notices.get_mut(engine);
             if let Some(leaving) = leaving.and_then(|known| known.leaving.as_mut()) {
-                leaving.telling.note_told(now);
+                leaving.telling.record_broadcast(now);
             }
         }
         if occasion.is_period {
@@ -110,8 +110,8 @@
             since: now.before(told.age_ms),
             source: NoticeSource::Node,
             telling: match passes_on {
-                true => Telling::begin(now),
-                false => Telling::default(),
+                true => UpdateBroadcast::begin(now),
+                false => UpdateBroadcast::default(),
             },
         };
         self.take_leaving(told.life, notice, now)
--- a/crates/balancing/src/engine_notices/mod.rs
+++ b/crates/balancing/src/engine_notices/mod.rs
@@ -10,7 +10,7 @@
 use crate::heartbeat::Heartbeat;
 use crate::names::EngineTag;
 use ploverlift_policy::ids::Millis;
-use ploverlift_policy::telling::Telling;
+use ploverlift_policy::update_broadcast::UpdateBroadcast;
 use std::collections::BTreeMap;
 
 /// Time for which a notice is remembered after its engine was known last, in milliseconds:
@@ -61,7 +61,7 @@
     pub since: Millis,
     /// Who told this node.
     pub source: NoticeSource,
-    telling: Telling,
+    telling: UpdateBroadcast,
 }
 
 /// A time for which this node sends an engine nothing, as the engine asked.
@@ -149,7 +149,7 @@
         let notice = LeavingNotice {
             since: now,
             source: NoticeSource::Answer,
-            telling: Telling::begin(now),
+            telling: UpdateBroadcast::begin(now),
         };
         self.take_leaving(life, notice, now)
     }
--- a/crates/balancing/tests/choices/unseen_reading.rs
+++ b/crates/balancing/tests/choices/unseen_reading.rs
@@ -23,7 +23,7 @@
         loads.apply(&report(peer, 1, &[]), Millis(NOW.0 - 200));
     }
     let mut recent_reading = RecentReading::default();
-    recent_reading.note(tokens as f64, NOW);
+    recent_reading.add(tokens as f64, NOW);
     let shared = [PromptPart { id: 1, tokens: 100 }];
     let view = FleetView {
         topology: &Topology::default(),
@@ -79,7 +79,7 @@
 #[test]
 fn reading_that_this_node_gave_engines_is_forgotten_within_seconds() {
     let mut reading = RecentReading::default();
-    reading.note(30_000.0, NOW);
+    reading.add(30_000.0, NOW);
     assert!((reading.per_ms(NOW) - 10.0).abs() < 0.01);
     assert!(reading.per_ms(NOW.plus(9_000)) < 0.6);
 }
--- a/crates/cluster/src/claim_proposer.rs
+++ b/crates/cluster/src/claim_proposer.rs
@@ -5,7 +5,7 @@
 use crate::claims::{majority, replica_keys, ClaimKey};
 use crate::node_key::NodeKey;
 use crate::output::Outbox;
-use ploverlift_policy::admission::ComeBack;
+use ploverlift_policy::admission::RetryAfter;
 use ploverlift_policy::ids::Millis;
 use ploverlift_policy::objects::ClaimGroupSpec;
 use ploverlift_wire::messages::{ClaimVerdict, ClaimVote};
@@ -36,7 +36,7 @@
     /// The key was used for another request.
     OtherRequest,
     /// It cannot be known; the proposal's own grants were given back.
-    Unavailable(ComeBack),
+    Unavailable(RetryAfter),
 }
 
 /// One proposal.
@@ -198,7 +198,7 @@
     fn unavailable(&self) -> ClaimOutcome {
         let voting_in = self.not_voting.values().min().copied();
         let after = voting_in.unwrap_or(NO_QUORUM_COME_BACK_MS);
-        ClaimOutcome::Unavailable(ComeBack::after(after))
+        ClaimOutcome::Unavailable(RetryAfter::clamped(after))
     }
 
     /// Asks again when it is time; returns the outcome when time is over.
--- a/crates/cluster/src/core/claiming.rs
+++ b/crates/cluster/src/core/claiming.rs
@@ -18,9 +18,9 @@
         key: ClaimKey,
         fingerprint: u64,
         now: Millis,
-    ) -> Result<Ticket, ComeBack> {
+    ) -> Result<Ticket, RetryAfter> {
         let Some(spec) = self.claims.group().cloned() else {
-            return Err(ComeBack::after(0));
+            return Err(RetryAfter::clamped(0));
         };
         let ticket = self.new_ticket();
         let owner = self.random.u64(1..);
--- a/crates/cluster/src/core/limits.rs
+++ b/crates/cluster/src/core/limits.rs
@@ -7,7 +7,7 @@
     ///
     /// # Errors
     /// When the tenant's rate is used up: when to come back.
-    pub fn take_rate(&mut self, tenant: &Tenant, now: Millis) -> Result<(), ComeBack> {
+    pub fn take_rate(&mut self, tenant: &Tenant, now: Millis) -> Result<(), RetryAfter> {
         let limit = f64::from(tenant.spec.requests_per_second);
         if limit == 0.0 {
             return Ok(());
--- a/crates/cluster/src/core/mod.rs
+++ b/crates/cluster/src/core/mod.rs
@@ -22,7 +22,7 @@
 use crate::quota::Quota;
 use crate::readers;
 use crate::router::{Router, RouterSettings};
-use ploverlift_policy::admission::ComeBack;
+use ploverlift_policy::admission::RetryAfter;
 use ploverlift_policy::chain::PromptChain;
 use ploverlift_policy::directory::PrefixMatch;
 use ploverlift_policy::fleet::{Engine, EngineKey, EngineObservation};
--- a/crates/cluster/src/router/mod.rs
+++ b/crates/cluster/src/router/mod.rs
@@ -8,7 +8,7 @@
 use chains::{engine_of, merge_match};
 pub use records::{ChosenEngine, DecisionRecord, RoutedRequest, VersionedChains};
 
-use ploverlift_policy::admission::{ComeBack, TenantShares, TokenBucket};
+use ploverlift_policy::admission::{RetryAfter, TenantShares, TokenBucket};
 use ploverlift_policy::chain::PromptChain;
 use ploverlift_policy::cost::{CostModel, DEFAULT_SLOT_WAIT_MS};
 use ploverlift_policy::decide::{CandidateTable, Decision, DecisionInput, RouteCandidates};
@@ -167,7 +167,7 @@
     ///
     /// # Errors
     /// When the rate is used up: when to come back.
-    pub fn take_rate(&mut self, tenant: &Tenant, rate: f64, now: Millis) -> Result<(), ComeBack> {
+    pub fn take_rate(&mut self, tenant: &Tenant, rate: f64, now: Millis) -> Result<(), RetryAfter> {
         let share = rate / f64::from(tenant.spec.requests_per_second.max(1));
         let burst = (f64::from(tenant.spec.burst) * share).max(1.0);
         let bucket = self
@@ -189,7 +189,7 @@
         tenant: &Tenant,
         route: usize,
         nodes: usize,
-    ) -> Result<(), ComeBack> {
+    ) -> Result<(), RetryAfter> {
         let (present, slots) = self.load_of(route);
         let shares = self.shares.entry(pool.to_owned()).or_default();
         if slots > 0 && present >= slots {
@@ -200,7 +200,7 @@
                 found.map_or(1, |known| known.spec.weight)
             };
             if !shares.within_share(&tenant.name, weight_of, capacity) {
-                return Err(ComeBack::after(0));
+                return Err(RetryAfter::clamped(0));
             }
         }
         shares.start(&tenant.name);
@@ -224,7 +224,7 @@
             .iter()
             .map(|index| self.fleet.get(*index));
         engines.fold((0, 0), |(present, slots), engine| {
-            let here = engine.load.running + engine.load.waiting + engine.unseen.requests();
+            let here = engine.load.running + engine.load.waiting + engine.unreported.requests();
             (present + here, slots + engine.load.slots)
         })
     }
--- a/crates/enginelimit/src/exchange.rs
+++ b/crates/enginelimit/src/exchange.rs
@@ -7,7 +7,7 @@
 use ploverlift_balancing::engine_rooms::EngineRooms;
 use ploverlift_balancing::names::EngineTag;
 use ploverlift_policy::ids::Millis;
-use ploverlift_policy::telling::Telling;
+use ploverlift_policy::update_broadcast::UpdateBroadcast;
 use std::collections::BTreeMap;
 
 impl EngineLimits {
@@ -17,14 +17,14 @@
         let mut told: BTreeMap<GroupTag, Vec<EngineTag>> = BTreeMap::new();
         for (tag, group) in &mut self.groups {
             let is_due = group.telling.is_due(now);
-            group.telling.note_told(now);
+            group.telling.record_broadcast(now);
             if is_due || (is_period && group.is_held) {
                 told.insert(*tag, Vec::new());
             }
         }
         for (engine, known) in &mut self.known {
             if known.telling.is_due(now) {
-                known.telling.note_told(now);
+                known.telling.record_broadcast(now);
                 told.entry(known.group).or_default().push(*engine);
             }
         }
@@ -117,8 +117,8 @@
         now: Millis,
     ) -> bool {
         let telling = match passes_on {
-            true => Telling::begin(now),
-            false => Telling::default(),
+            true => UpdateBroadcast::begin(now),
+            false => UpdateBroadcast::default(),
         };
         let known = self.groups.get_mut(&news.group);
         let is_other = match known {
@@ -126,7 +126,7 @@
             Some(group) if !news.holder.supersedes(&group.holder, news.group) => {
                 // Whoever told it has not heard of the later term.
                 if group.is_held || passes_on {
-                    group.telling = Telling::begin(now);
+                    group.telling = UpdateBroadcast::begin(now);
                 }
                 return false;
             }
@@ -147,7 +147,7 @@
     }
 
     /// Another node holds the group from now on.
-    fn follow(&mut self, news: &GroupNews, telling: Telling, now: Millis) {
+    fn follow(&mut self, news: &GroupNews, telling: UpdateBroadcast, now: Millis) {
         let followed = Group {
             telling,
             ..Group::held_by(news.holder, now)
@@ -163,7 +163,7 @@
     fn take_limits(
         &mut self,
         news: &GroupNews,
-        telling: Telling,
+        telling: UpdateBroadcast,
         rooms: &mut EngineRooms,
         now: Millis,
     ) -> bool {
--- a/crates/enginelimit/src/limits.rs
+++ b/crates/enginelimit/src/limits.rs
@@ -9,7 +9,7 @@
 use ploverlift_balancing::engine_rooms::EngineRooms;
 use ploverlift_balancing::names::{EngineTag, PeerId};
 use ploverlift_policy::ids::Millis;
-use ploverlift_policy::telling::Telling;
+use ploverlift_policy::update_broadcast::UpdateBroadcast;
 use std::collections::{BTreeMap, HashMap};
 
 /// Silence of a holder after which another node takes its group over, in milliseconds: a
@@ -33,7 +33,7 @@
     pub(crate) standing: StandingLimit,
     /// Of the holder's change that told it; 0 where this node saw it by itself.
     pub(crate) sequence: u64,
-    pub(crate) telling: Telling,
+    pub(crate) telling: UpdateBroadcast,
     /// At the holder.
     pub(crate) account: Option<Account>,
 }
@@ -45,7 +45,7 @@
     /// Whether this life of this node holds it.
     pub(crate) is_held: bool,
     pub(crate) sequence: u64,
-    pub(crate) telling: Telling,
+    pub(crate) telling: UpdateBroadcast,
     pub(crate) askers: Askers,
     /// Answers that were given lately, for questions that come twice.
     pub(crate) answered: HashMap<(PeerId, u64), (Millis, TokenAnswer)>,
@@ -64,7 +64,7 @@
             holder,
             is_held: false,
             sequence: 0,
-            telling: Telling::begin(now),
+            telling: UpdateBroadcast::begin(now),
             askers: Askers::default(),
             answered: HashMap::new(),
             unanswered: None,
@@ -220,7 +220,7 @@
             group,
             standing,
             sequence: 0,
-            telling: Telling::default(),
+            telling: UpdateBroadcast::default(),
             account: None,
         };
         self.known.insert(seen.engine, known);
@@ -259,7 +259,7 @@
         if let Some(group) = self.groups.get_mut(&known.group) {
             group.sequence += 1;
             known.sequence = group.sequence;
-            known.telling = Telling::begin(now);
+            known.telling = UpdateBroadcast::begin(now);
         }
     }
 
--- a/crates/lab/src/experiment/policies.rs
+++ b/crates/lab/src/experiment/policies.rs
@@ -194,7 +194,7 @@
 
     fn known_load(&self, node: usize, engine: usize) -> u32 {
         let engine = self.nodes[node].fleet.get(EngineIndex(engine as u32));
-        engine.load.running + engine.load.waiting + engine.unseen.requests()
+        engine.load.running + engine.load.waiting + engine.unreported.requests()
     }
 
     fn least_load(&mut self, node: usize, reachable: &[bool], now: Millis) -> Option<usize> {
--- a/crates/node/src/callers/relay/claim.rs
+++ b/crates/node/src/callers/relay/claim.rs
@@ -4,7 +4,7 @@
 use crate::callers::recorded_answer::RecordedAnswer;
 use ploverlift_cluster::claim_proposer::{ClaimOutcome, Ticket};
 use ploverlift_cluster::claims::{ClaimKey, MAX_RECORDED_ANSWER_BYTES};
-use ploverlift_policy::admission::ComeBack;
+use ploverlift_policy::admission::RetryAfter;
 use ploverlift_policy::attempt::{AttemptState, RunState};
 use ploverlift_policy::objects::RouteSpec;
 use ploverlift_policy::request::{Event, Step};
@@ -45,13 +45,13 @@
         let fingerprint = self.request.payload.fingerprint();
         let proposed = self.node.with_core(|core, now| {
             let ticket = core.propose(key, fingerprint, now)?;
-            Ok::<_, ComeBack>((ticket, self.node.waiters.claim(ticket)))
+            Ok::<_, RetryAfter>((ticket, self.node.waiters.claim(ticket)))
         });
         let (ticket, answer) = match proposed {
             Ok(proposed) => proposed,
             Err(come_back) => return self.on(Event::ClaimUnavailable(come_back)),
         };
-        let lost = ClaimOutcome::Unavailable(ComeBack::after(0));
+        let lost = ClaimOutcome::Unavailable(RetryAfter::clamped(0));
         let outcome = answer.recv().await.unwrap_or(lost);
         match outcome {
             ClaimOutcome::Granted => {
@@ -69,7 +69,7 @@
                 }
             }
             ClaimOutcome::Held => self.on(Event::ClaimHeld),
-            ClaimOutcome::OtherRequest => self.on(Event::ClaimOfOther),
+            ClaimOutcome::OtherRequest => self.on(Event::ClaimKeyReused),
             ClaimOutcome::Unavailable(come_back) => self.on(Event::ClaimUnavailable(come_back)),
         }
     }
--- a/crates/node/src/engines/client.rs
+++ b/crates/node/src/engines/client.rs
@@ -12,7 +12,7 @@
 //! the operating system took.
 
 use crate::engines::body::{read_head, AnswerHead, EngineBody};
-use ploverlift_policy::admission::ComeBack;
+use ploverlift_policy::admission::RetryAfter;
 use ploverlift_policy::attempt::{promises_not_run, AttemptState};
 use ploverlift_policy::decimal::read_seconds_as_ms;
 use ploverlift_policy::ids::{Incarnation, RequestId, WeightsVersion};
@@ -92,7 +92,7 @@
     /// How far the attempt got.
     pub state: AttemptState,
     /// When the back end asked to come back.
-    pub come_back: Option<ComeBack>,
+    pub come_back: Option<RetryAfter>,
     /// What the engine said of itself when it refused.
     pub correction: Option<EngineGeneration>,
     /// What happened, for logs.
@@ -153,7 +153,7 @@
             let retry_after_ms = retry_after.and_then(read_seconds_as_ms);
             return Err(CallFailure {
                 state: AttemptState::Refused,
-                come_back: retry_after_ms.map(ComeBack::after),
+                come_back: retry_after_ms.map(RetryAfter::clamped),
                 correction: correction_in(head),
                 reason: format!("refused with status {status}"),
             });
--- a/crates/node/tests/attempt_states.rs
+++ b/crates/node/tests/attempt_states.rs
@@ -4,7 +4,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use ploverlift_node::callers::reply::ErrorReply;
 use ploverlift_node::engines::client::{EngineCall, EngineGeneration};
-use ploverlift_policy::admission::ComeBack;
+use ploverlift_policy::admission::RetryAfter;
 use ploverlift_policy::attempt::{promises_not_run, AttemptState, RunState};
 use ploverlift_policy::ids::{Incarnation, RequestId, WeightsVersion};
 use ploverlift_policy::request::{Refusal, RefusalReason};
@@ -179,7 +179,7 @@
             let reply = ErrorReply::from(Refusal {
                 reason,
                 run_state,
-                come_back: ComeBack::after(1_000),
+                retry_after: RetryAfter::clamped(1_000),
             });
             let status = reply.status as u16;
             assert!(!promises_not_run(status), "{reason:?}: {status}");
@@ -189,7 +189,7 @@
     let refusal = Refusal {
         reason: RefusalReason::AttemptsFailed,
         run_state: RunState::NotRun,
-        come_back: ComeBack::after(1_000),
+        retry_after: RetryAfter::clamped(1_000),
     };
     assert_eq!(ErrorReply::from(refusal).status as u16, 503);
 }
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -5,21 +5,21 @@
 
 /// A refusal by a limit: when to come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ComeBack {
+pub struct RetryAfter {
     /// Milliseconds after which a new try can succeed.
     pub after_ms: u64,
 }
 
 /// Shortest time given in a refusal, in milliseconds.
-pub const MIN_COME_BACK_MS: u64 = 1_000;
+pub const MIN_RETRY_AFTER_MS: u64 = 1_000;
 /// Longest time given in a refusal, in milliseconds.
-pub const MAX_COME_BACK_MS: u64 = 60_000;
+pub const MAX_RETRY_AFTER_MS: u64 = 60_000;
 
-impl ComeBack {
+impl RetryAfter {
     /// A refusal with a time within the bounds.
-    pub fn after(milliseconds: u64) -> Self {
+    pub fn clamped(milliseconds: u64) -> Self {
         Self {
-            after_ms: milliseconds.clamp(MIN_COME_BACK_MS, MAX_COME_BACK_MS),
+            after_ms: milliseconds.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS),
         }
     }
 
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     /// When the bucket is empty: the time until a token is there.
-    pub fn take(&mut self, now: Millis) -> Result<(), ComeBack> {
+    pub fn take(&mut self, now: Millis) -> Result<(), RetryAfter> {
         self.refill(now);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
@@ -76,7 +76,7 @@
         }
         let missing = 1.0 - self.tokens;
         let seconds = missing / self.rate_per_second.max(f64::EPSILON);
-        Err(ComeBack::after((seconds * 1_000.0).ceil() as u64))
+        Err(RetryAfter::clamped((seconds * 1_000.0).ceil() as u64))
     }
 }
 
@@ -129,10 +129,10 @@
 ///
 /// # Errors
 /// The time after which the queue is expected to be short enough.
-pub fn admit_by_deadline(expected_ms: f64, remaining_ms: u64) -> Result<(), ComeBack> {
+pub fn admit_by_deadline(expected_ms: f64, remaining_ms: u64) -> Result<(), RetryAfter> {
     if expected_ms <= remaining_ms as f64 {
         return Ok(());
     }
     let excess = expected_ms - remaining_ms as f64;
-    Err(ComeBack::after(excess.ceil() as u64))
+    Err(RetryAfter::clamped(excess.ceil() as u64))
 }
--- a/crates/policy/src/cost.rs
+++ b/crates/policy/src/cost.rs
@@ -45,7 +45,7 @@
 /// Engines let the least recently used block go first, so a block is there
 /// until its age reaches the engine's eviction age: full worth up to
 /// [`SAFE_AGE_SHARE`] of it, then falling to nothing at the age itself.
-pub fn cache_worth(age_ms: u64, eviction_age_ms: u64) -> f64 {
+pub fn expected_retention(age_ms: u64, eviction_age_ms: u64) -> f64 {
     let eviction_age = eviction_age_ms.max(1) as f64;
     let relative = age_ms as f64 / eviction_age;
     ((1.0 - relative) / (1.0 - SAFE_AGE_SHARE)).clamp(0.0, 1.0)
@@ -66,7 +66,7 @@
         now: Millis,
     ) -> Cost {
         let expected_cached = cached.map_or(0.0, |(tokens, used_at)| {
-            f64::from(tokens) * cache_worth(now.since(used_at), engine.eviction_age_ms)
+            f64::from(tokens) * expected_retention(now.since(used_at), engine.eviction_age_ms)
         });
         let uncached = (f64::from(prompt_tokens) - expected_cached).max(0.0);
         Cost {
@@ -81,14 +81,14 @@
     fn wait(&self, engine: &Engine, now: Millis) -> f64 {
         let reported = f64::from(engine.load.queued_tokens) * self.prefill_ms_per_token;
         let done = now.since(engine.reported_at) as f64;
-        let unseen = f64::from(engine.unseen.tokens()) * self.prefill_ms_per_token;
-        let present = engine.load.running + engine.load.waiting + engine.unseen.requests();
-        let over = if engine.load.slots == 0 {
+        let unreported = f64::from(engine.unreported.tokens()) * self.prefill_ms_per_token;
+        let present = engine.load.running + engine.load.waiting + engine.unreported.requests();
+        let excess_requests = if engine.load.slots == 0 {
             0
         } else {
             (present + 1).saturating_sub(engine.load.slots)
         };
-        (reported - done).max(0.0) + unseen + f64::from(over) * self.slot_wait_ms
+        (reported - done).max(0.0) + unreported + f64::from(excess_requests) * self.slot_wait_ms
     }
 
     fn distance(&self, engine: &Engine, own_zone: &ZoneName) -> f64 {
--- a/crates/policy/src/decaying_sum.rs
+++ b/crates/policy/src/decaying_sum.rs
@@ -6,19 +6,19 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DecayingSum<const DECAY_MS: u64> {
     sum: f64,
-    noted_at: Millis,
+    updated_at: Millis,
 }
 
 impl<const DECAY_MS: u64> DecayingSum<DECAY_MS> {
     /// Adds to the sum; negative amounts are given back.
-    pub fn note(&mut self, amount: f64, now: Millis) {
+    pub fn add(&mut self, amount: f64, now: Millis) {
         self.sum = (self.value(now) + amount).max(0.0);
-        self.noted_at = self.noted_at.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 
     /// The sum as it is now.
     pub fn value(&self, now: Millis) -> f64 {
-        let age_ms = now.since(self.noted_at) as f64;
+        let age_ms = now.since(self.updated_at) as f64;
         self.sum * (-age_ms / DECAY_MS as f64).exp()
     }
 
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -50,7 +50,7 @@
     /// Engines that may not, each with the reason; the first [`MAX_EXCLUSIONS`].
     pub excluded: Vec<Exclusion>,
     /// Further engines that may not.
-    pub excluded_more: usize,
+    pub unlisted_exclusions: usize,
     /// Weights versions among the eligible engines, in order.
     pub weights: Vec<WeightsVersion>,
 }
@@ -66,7 +66,7 @@
             if candidates.excluded.len() >= MAX_EXCLUSIONS
                 && !pool.spec.selector.matches(&engine.labels)
             {
-                candidates.excluded_more += 1;
+                candidates.unlisted_exclusions += 1;
                 continue;
             }
             match exclusion(route, pool, fleet, index) {
@@ -77,14 +77,14 @@
                 }
             }
         }
-        candidates.leave_out_unobserved(fleet);
+        candidates.exclude_unobserved(fleet);
         candidates.weights.sort_unstable();
         candidates.weights.dedup();
         candidates
     }
 
     /// Engines whose observers are silent are used only when there is no other.
-    fn leave_out_unobserved(&mut self, fleet: &Fleet) {
+    fn exclude_unobserved(&mut self, fleet: &Fleet) {
         let unobserved = |index: &EngineIndex| fleet.get(*index).unobserved;
         if self.eligible.iter().all(unobserved) {
             return;
@@ -100,7 +100,7 @@
 
     fn exclude(&mut self, engine: EngineName, reason: ExclusionReason) {
         if self.excluded.len() >= MAX_EXCLUSIONS {
-            self.excluded_more += 1;
+            self.unlisted_exclusions += 1;
             return;
         }
         self.excluded.push(Exclusion { engine, reason });
@@ -270,7 +270,7 @@
     }
 
     /// What the home engine is taken to hold: what is known, or the share.
-    fn at_home(&self, known: Option<(u32, Millis)>) -> Option<(u32, Millis)> {
+    fn cached_at_home(&self, known: Option<(u32, Millis)>) -> Option<(u32, Millis)> {
         let assumed = (f64::from(self.chain.tokens) * self.home_share()) as u32;
         known
             .filter(|(tokens, _)| *tokens >= assumed)
@@ -295,7 +295,7 @@
             found.map(|entry| (self.chain.tokens_of(entry.blocks as usize), entry.used_at));
         let tokens = self.chain.tokens;
         let cached = if home == Some(index) {
-            self.at_home(cached)
+            self.cached_at_home(cached)
         } else {
             cached
         };
--- a/crates/policy/src/decimal.rs
+++ b/crates/policy/src/decimal.rs
@@ -1,7 +1,7 @@
 //! Numbers in headers of other parties: decimal digits alone.
 
 /// Longest number that is read, in bytes.
-const LONGEST_BYTES: usize = 24;
+const MAX_NUMBER_BYTES: usize = 24;
 /// Milliseconds in a second.
 const MS_PER_SECOND: f64 = 1_000.0;
 
@@ -10,7 +10,7 @@
     let is_decimal = text
         .bytes()
         .all(|byte| byte.is_ascii_digit() || byte == b'.');
-    let is_bounded = text.len() <= LONGEST_BYTES;
+    let is_bounded = text.len() <= MAX_NUMBER_BYTES;
     text.parse().ok().filter(|_| is_decimal && is_bounded)
 }
 
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -90,7 +90,7 @@
     /// When it came.
     pub reported_at: Millis,
     /// What this node sent that no load report can show yet.
-    pub unseen: UnseenSends,
+    pub unreported: UnreportedSends,
     /// Requests of this node that are under way.
     pub in_flight: u32,
     /// How long a block lately stayed in the cache, in milliseconds.
@@ -99,21 +99,21 @@
 
 /// Requests that were sent too lately to be in a load report.
 #[derive(Clone, Debug, Default)]
-pub struct UnseenSends {
+pub struct UnreportedSends {
     sends: VecDeque<(Millis, u32)>,
     tokens: u32,
 }
 
 /// Sends that are remembered for one engine; more are joined with the last.
-const MAX_UNSEEN_SENDS: usize = 64;
+const MAX_UNREPORTED_SENDS: usize = 64;
 /// A load report shows the engine as it was this long before, in milliseconds.
 pub const REPORT_AGE_MS: u64 = 60;
 
-impl UnseenSends {
+impl UnreportedSends {
     /// Adds a request with so many uncached tokens.
     pub fn add(&mut self, uncached_tokens: u32, now: Millis) {
         self.tokens = self.tokens.saturating_add(uncached_tokens);
-        let full = self.sends.len() >= MAX_UNSEEN_SENDS;
+        let full = self.sends.len() >= MAX_UNREPORTED_SENDS;
         match self.sends.back_mut() {
             Some((_, last)) if full => {
                 *last = last.saturating_add(uncached_tokens);
@@ -123,7 +123,7 @@
     }
 
     /// A load report came: what was sent before its state was taken is in it.
-    pub fn reported(&mut self, now: Millis) {
+    pub fn on_load_report(&mut self, now: Millis) {
         while let Some((sent_at, tokens)) = self.sends.front().copied() {
             if now.since(sent_at) < REPORT_AGE_MS {
                 return;
@@ -181,7 +181,7 @@
             unobserved: false,
             load: LoadReport::default(),
             reported_at: Millis(0),
-            unseen: UnseenSends::default(),
+            unreported: UnreportedSends::default(),
             in_flight: 0,
             eviction_age_ms: DEFAULT_EVICTION_AGE_MS,
         }
@@ -308,22 +308,22 @@
         if observation.incarnation < engine.incarnation {
             return ObservationEffect::Stale;
         }
-        let first_sight = engine.incarnation == Incarnation(0);
-        let restarted = observation.incarnation > engine.incarnation && !first_sight;
-        let eligibility =
+        let is_first_observation = engine.incarnation == Incarnation(0);
+        let is_restart = observation.incarnation > engine.incarnation && !is_first_observation;
+        let changes_eligibility =
             observation.health != engine.health || observation.weights != engine.weights;
         engine.incarnation = observation.incarnation;
         engine.weights = observation.weights;
         engine.health = observation.health;
         engine.load = observation.load;
         engine.reported_at = now;
-        engine.unseen.reported(now);
+        engine.unreported.on_load_report(now);
         if observation.load.eviction_age_ms > 0 {
             engine.eviction_age_ms = u64::from(observation.load.eviction_age_ms);
         }
-        if restarted {
+        if is_restart {
             ObservationEffect::Restarted
-        } else if eligibility || first_sight {
+        } else if changes_eligibility || is_first_observation {
             ObservationEffect::Eligibility
         } else {
             ObservationEffect::LoadOnly
@@ -333,15 +333,15 @@
     /// Notes whether an engine's observers are heard of. Returns whether it is new.
     pub fn set_unobserved(&mut self, index: EngineIndex, unobserved: bool) -> bool {
         let engine = self.get_mut(index);
-        let new = engine.unobserved != unobserved;
+        let is_changed = engine.unobserved != unobserved;
         engine.unobserved = unobserved;
-        new
+        is_changed
     }
 
     /// Counts a request that this node sends to an engine.
     pub fn record_sent(&mut self, index: EngineIndex, uncached_tokens: u32, now: Millis) {
         let engine = self.get_mut(index);
-        engine.unseen.add(uncached_tokens, now);
+        engine.unreported.add(uncached_tokens, now);
         engine.in_flight = engine.in_flight.saturating_add(1);
     }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -19,7 +19,7 @@
 //! | [`admission`] | rate limits and deadline admission |
 //! | [`retry`] | the retry budget |
 //! | [`attempt`] | the state of one attempt and what may be said of it |
-//! | [`telling`] | when a change is told to other nodes |
+//! | [`update_broadcast`] | when a change is told to other nodes |
 //! | [`request`] | the state machine of one request over all its attempts |
 
 pub mod admission;
@@ -40,4 +40,4 @@
 pub mod retry;
 pub mod snapshot;
 pub mod store_revision;
-pub mod telling;
+pub mod update_broadcast;
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -4,7 +4,7 @@
 //! what the caller is told. The node performs each [`Step`] and reports what
 //! came of it as an [`Event`].
 
-use crate::admission::ComeBack;
+use crate::admission::RetryAfter;
 use crate::attempt::{AttemptState, RunState};
 use crate::ids::Millis;
 use crate::retry::RetryBudget;
@@ -15,7 +15,7 @@
 /// milliseconds; after it the answer counts as broken.
 pub const STREAM_IDLE_MS: u64 = 10_000;
 /// Time to come back after a refusal without a better estimate, in milliseconds.
-pub const DEFAULT_COME_BACK_MS: u64 = 1_000;
+pub const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -29,13 +29,13 @@
     /// An earlier request holds the claim and its outcome is not recorded.
     ClaimHeld,
     /// The key was used for another request.
-    ClaimOfOther,
+    ClaimKeyReused,
     /// No majority answered, so it is not known whether the request ran before.
-    ClaimUnavailable(ComeBack),
+    ClaimUnavailable(RetryAfter),
     /// No engine is eligible.
     NoEngine,
     /// The attempt ended before the back end answered.
-    AttemptFailed(AttemptState, Option<ComeBack>),
+    AttemptFailed(AttemptState, Option<RetryAfter>),
     /// The back end began to answer.
     Head,
     /// The back end sent the piece of the answer at this position, from 0.
@@ -46,7 +46,7 @@
     /// The answer ended early.
     StreamBroken,
     /// Every eligible engine would answer after the deadline.
-    Overloaded(ComeBack),
+    Overloaded(RetryAfter),
     /// The deadline for the first byte passed while the attempt was in this state.
     DeadlinePassed(AttemptState),
 }
@@ -85,7 +85,7 @@
     /// What is known of the run.
     pub run_state: RunState,
     /// When a new try can succeed.
-    pub come_back: ComeBack,
+    pub retry_after: RetryAfter,
 }
 
 /// Why a request was given up.
@@ -122,28 +122,28 @@
 #[derive(Clone, Debug)]
 pub struct RequestMachine {
     repeatable: bool,
-    claim: bool,
+    needs_claim: bool,
     deadline: Millis,
     phase: Phase,
     attempts: u32,
     run_state: RunState,
     next_position: u64,
-    come_back: Option<ComeBack>,
+    retry_after: Option<RetryAfter>,
 }
 
 impl RequestMachine {
-    /// A request that was not started. `claim` asks for at most one run over
+    /// A request that was not started. `needs_claim` asks for at most one run over
     /// callers that try again; `repeatable` allows more than one attempt.
-    pub fn new(repeatable: bool, claim: bool, deadline: Millis) -> Self {
+    pub fn new(repeatable: bool, needs_claim: bool, deadline: Millis) -> Self {
         Self {
             repeatable,
-            claim,
+            needs_claim,
             deadline,
             phase: Phase::New,
             attempts: 0,
             run_state: RunState::NotRun,
             next_position: 0,
-            come_back: None,
+            retry_after: None,
         }
     }
 
@@ -177,20 +177,20 @@
             Event::Admitted => self.admitted(budget),
             Event::ClaimGranted => self.first_attempt(budget),
             Event::ClaimAnswered => self.replay(),
-            Event::ClaimHeld => self.held(),
-            Event::ClaimOfOther => self.give_up(RefusalReason::KeyReused),
-            Event::ClaimUnavailable(come_back) => self.claim_unavailable(come_back),
+            Event::ClaimHeld => self.claim_held(),
+            Event::ClaimKeyReused => self.give_up(RefusalReason::KeyReused),
+            Event::ClaimUnavailable(retry_after) => self.claim_unavailable(retry_after),
             Event::NoEngine => self.give_up(RefusalReason::NoEngine),
-            Event::AttemptFailed(state, come_back) => {
-                self.come_back = come_back.or(self.come_back);
+            Event::AttemptFailed(state, retry_after) => {
+                self.retry_after = retry_after.or(self.retry_after);
                 self.attempt_failed(state, budget, now)
             }
-            Event::Head => self.head(),
+            Event::Head => self.answer_begun(),
             Event::Piece(position) => self.piece(position, budget, now),
             Event::Completed(end) => self.completed(end, budget, now),
             Event::StreamBroken => self.stream_broken(budget, now),
-            Event::Overloaded(come_back) => {
-                self.come_back = Some(come_back);
+            Event::Overloaded(retry_after) => {
+                self.retry_after = Some(retry_after);
                 self.give_up(RefusalReason::Overloaded)
             }
             Event::DeadlinePassed(state) => self.deadline_passed(state),
@@ -198,7 +198,7 @@
     }
 
     fn admitted(&mut self, budget: &mut RetryBudget) -> Step {
-        if self.claim {
+        if self.needs_claim {
             self.phase = Phase::Claiming;
             return Step::Claim;
         }
@@ -224,13 +224,13 @@
         Step::Replay
     }
 
-    fn held(&mut self) -> Step {
+    fn claim_held(&mut self) -> Step {
         self.run_state = RunState::Started;
         self.give_up(RefusalReason::Duplicate)
     }
 
-    fn claim_unavailable(&mut self, come_back: ComeBack) -> Step {
-        self.come_back = Some(come_back);
+    fn claim_unavailable(&mut self, retry_after: RetryAfter) -> Step {
+        self.retry_after = Some(retry_after);
         self.give_up(RefusalReason::ClaimUnavailable)
     }
 
@@ -241,18 +241,18 @@
         now: Millis,
     ) -> Step {
         self.run_state = self.run_state.join(state.run_state());
-        let harmless = self.run_state == RunState::NotRun;
-        if (harmless || self.repeatable) && self.may_try_again(budget, now) {
+        let is_not_run = self.run_state == RunState::NotRun;
+        if (is_not_run || self.repeatable) && self.may_retry(budget, now) {
             return self.attempt();
         }
         self.give_up(RefusalReason::AttemptsFailed)
     }
 
-    fn may_try_again(&self, budget: &mut RetryBudget, now: Millis) -> bool {
+    fn may_retry(&self, budget: &mut RetryBudget, now: Millis) -> bool {
         self.attempts < MAX_ATTEMPTS && now < self.deadline && budget.try_take()
     }
 
-    fn head(&mut self) -> Step {
+    fn answer_begun(&mut self) -> Step {
         self.phase = Phase::Streaming;
         self.run_state = RunState::Started;
         Step::Wait
@@ -279,9 +279,9 @@
     }
 
     fn stream_broken(&mut self, budget: &mut RetryBudget, now: Millis) -> Step {
-        let continues = self.next_position > 0 || now < self.deadline;
-        let within = self.attempts < MAX_ATTEMPTS;
-        if self.repeatable && continues && within && budget.try_take() {
+        let may_continue = self.next_position > 0 || now < self.deadline;
+        let has_attempts_left = self.attempts < MAX_ATTEMPTS;
+        if self.repeatable && may_continue && has_attempts_left && budget.try_take() {
             return self.attempt();
         }
         self.give_up(RefusalReason::StreamLost)
@@ -300,9 +300,9 @@
         let refusal = Refusal {
             reason,
             run_state: self.run_state,
-            come_back: self
-                .come_back
-                .unwrap_or(ComeBack::after(DEFAULT_COME_BACK_MS)),
+            retry_after: self
+                .retry_after
+                .unwrap_or(RetryAfter::clamped(DEFAULT_RETRY_AFTER_MS)),
         };
         if self.next_position > 0 {
             Step::Abort(refusal)
--- a/crates/policy/src/telling.rs
+++ b/crates/policy/src/update_broadcast.rs
@@ -3,37 +3,37 @@
 use crate::ids::Millis;
 
 /// How often a change is told: datagrams are lost.
-const TELLINGS: u32 = 3;
+const BROADCASTS_PER_UPDATE: u32 = 3;
 /// Time from the first telling to the second, in milliseconds; it doubles.
-const FIRST_PAUSE_MS: u64 = 250;
+const FIRST_REPEAT_DELAY_MS: u64 = 250;
 
 /// The tellings of one change that are still due.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Telling {
-    left: u32,
+pub struct UpdateBroadcast {
+    remaining: u32,
     due_at: Millis,
 }
 
-impl Telling {
+impl UpdateBroadcast {
     /// A change that is told at once, and again.
     pub fn begin(now: Millis) -> Self {
         Self {
-            left: TELLINGS,
+            remaining: BROADCASTS_PER_UPDATE,
             due_at: now,
         }
     }
 
     /// Whether it is due now.
     pub fn is_due(&self, now: Millis) -> bool {
-        self.left > 0 && self.due_at <= now
+        self.remaining > 0 && self.due_at <= now
     }
 
     /// It is told now.
-    pub fn note_told(&mut self, now: Millis) {
+    pub fn record_broadcast(&mut self, now: Millis) {
         if self.is_due(now) {
-            let told = TELLINGS - self.left;
-            self.left -= 1;
-            self.due_at = now.plus(FIRST_PAUSE_MS << told);
+            let sent = BROADCASTS_PER_UPDATE - self.remaining;
+            self.remaining -= 1;
+            self.due_at = now.plus(FIRST_REPEAT_DELAY_MS << sent);
         }
     }
 }
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -5,7 +5,7 @@
 use ploverlift_policy::admission::{admit_by_deadline, TenantShares, TokenBucket};
 use ploverlift_policy::attempt::{AttemptState, RunState};
 use ploverlift_policy::chain::{ChainSeed, PromptChain};
-use ploverlift_policy::cost::{cache_worth, CostModel};
+use ploverlift_policy::cost::{expected_retention, CostModel};
 use ploverlift_policy::decide::{DecisionInput, RouteCandidates};
 use ploverlift_policy::directory::Directory;
 use ploverlift_policy::fleet::{EngineIndex, EngineKey};
@@ -100,8 +100,8 @@
         &(0u64..100_000, 0u64..100_000, 1u64..60_000),
         |(a, b, age)| {
             let (younger, older) = (a.min(b), a.max(b));
-            prop_assert!(cache_worth(younger, age) >= cache_worth(older, age));
-            prop_assert!(cache_worth(age, age) <= f64::EPSILON);
+            prop_assert!(expected_retention(younger, age) >= expected_retention(older, age));
+            prop_assert!(expected_retention(age, age) <= f64::EPSILON);
             Ok(())
         },
     );
@@ -205,9 +205,9 @@
     let outcome = runner().run(&(0.0f64..1e6, 0u64..100_000), |(expected, remaining)| {
         match admit_by_deadline(expected, remaining) {
             Ok(()) => prop_assert!(expected <= remaining as f64),
-            Err(come_back) => {
+            Err(retry_after) => {
                 prop_assert!(expected > remaining as f64);
-                prop_assert!((1..=60).contains(&come_back.retry_after_seconds()));
+                prop_assert!((1..=60).contains(&retry_after.retry_after_seconds()));
             }
         }
         Ok(())
--- a/crates/quarantine/src/exchange.rs
+++ b/crates/quarantine/src/exchange.rs
@@ -7,7 +7,7 @@
 use crate::suspect::{Claim, Cleared, Refusal, Suspect, CLAIM_HOLDS_MS};
 use ploverlift_balancing::names::PeerId;
 use ploverlift_policy::ids::Millis;
-use ploverlift_policy::telling::Telling;
+use ploverlift_policy::update_broadcast::UpdateBroadcast;
 use std::cmp::Reverse;
 
 /// Time for which a clearing is remembered, in milliseconds: whoever has not heard of it
@@ -67,7 +67,7 @@
         let mut news = Vec::new();
         for request in told {
             if let Some(suspect) = self.suspects.get_mut(&request) {
-                suspect.telling.note_told(now);
+                suspect.telling.record_broadcast(now);
                 if let Some(claim) = suspect.claim.as_mut().filter(|claim| claim.node == own) {
                     claim.told_at = now;
                 }
@@ -77,7 +77,7 @@
         let cleared = self.cleared.iter_mut();
         let due = cleared.filter(|cleared| cleared.telling.is_due(now));
         news.extend(due.take(MAX_TOLD).map(|cleared| {
-            cleared.telling.note_told(now);
+            cleared.telling.record_broadcast(now);
             cleared.told(now)
         }));
         news
@@ -184,7 +184,7 @@
         let known_now = is_known.then(|| self.told(request, now));
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.telling = match passes_on && known_before != known_now {
-                true => Telling::begin(now),
+                true => UpdateBroadcast::begin(now),
                 false => telling.unwrap_or_default(),
             };
         }
@@ -214,8 +214,8 @@
         let is_news = self.clear_and_tell(request, told.is_answer, cleared_at);
         if let Some(cleared) = self.cleared.last_mut().filter(|_| is_news) {
             cleared.telling = match passes_on {
-                true => Telling::begin(now),
-                false => Telling::default(),
+                true => UpdateBroadcast::begin(now),
+                false => UpdateBroadcast::default(),
             };
         }
         is_news
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -12,7 +12,7 @@
 use crate::suspect::{Claim, Cleared, Refusal, Suspect};
 use ploverlift_balancing::names::PeerId;
 use ploverlift_policy::ids::Millis;
-use ploverlift_policy::telling::Telling;
+use ploverlift_policy::update_broadcast::UpdateBroadcast;
 use ploverlift_routing::rate_limit::TenantTag;
 use ploverlift_routing::software::SoftwareVersion;
 use std::collections::{BTreeSet, HashMap};
@@ -272,7 +272,7 @@
             tenant: suspect.tenant,
             is_answer,
             at,
-            telling: Telling::begin(at),
+            telling: UpdateBroadcast::begin(at),
         });
         self.clear(request, at);
         true
--- a/crates/quarantine/src/suspect.rs
+++ b/crates/quarantine/src/suspect.rs
@@ -4,7 +4,7 @@
 use crate::fingerprint::RequestFingerprint;
 use ploverlift_balancing::names::PeerId;
 use ploverlift_policy::ids::Millis;
-use ploverlift_policy::telling::Telling;
+use ploverlift_policy::update_broadcast::UpdateBroadcast;
 use ploverlift_routing::rate_limit::TenantTag;
 use ploverlift_routing::software::SoftwareVersion;
 use std::collections::BTreeSet;
@@ -44,7 +44,7 @@
     pub(crate) tenant: TenantTag,
     pub(crate) is_answer: bool,
     pub(crate) at: Millis,
-    pub(crate) telling: Telling,
+    pub(crate) telling: UpdateBroadcast,
 }
 
 #[derive(Clone, Debug)]
@@ -57,7 +57,7 @@
     /// Copies of this node whose engine may have ended.
     pub(crate) unproven: u32,
     pub(crate) changed_at: Millis,
-    pub(crate) telling: Telling,
+    pub(crate) telling: UpdateBroadcast,
 }
 
 impl Suspect {
@@ -70,14 +70,14 @@
             refusal: None,
             unproven: 0,
             changed_at: now,
-            telling: Telling::default(),
+            telling: UpdateBroadcast::default(),
         }
     }
 
     /// Something has changed of which the others should hear.
     pub(crate) fn change(&mut self, now: Millis) {
         self.changed_at = now;
-        self.telling = Telling::begin(now);
+        self.telling = UpdateBroadcast::begin(now);
     }
 
     pub(crate) fn live_claim(&self, now: Millis) -> Option<Claim> {
--- a/crates/ratelimit/src/own_use.rs
+++ b/crates/ratelimit/src/own_use.rs
@@ -26,21 +26,21 @@
     pub fn ask(&mut self, tenant: TenantTag, tokens: u64, now: Millis) {
         let totals = self.tenants.entry(tenant).or_default();
         totals.asked += tokens;
-        totals.demand.note(tokens as f64, now);
+        totals.demand.add(tokens as f64, now);
     }
 
     /// Tokens were admitted.
     pub fn charge(&mut self, tenant: TenantTag, tokens: u64, now: Millis) {
         let totals = self.tenants.entry(tenant).or_default();
         totals.admitted += tokens;
-        totals.rate.note(tokens as f64, now);
+        totals.rate.add(tokens as f64, now);
     }
 
     /// Tokens that were admitted did not run.
     pub fn refund(&mut self, tenant: TenantTag, tokens: u64, now: Millis) {
         if let Some(totals) = self.tenants.get_mut(&tenant) {
             totals.admitted = totals.admitted.saturating_sub(tokens);
-            totals.rate.note(-(tokens as f64), now);
+            totals.rate.add(-(tokens as f64), now);
         }
     }
 
--- a/crates/ratelimit/src/parts.rs
+++ b/crates/ratelimit/src/parts.rs
@@ -170,10 +170,10 @@
         let more = (counted - used.counted) as f64;
         used.counted = counted;
         used.share = None;
-        used.rate.note(more, now);
+        used.rate.add(more, now);
         if more_asked > 0 && is_leading {
             used.asked += more_asked;
-            used.demand.note(more_asked as f64, now);
+            used.demand.add(more_asked as f64, now);
         }
         // What was held since it fell silent is taken out already.
         more - std::mem::take(&mut used.held)
--- a/crates/simulation/src/world/request_side.rs
+++ b/crates/simulation/src/world/request_side.rs
@@ -195,7 +195,7 @@
                 Event::ClaimAnswered
             }
             ClaimOutcome::Held => Event::ClaimHeld,
-            ClaimOutcome::OtherRequest => Event::ClaimOfOther,
+            ClaimOutcome::OtherRequest => Event::ClaimKeyReused,
             ClaimOutcome::Unavailable(come_back) => Event::ClaimUnavailable(come_back),
         };
         self.drive(node, by, event);
