--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,22 +1,22 @@
-//! Rate limits by tenant, shares of an overloaded pool, and admission by deadline.
+//! Rate limits per tenant, shares of an overloaded pool, and admission by deadline.
 
 use crate::ids::{Millis, TenantName};
 use std::collections::HashMap;
 
-/// A refusal by a limit: when to come back.
+/// The delay before a retry, returned with a rejection by a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryAfter {
-    /// Milliseconds after which a new try can succeed.
+    /// Milliseconds after which a retry can succeed.
     pub after_ms: u64,
 }
 
-/// Shortest time given in a refusal, in milliseconds.
+/// Shortest retry delay returned to a caller, in milliseconds.
 pub const MIN_RETRY_AFTER_MS: u64 = 1_000;
-/// Longest time given in a refusal, in milliseconds.
+/// Longest retry delay returned to a caller, in milliseconds.
 pub const MAX_RETRY_AFTER_MS: u64 = 60_000;
 
 impl RetryAfter {
-    /// A refusal with a time within the bounds.
+    /// A retry delay, clamped to [`MIN_RETRY_AFTER_MS`] and [`MAX_RETRY_AFTER_MS`].
     pub fn clamped(milliseconds: u64) -> Self {
         Self {
             after_ms: milliseconds.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS),
@@ -29,7 +29,7 @@
     }
 }
 
-/// A token bucket whose rate can change with a quota lease.
+/// A token bucket whose rate can change when the node's quota changes.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     tokens: f64,
@@ -39,7 +39,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(rate_per_second: f64, burst: f64, now: Millis) -> Self {
         let burst = burst.max(1.0);
         Self {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Changes rate and burst and keeps what is in the bucket, up to the new burst.
+    /// Changes rate and burst. Tokens in the bucket are kept, up to the new burst.
     pub fn set_rate(&mut self, rate_per_second: f64, burst: f64, now: Millis) {
         self.refill(now);
         self.rate_per_second = rate_per_second;
@@ -67,7 +67,7 @@
     /// Takes one token.
     ///
     /// # Errors
-    /// When the bucket is empty: the time until a token is there.
+    /// When the bucket is empty: the time until the next token is available.
     pub fn take(&mut self, now: Millis) -> Result<(), RetryAfter> {
         self.refill(now);
         if self.tokens >= 1.0 {
@@ -80,7 +80,7 @@
     }
 }
 
-/// Requests of each tenant that are under way in one pool, against its share.
+/// In-flight requests of each tenant in one pool, for comparison with its share.
 #[derive(Clone, Debug, Default)]
 pub struct TenantShares {
     in_flight: HashMap<TenantName, u32>,
@@ -88,8 +88,8 @@
 
 impl TenantShares {
     /// Whether one more request keeps the tenant within its share of an
-    /// overloaded pool. Only tenants with requests under way count, so an idle
-    /// tenant's share goes to the others.
+    /// overloaded pool. Only tenants with requests in flight count, so the share
+    /// of an idle tenant is divided among the others.
     pub fn within_share(
         &self,
         tenant: &TenantName,
@@ -119,13 +119,14 @@
         }
     }
 
-    /// Requests of all tenants that are under way.
+    /// In-flight requests of all tenants.
     pub fn total(&self) -> u32 {
         self.in_flight.values().sum()
     }
 }
 
-/// Refuses at once when the expected time to first token is beyond the deadline.
+/// Rejects a request immediately when its expected time to first token exceeds the time
+/// that remains before its deadline.
 ///
 /// # Errors
 /// The time after which the queue is expected to be short enough.
--- a/crates/policy/src/chain.rs
+++ b/crates/policy/src/chain.rs
@@ -1,16 +1,16 @@
 //! Prompts cut into blocks and hashed as a chain.
 //!
-//! The chain's seed is made of cache scope, model and weights version, so a
-//! block of another tenant or of older weights has another hash: it cannot
-//! match by construction, without a check at lookup.
+//! The chain's seed is derived from cache scope, model and weights version, so a
+//! block of another tenant or of older weights has a different hash. It cannot
+//! match by construction, so lookups need no further check.
 
 use crate::ids::{BlockHash, CacheScope, WeightsVersion};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What must be equal before two prompts may share cached blocks.
+/// Properties that must be equal for two prompts to share cached blocks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChainSeed<'a> {
-    /// Tenants outside the scope never share.
+    /// Scope within which cached blocks are shared.
     pub scope: &'a CacheScope,
     /// The model's name.
     pub model: &'a str,
@@ -26,21 +26,22 @@
     }
 }
 
-/// Separates seeds from other uses of the same hash function.
+/// Hash seed that separates chain seeds from other uses of the same hash function.
 const SCOPE_DOMAIN: u64 = 0x706c_6f76_6572;
 
 /// The blocks of one prompt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PromptChain {
-    /// Hash of every whole block, first to last.
+    /// Hash of every full block, first to last.
     pub blocks: Vec<BlockHash>,
-    /// Estimated tokens of the whole prompt, the last partial block included.
+    /// Estimated tokens of the whole prompt, including the last partial block.
     pub tokens: u32,
     /// Tokens in one block.
     pub block_tokens: u32,
 }
 
-/// Longest chain that is hashed; later blocks are left to the engine.
+/// Most blocks of a prompt that are hashed; only the engine's own cache covers later
+/// blocks.
 pub const MAX_CHAIN_BLOCKS: usize = 512;
 
 impl PromptChain {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Chains block identities that are already hashes, as traces record them.
+    /// Chains block identities that are already hashes, as in recorded traces.
     pub fn of_identities(seed: &ChainSeed<'_>, identities: &[u64], block_tokens: u32) -> Self {
         let mut parent = seed.hash();
         let mut blocks = Vec::with_capacity(identities.len());
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Tokens that a cached prefix of `blocks` whole blocks covers.
+    /// Tokens that a cached prefix of `blocks` full blocks covers.
     pub fn tokens_of(&self, blocks: usize) -> u32 {
         self.block_tokens
             .saturating_mul(blocks as u32)
--- a/crates/policy/src/cost.rs
+++ b/crates/policy/src/cost.rs
@@ -1,5 +1,5 @@
 //! The scoring function: the expected time to first token at one engine, in
-//! milliseconds, by terms.
+//! milliseconds, split into terms.
 
 use crate::fleet::Engine;
 use crate::ids::{Millis, ZoneName};
@@ -8,11 +8,11 @@
 /// Terms of an engine's cost, each in milliseconds of time to first token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cost {
-    /// Expected wait behind work that was sent before.
+    /// Expected wait for requests that were sent to the engine earlier.
     pub wait_ms: f64,
-    /// Prefill of tokens that are not cached, weighted by the operator.
+    /// Prefill of uncached tokens, multiplied by the pool's recompute weight.
     pub prefill_ms: f64,
-    /// Travel between this node's zone and the engine's, both ways.
+    /// Network round trip between this node's zone and the engine's.
     pub distance_ms: f64,
 }
 
@@ -23,40 +23,40 @@
     }
 }
 
-/// Constants of a pool and a site that the cost depends on.
+/// Pool and site constants that the cost depends on.
 #[derive(Clone, Debug)]
 pub struct CostModel {
     /// Time to prefill one token, in milliseconds.
     pub prefill_ms_per_token: f64,
-    /// Weight of recomputation over the plain time it takes.
+    /// Factor by which recomputation counts more than the time that it takes.
     pub recompute_weight: f64,
-    /// Travel one way between zones, in milliseconds.
+    /// One-way network latency between zones, in milliseconds.
     pub zone_distance_ms: f64,
-    /// Expected time until a place in a full batch is free, in milliseconds for each request ahead.
+    /// Expected wait for a slot of a full batch, in milliseconds per request ahead.
     pub slot_wait_ms: f64,
 }
 
-/// Expected wait for one place of a full batch, in milliseconds. Replaced by
-/// the measured drain rate once an engine reports one.
+/// Expected wait for one slot of a full batch, in milliseconds. Replaced by the
+/// measured rate at which slots become free once an engine reports one.
 pub const DEFAULT_SLOT_WAIT_MS: f64 = 50.0;
 
-/// How much of a cached prefix is still expected to be there, from 0 to 1.
+/// Share of a cached prefix that the engine is expected to still hold, from 0 to 1.
 ///
-/// Engines let the least recently used block go first, so a block is there
-/// until its age reaches the engine's eviction age: full worth up to
-/// [`SAFE_AGE_SHARE`] of it, then falling to nothing at the age itself.
+/// Engines evict the least recently used block first, so a block stays cached until its
+/// age reaches the engine's eviction age. The share is 1 up to [`SAFE_AGE_SHARE`] of that
+/// age and then falls linearly to 0 at the eviction age.
 pub fn expected_retention(age_ms: u64, eviction_age_ms: u64) -> f64 {
     let eviction_age = eviction_age_ms.max(1) as f64;
     let relative = age_ms as f64 / eviction_age;
     ((1.0 - relative) / (1.0 - SAFE_AGE_SHARE)).clamp(0.0, 1.0)
 }
 
-/// Share of the eviction age up to which a block is counted on in full.
+/// Share of the eviction age up to which a block is assumed to be cached.
 pub const SAFE_AGE_SHARE: f64 = 0.8;
 
 impl CostModel {
-    /// The cost of an engine for a prompt of `prompt_tokens`, of which it is
-    /// believed to hold `cached_tokens`, last used at `used_at`.
+    /// The cost of an engine for a prompt of `prompt_tokens`. `cached` holds the number
+    /// of tokens that the engine is believed to have cached and when they were last used.
     pub fn cost(
         &self,
         engine: &Engine,
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Prefill of what was sent before, less what the engine has done since its
-    /// report, and the wait for a place when the batch is full.
+    /// Prefill time of requests that were sent earlier, less the time that the engine has
+    /// worked since its report, plus the wait for a slot when the batch is full.
     fn wait(&self, engine: &Engine, now: Millis) -> f64 {
         let reported = f64::from(engine.load.queued_tokens) * self.prefill_ms_per_token;
         let done = now.since(engine.reported_at) as f64;
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -1,4 +1,4 @@
-//! The choice of an engine for one attempt, and the record that explains it.
+//! Chooses an engine for one attempt and records how the choice was made.
 
 use crate::chain::PromptChain;
 use crate::cost::{Cost, CostModel};
@@ -20,43 +20,43 @@
     PoolSelector(Mismatch),
     /// The route's selector does not match the engine's labels.
     RouteSelector(Mismatch),
-    /// The machine list says that it is leaving.
+    /// The machine list marks the engine as leaving.
     ListedLeaving,
-    /// Observers report a state in which it gets no work.
+    /// Its reported health excludes new work.
     Health(Health),
-    /// It serves other weights than the pool wants.
+    /// It serves a weights version other than the pool's.
     Weights(WeightsVersion),
-    /// Its observers are not heard of, and other engines are there.
+    /// No report from its observers arrived lately, and other engines are available.
     Unobserved,
 }
 
-/// One engine that was left out.
+/// An engine that was excluded, with the reason.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Exclusion {
     /// The engine.
     pub engine: EngineName,
-    /// By what it was left out.
+    /// Why it was excluded.
     pub reason: ExclusionReason,
 }
 
-/// Excluded engines that are remembered by name for one route.
+/// Most excluded engines that are recorded by name for one route.
 pub const MAX_EXCLUSIONS: usize = 256;
 
-/// The engines of a route, worked out once for each change of configuration or health.
+/// The engines of a route, recomputed on each change of configuration or health.
 #[derive(Clone, Debug, Default)]
 pub struct RouteCandidates {
     /// Engines that may serve the route.
     pub eligible: Vec<EngineIndex>,
-    /// Engines that may not, each with the reason; the first [`MAX_EXCLUSIONS`].
+    /// The first [`MAX_EXCLUSIONS`] engines that may not serve the route, with the reason.
     pub excluded: Vec<Exclusion>,
-    /// Further engines that may not.
+    /// Number of further excluded engines, beyond those in `excluded`.
     pub unlisted_exclusions: usize,
-    /// Weights versions among the eligible engines, in order.
+    /// Weights versions of the eligible engines, sorted and without duplicates.
     pub weights: Vec<WeightsVersion>,
 }
 
 impl RouteCandidates {
-    /// Sorts the fleet's engines into eligible and excluded ones.
+    /// Splits the fleet's engines into eligible and excluded ones.
     pub fn build(route: &Route, pool: &Pool, fleet: &Fleet) -> Self {
         let mut candidates = RouteCandidates::default();
         for (index, engine) in fleet.iter() {
@@ -83,7 +83,8 @@
         candidates
     }
 
-    /// Engines whose observers are silent are used only when there is no other.
+    /// Excludes engines without recent reports from their observers, unless no other engine
+    /// is eligible.
     fn exclude_unobserved(&mut self, fleet: &Fleet) {
         let unobserved = |index: &EngineIndex| fleet.get(*index).unobserved;
         if self.eligible.iter().all(unobserved) {
@@ -134,14 +135,14 @@
     None
 }
 
-/// Candidates of every route of a snapshot, in the snapshot's order of routes.
+/// Candidates of every route of a snapshot, in the snapshot's route order.
 #[derive(Clone, Debug, Default)]
 pub struct CandidateTable {
     routes: Vec<Arc<RouteCandidates>>,
 }
 
 impl CandidateTable {
-    /// Works out the candidates of all routes.
+    /// Computes the candidates of all routes.
     pub fn build(snapshot: &Snapshot, fleet: &Fleet) -> Self {
         let routes = snapshot
             .routes
@@ -160,7 +161,7 @@
     }
 }
 
-/// One engine that was scored.
+/// An engine that was scored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScoredCandidate {
     /// The engine.
@@ -171,16 +172,16 @@
     pub cost: Cost,
 }
 
-/// The outcome of a decision, with all that explains it.
+/// The outcome of a decision, with the data that explains it.
 #[derive(Clone, Debug)]
 pub struct Decision {
     /// The chosen engine.
     pub engine: EngineIndex,
     /// Hash of its name.
     pub key: EngineKey,
-    /// Its life at the time of the decision.
+    /// Its incarnation at the time of the decision.
     pub incarnation: Incarnation,
-    /// Its weights at the time of the decision.
+    /// Its weights version at the time of the decision.
     pub weights: WeightsVersion,
     /// Tokens of the prompt that it is believed to hold.
     pub cached_tokens: u32,
@@ -190,48 +191,51 @@
     pub scored: Vec<ScoredCandidate>,
 }
 
-/// Fleets up to this size are scored whole; of larger ones the holders of the
-/// prefix and a random sample of this many are scored.
+/// Up to this many eligible engines are all scored. Of more, the home engine, the holders
+/// of the prefix and a random sample of this size are scored.
 pub const MAX_SCORED: usize = 32;
 
-/// Blocks from the prompt's start by which its home engine is found: past the
-/// instructions that all prompts of a tenant share.
+/// Number of leading blocks that determine a prompt's home engine. It reaches past the
+/// instructions that all prompts of a tenant share, so that these do not all get the same
+/// home engine.
 pub const HOME_BLOCKS: usize = 4;
-/// Share of a prompt that its home engine is taken to hold when the directory
-/// has answered: enough to break ties the same way on every node.
+/// Share of a prompt that its home engine is assumed to have cached when the directory has
+/// answered: enough to break ties the same way on every node.
 pub const HOME_SHARE_KNOWN: f64 = 0.05;
-/// The same when the directory has not answered.
+/// Share of a prompt that its home engine is assumed to have cached when the directory has
+/// not answered.
 pub const HOME_SHARE_UNKNOWN: f64 = 0.7;
 
-/// Costs that differ by less than this are a tie, broken at random so that
-/// nodes with the same view do not all choose the same engine, in milliseconds.
+/// Costs within this many milliseconds of the lowest are a tie. Ties are broken at random,
+/// so that nodes with the same view do not all choose the same engine.
 pub const TIE_MS: f64 = 0.5;
 
-/// All that one decision reads.
+/// Input of one decision.
 pub struct DecisionInput<'a> {
     /// Engines that may serve the route.
     pub candidates: &'a RouteCandidates,
-    /// What is known of the engines.
+    /// Known state of the engines.
     pub fleet: &'a Fleet,
     /// The prompt.
     pub chain: &'a PromptChain,
-    /// Engines that hold a prefix of it.
+    /// Engines that are believed to hold a prefix of the prompt.
     pub matches: &'a [PrefixMatch],
-    /// Whether the directory's shard answered. Without it the node does not
-    /// know what others have placed.
+    /// Whether the directory's shard answered. Without its answer the node does not know
+    /// the placements of other nodes.
     pub directory_answered: bool,
-    /// Engines at which this request already failed.
+    /// Engines at which attempts of this request have failed.
     pub failed: &'a [EngineKey],
-    /// The pool's and site's constants.
+    /// Cost constants of the pool and site.
     pub model: &'a CostModel,
-    /// Zone of this node.
+    /// This node's zone.
     pub own_zone: &'a ZoneName,
     /// The present time.
     pub now: Millis,
 }
 
 impl DecisionInput<'_> {
-    /// Chooses the engine with the lowest cost; nothing when none is eligible.
+    /// Chooses an engine with the lowest cost, up to ties. Returns `None` when no candidate
+    /// can be scored.
     pub fn decide(&self, random: &mut fastrand::Rng) -> Option<Decision> {
         let home = self.home();
         let mut scored: Vec<(EngineIndex, u32, Cost)> = Vec::with_capacity(2 * MAX_SCORED);
@@ -247,9 +251,9 @@
         Some(self.record(index, cached_tokens, cost, &scored))
     }
 
-    /// The engine at which every node places a prompt that nobody is known to
-    /// hold: by rendezvous hash of the prompt's beginning, so that nodes that
-    /// do not hear of each other's placements still agree.
+    /// The engine at which every node places a prompt without a known holder. It is chosen
+    /// by rendezvous hash of the prompt's first blocks, so that nodes agree even when they
+    /// do not receive each other's placements.
     fn home(&self) -> Option<EngineIndex> {
         let last = self.chain.blocks.len().min(HOME_BLOCKS).checked_sub(1)?;
         let item = self.chain.blocks[last].0;
@@ -260,7 +264,7 @@
         self.candidates.eligible.iter().copied().max_by_key(weight)
     }
 
-    /// Share of the prompt that the home engine is taken to hold.
+    /// Share of the prompt that the home engine is assumed to have cached.
     fn home_share(&self) -> f64 {
         if self.directory_answered {
             HOME_SHARE_KNOWN
@@ -269,7 +273,8 @@
         }
     }
 
-    /// What the home engine is taken to hold: what is known, or the share.
+    /// Tokens that the home engine is assumed to have cached and their last use: the known
+    /// placement, or [`Self::home_share`] of the prompt if that is more.
     fn cached_at_home(&self, known: Option<(u32, Millis)>) -> Option<(u32, Millis)> {
         let assumed = (f64::from(self.chain.tokens) * self.home_share()) as u32;
         known
--- a/crates/policy/src/decimal.rs
+++ b/crates/policy/src/decimal.rs
@@ -1,11 +1,12 @@
-//! Numbers in headers of other parties: decimal digits alone.
+//! Parses numbers in headers that are sent by other parties: plain decimal notation only.
 
-/// Longest number that is read, in bytes.
+/// Longest number that is accepted, in bytes.
 const MAX_NUMBER_BYTES: usize = 24;
 /// Milliseconds in a second.
 const MS_PER_SECOND: f64 = 1_000.0;
 
-/// Reads digits with at most one point: no sign, exponent or word is a number here.
+/// Parses digits with at most one decimal point. Signs, exponents and words such as `inf`
+/// are rejected.
 pub fn read_decimal(text: &str) -> Option<f64> {
     let is_decimal = text
         .bytes()
@@ -14,7 +15,7 @@
     text.parse().ok().filter(|_| is_decimal && is_bounded)
 }
 
-/// Reads seconds as such a number; in milliseconds.
+/// Parses a number of seconds as [`read_decimal`] does and returns it in milliseconds.
 pub fn read_seconds_as_ms(text: &str) -> Option<u64> {
     read_decimal(text).map(|seconds| (seconds * MS_PER_SECOND) as u64)
 }
--- a/crates/policy/src/directory.rs
+++ b/crates/policy/src/directory.rs
@@ -1,18 +1,18 @@
-//! Which engine is believed to hold which prompt block.
+//! A directory of the engines that are believed to hold each prompt block.
 //!
-//! Placements are entered when they are decided, so the second request of a
-//! burst follows the first, and corrected by cache events and by what answers
-//! report as cached. An entry is bound to the engine's incarnation: entries of
-//! an earlier life of the engine never match.
+//! Placements are recorded when they are decided, so that the second request of a burst
+//! goes to the same engine as the first. Cache events and the cached token counts in
+//! answers correct them later. An entry is bound to the engine's incarnation: entries of
+//! an earlier incarnation never match.
 
 use crate::chain::PromptChain;
 use crate::fleet::EngineKey;
 use crate::ids::{BlockHash, Incarnation, Millis};
 use std::collections::{HashMap, VecDeque};
 
-/// Holders remembered for one block; the oldest gives way.
+/// Most holders that are recorded for one block; the least recently used is replaced.
 pub const MAX_HOLDERS: usize = 8;
-/// Engines that a lookup returns at most.
+/// Most engines that a lookup returns.
 pub const MAX_MATCHES: usize = 16;
 
 /// One engine's copy of one block.
@@ -20,9 +20,9 @@
 pub struct Placement {
     /// The engine that holds the block.
     pub engine: EngineKey,
-    /// The life of the engine in which it was stored.
+    /// The engine's incarnation when the block was stored.
     pub incarnation: Incarnation,
-    /// When it was last used.
+    /// When the block was last used.
     pub used_at: Millis,
 }
 
@@ -31,11 +31,11 @@
 pub struct PrefixMatch {
     /// The engine.
     pub engine: EngineKey,
-    /// The life of the engine in which the blocks were stored.
+    /// The engine's incarnation when the blocks were stored.
     pub incarnation: Incarnation,
-    /// Whole blocks from the prompt's start that it holds.
+    /// Full blocks that it holds, counted from the start of the prompt.
     pub blocks: u32,
-    /// When the deepest of them was last used.
+    /// When the last of these blocks was last used.
     pub used_at: Millis,
 }
 
@@ -49,13 +49,13 @@
 #[derive(Clone, Debug)]
 pub struct Directory {
     entries: HashMap<BlockHash, Holders>,
-    /// Blocks in second-chance order for eviction.
+    /// Blocks in eviction order, by the second-chance algorithm.
     order: VecDeque<(BlockHash, Millis)>,
     capacity: usize,
 }
 
 impl Directory {
-    /// A table of at most `capacity` blocks.
+    /// Creates a table of at most `capacity` blocks.
     pub fn new(capacity: usize) -> Self {
         Self {
             entries: HashMap::new(),
@@ -74,7 +74,7 @@
         self.entries.is_empty()
     }
 
-    /// Enters that `engine` holds `blocks` as of `now`.
+    /// Records that `engine` holds `blocks` as of `now`.
     pub fn record(
         &mut self,
         blocks: &[BlockHash],
@@ -141,24 +141,25 @@
         }
     }
 
-    /// Drops the entry of one engine for one block.
+    /// Removes the entry of one engine for one block.
     pub fn forget_block(&mut self, block: BlockHash, engine: EngineKey) {
         if let Some(holders) = self.entries.get_mut(&block) {
             holders.placements.retain(|known| known.engine != engine);
         }
     }
 
-    /// Drops everything that is believed of an engine, as after an event gap or a crash.
+    /// Removes all entries of an engine, for example after a gap in its cache events or a
+    /// crash.
     pub fn forget_engine(&mut self, engine: EngineKey) {
         for holders in self.entries.values_mut() {
             holders.placements.retain(|known| known.engine != engine);
         }
     }
 
-    /// Finds engines that hold a prefix of the chain, deepest first.
+    /// Finds engines that hold a prefix of the chain, longest prefix first.
     ///
-    /// `current` gives an engine's present incarnation; placements of another
-    /// incarnation do not match.
+    /// `current` returns an engine's current incarnation; placements of another incarnation
+    /// do not match.
     pub fn lookup(
         &self,
         chain: &PromptChain,
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What a node knows of each engine: identity, health, load and cache age.
+//! A node's view of each engine: identity, health, load and cache age.
 
 use crate::ids::{EngineName, Incarnation, Millis, WeightsVersion, ZoneName};
 use crate::labels::Labels;
@@ -35,27 +35,27 @@
     Unknown,
     /// Answers its observers.
     Ready,
-    /// Loads weights and serves nothing meanwhile.
+    /// Loads weights and serves no requests until that is done.
     Loading,
-    /// Said by itself or the machine list to be leaving.
+    /// Reported as leaving by itself or by the machine list.
     Leaving,
     /// Did not answer its observers.
     Dead,
 }
 
-/// What an engine last reported of its load.
+/// The load that an engine last reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
     /// Requests in the running batch.
     pub running: u32,
-    /// Requests waiting for a place in the batch.
+    /// Requests waiting for a slot in the batch.
     pub waiting: u32,
-    /// Places in the batch; zero when unknown.
+    /// Slots in the batch; zero when unknown.
     pub slots: u32,
     /// Prompt tokens not yet prefilled.
     pub queued_tokens: u32,
-    /// How long the block that gave way last had not been used, in
-    /// milliseconds; zero when none gave way yet.
+    /// Time since the last use of the block that was evicted last, in milliseconds; zero
+    /// before the first eviction.
     pub eviction_age_ms: u32,
 }
 
@@ -66,7 +66,7 @@
     pub name: EngineName,
     /// Hash of the name.
     pub key: EngineKey,
-    /// Listener.
+    /// Address of its listener.
     pub address: SocketAddr,
     /// Failure domain.
     pub zone: ZoneName,
@@ -76,41 +76,41 @@
     pub role: MachineRole,
     /// State in the machine list.
     pub listed: MachineState,
-    /// The engine's life; zero until it was observed.
+    /// The engine's incarnation; zero until it is first observed.
     pub incarnation: Incarnation,
-    /// Weights the engine serves.
+    /// Weights version that the engine serves.
     pub weights: WeightsVersion,
-    /// Health from observers.
+    /// Health as reported by its observers.
     pub health: Health,
-    /// None of its observers was heard of lately: what is known may be out of
-    /// date, and the engine is used only when no other is left.
+    /// No report from any of its observers arrived lately. Its state may be stale, and the
+    /// engine is used only when no other is eligible.
     pub unobserved: bool,
     /// Last load report.
     pub load: LoadReport,
-    /// When it came.
+    /// When the last load report arrived.
     pub reported_at: Millis,
-    /// What this node sent that no load report can show yet.
+    /// Requests of this node that no load report can include yet.
     pub unreported: UnreportedSends,
-    /// Requests of this node that are under way.
+    /// In-flight requests of this node.
     pub in_flight: u32,
-    /// How long a block lately stayed in the cache, in milliseconds.
+    /// Age at which blocks were recently evicted from the cache, in milliseconds.
     pub eviction_age_ms: u64,
 }
 
-/// Requests that were sent too lately to be in a load report.
+/// Requests that were sent too recently to be included in a load report.
 #[derive(Clone, Debug, Default)]
 pub struct UnreportedSends {
     sends: VecDeque<(Millis, u32)>,
     tokens: u32,
 }
 
-/// Sends that are remembered for one engine; more are joined with the last.
+/// Most sends that are recorded for one engine; further ones are added to the last entry.
 const MAX_UNREPORTED_SENDS: usize = 64;
-/// A load report shows the engine as it was this long before, in milliseconds.
+/// Age of the engine state that a load report shows on arrival, in milliseconds.
 pub const REPORT_AGE_MS: u64 = 60;
 
 impl UnreportedSends {
-    /// Adds a request with so many uncached tokens.
+    /// Adds a request with `uncached_tokens` tokens to prefill.
     pub fn add(&mut self, uncached_tokens: u32, now: Millis) {
         self.tokens = self.tokens.saturating_add(uncached_tokens);
         let full = self.sends.len() >= MAX_UNREPORTED_SENDS;
@@ -122,7 +122,8 @@
         }
     }
 
-    /// A load report came: what was sent before its state was taken is in it.
+    /// Removes the requests that a load report received at `now` includes: those sent at
+    /// least [`REPORT_AGE_MS`] earlier.
     pub fn on_load_report(&mut self, now: Millis) {
         while let Some((sent_at, tokens)) = self.sends.front().copied() {
             if now.since(sent_at) < REPORT_AGE_MS {
@@ -133,26 +134,26 @@
         }
     }
 
-    /// Uncached tokens of all of them.
+    /// Uncached tokens of all recorded requests.
     pub fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// Their number.
+    /// Number of recorded sends.
     pub fn requests(&self) -> u32 {
         self.sends.len() as u32
     }
 }
 
-/// Assumed lifetime of a cached block before any eviction was observed, in milliseconds.
+/// Assumed eviction age of a cached block until an eviction is observed, in milliseconds.
 pub const DEFAULT_EVICTION_AGE_MS: u64 = 30_000;
 
-/// What the machine list says of an engine.
+/// An engine's entry in the machine list.
 #[derive(Clone, Debug)]
 pub struct ListedEngine {
     /// Name.
     pub name: EngineName,
-    /// Listener.
+    /// Address of its listener.
     pub address: SocketAddr,
     /// Failure domain.
     pub zone: ZoneName,
@@ -165,7 +166,7 @@
 }
 
 impl From<ListedEngine> for Engine {
-    /// An engine that is listed and was not observed yet.
+    /// Creates a listed engine that has not been observed yet.
     fn from(listed: ListedEngine) -> Self {
         Self {
             key: EngineKey::of(&listed.name),
@@ -189,21 +190,21 @@
 }
 
 impl Engine {
-    /// Whether new work may be sent here.
+    /// Whether new requests may be sent to this engine.
     pub fn takes_work(&self) -> bool {
         let listed = self.listed == MachineState::Live;
         listed && matches!(self.health, Health::Ready | Health::Unknown)
     }
 }
 
-/// What observers publish of one engine.
+/// An observer's report on one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineObservation {
-    /// Which engine.
+    /// The engine.
     pub key: EngineKey,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Weights it serves.
+    /// Weights version that it serves.
     pub weights: WeightsVersion,
     /// Its health.
     pub health: Health,
@@ -211,20 +212,20 @@
     pub load: LoadReport,
 }
 
-/// A change that an observation caused and that eligibility depends on.
+/// The effect of an observation on the eligibility of its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObservationEffect {
-    /// Only load changed, or nothing.
+    /// At most the load changed.
     LoadOnly,
     /// Health or weights changed: candidate lists must be rebuilt.
     Eligibility,
     /// The engine restarted: its cache is empty and candidate lists must be rebuilt.
     Restarted,
-    /// The observation was of an earlier life and was dropped.
+    /// The observation was of an earlier incarnation or an unknown engine and was dropped.
     Stale,
 }
 
-/// All engines that the machine list names.
+/// All engines in the machine list.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     engines: Vec<Engine>,
@@ -232,7 +233,7 @@
 }
 
 impl Fleet {
-    /// Adds an engine or takes over its new address, labels and listed state.
+    /// Adds an engine, or updates the listed properties of a known one.
     pub fn upsert(&mut self, engine: Engine) -> EngineIndex {
         if let Some(index) = self.by_key.get(&engine.key).copied() {
             let known = &mut self.engines[index.0 as usize];
@@ -249,7 +250,7 @@
         index
     }
 
-    /// Removes every engine that `keep` refuses. Indices change.
+    /// Removes every engine for which `keep` returns false. Indices change.
     pub fn retain(&mut self, keep: impl Fn(&Engine) -> bool) {
         self.engines.retain(keep);
         self.by_key = self
@@ -268,7 +269,7 @@
         &self.engines[index.0 as usize]
     }
 
-    /// The engine at `index`, for a change.
+    /// Mutable access to the engine at `index`.
     ///
     /// # Panics
     /// When `index` comes from another fleet or from before a removal.
@@ -299,7 +300,7 @@
         self.engines.is_empty()
     }
 
-    /// Takes in what an observer said.
+    /// Applies an observer's report.
     pub fn observe(&mut self, observation: &EngineObservation, now: Millis) -> ObservationEffect {
         let Some(index) = self.find(observation.key) else {
             return ObservationEffect::Stale;
@@ -330,7 +331,8 @@
         }
     }
 
-    /// Notes whether an engine's observers are heard of. Returns whether it is new.
+    /// Sets whether an engine lacks recent reports from its observers. Returns whether that
+    /// changed.
     pub fn set_unobserved(&mut self, index: EngineIndex, unobserved: bool) -> bool {
         let engine = self.get_mut(index);
         let is_changed = engine.unobserved != unobserved;
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -1,4 +1,4 @@
-//! Newtypes for identifiers and units, so that two of them cannot be mixed up.
+//! Newtypes for identifiers and units, so that they cannot be confused.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -49,19 +49,19 @@
 }
 
 name_type!(
-    /// A node of the router, by its configured name. Stable over restarts.
+    /// The configured name of a router node. Stable across restarts.
     NodeName
 );
 name_type!(
-    /// An engine or plain back end, by its name in the machine list.
+    /// The name of an engine or plain back end in the machine list.
     EngineName
 );
 name_type!(
-    /// A tenant, by its object name.
+    /// The object name of a tenant.
     TenantName
 );
 name_type!(
-    /// A failure domain: nodes of one zone can be cut off from other zones.
+    /// A failure domain: the nodes of a zone can lose contact with other zones together.
     ZoneName
 );
 name_type!(
@@ -69,12 +69,12 @@
     RequestId
 );
 name_type!(
-    /// Prompts share cached blocks only inside one scope (by default, one tenant).
+    /// The scope within which prompts share cached blocks (by default, one tenant).
     CacheScope
 );
 
 number_type!(
-    /// Counts the lives of a process: a restart has a higher one.
+    /// Identifies one run of a process; higher after each restart.
     Incarnation
 );
 number_type!(
@@ -82,12 +82,12 @@
     WeightsVersion
 );
 number_type!(
-    /// A version given by the object API. Only rises.
+    /// A version assigned by the object API. Never decreases.
     ResourceVersion
 );
 number_type!(
-    /// How often a store has come back from a copy that lacks its last writes. Revisions
-    /// of an earlier era are given out again in a later one.
+    /// How often a store was restored from a copy that lacks its last writes. A later era
+    /// assigns revision numbers of an earlier one again.
     StoreEra
 );
 number_type!(
@@ -95,7 +95,7 @@
     BlockHash
 );
 number_type!(
-    /// A point in time, in milliseconds since an arbitrary start.
+    /// A point in time, in milliseconds since an arbitrary origin.
     Millis
 );
 
@@ -110,7 +110,7 @@
         Millis(self.0.saturating_add(milliseconds))
     }
 
-    /// The point `milliseconds` before this one, or the first point of all.
+    /// The point `milliseconds` before this one, or the origin if that is later.
     pub fn before(self, milliseconds: u64) -> Millis {
         Millis(self.0.saturating_sub(milliseconds))
     }
--- a/crates/policy/src/labels.rs
+++ b/crates/policy/src/labels.rs
@@ -16,7 +16,7 @@
         Self(BTreeMap::from(owned))
     }
 
-    /// The value of `key`, when it is set.
+    /// The value of `key`, if it is set.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.0.get(key).map(String::as_str)
     }
@@ -41,14 +41,14 @@
 pub struct Expression {
     /// The label's key.
     pub key: String,
-    /// How `values` are compared.
+    /// How the label is compared with `values`.
     pub operator: Operator,
     /// Empty for `Exists` and `DoesNotExist`.
     #[serde(default)]
     pub values: Vec<String>,
 }
 
-/// Matches labels when every condition holds. An empty selector matches all.
+/// Matches labels when every condition holds. An empty selector matches all labels.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct Selector {
@@ -63,9 +63,9 @@
 /// The first condition of a selector that did not hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mismatch {
-    /// The condition, as an operator would write it.
+    /// The condition, in readable form.
     pub condition: String,
-    /// What the label was, or nothing when it was not set.
+    /// The label's value, or `None` when it is not set.
     pub found: Option<String>,
 }
 
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Tells what is wrong with the expression itself, if anything.
+    /// Describes why the expression is invalid; `None` when it is valid.
     pub fn fault(&self) -> Option<&'static str> {
         let needs_values = matches!(self.operator, Operator::In | Operator::NotIn);
         if needs_values && self.values.is_empty() {
@@ -103,7 +103,7 @@
 }
 
 impl Selector {
-    /// A selector of exact labels.
+    /// A selector that requires exactly these label values.
     pub fn of_labels<const N: usize>(pairs: [(&str, &str); N]) -> Self {
         Self {
             match_labels: Labels::from_pairs(pairs).0,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Returns the first condition that does not hold, or nothing on a match.
+    /// Returns the first condition that does not hold, or `None` on a match.
     pub fn mismatch(&self, labels: &Labels) -> Option<Mismatch> {
         for (key, wanted) in &self.match_labels {
             let found = labels.get(key);
@@ -138,7 +138,7 @@
         None
     }
 
-    /// Whether every condition holds. Makes no text, unlike [`Selector::mismatch`].
+    /// Whether every condition holds. Unlike [`Selector::mismatch`], it formats no text.
     pub fn matches(&self, labels: &Labels) -> bool {
         let mut exact = self.match_labels.iter();
         let mut further = self.match_expressions.iter();
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,26 +1,26 @@
 //! Pure routing decisions: nothing in this crate reads a clock, a socket or a
 //! global random source. Time, randomness and messages are arguments, so the
-//! same code runs in a node, under the simulated network and in experiments.
+//! same code runs in a node, in network simulations and in experiments.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | [`ids`] | newtypes for every identifier and unit |
 //! | [`labels`] | labels and selectors |
 //! | [`objects`] | operator objects as the object API stores them, and their validation |
-//! | [`snapshot`] | the typed, indexed view of all objects that decisions read |
-//! | [`decaying_sum`] | rates of the recent past |
-//! | [`chain`] | prompts cut into hashed blocks |
-//! | [`prompt`] | the text that blocks are cut from |
+//! | [`snapshot`] | the typed, indexed view of all objects that decisions use |
+//! | [`decaying_sum`] | recent rates |
+//! | [`chain`] | prompts split into hashed blocks |
+//! | [`prompt`] | the prompt text that is split into blocks |
 //! | [`directory`] | which engine is believed to hold which block |
-//! | [`fleet`] | what is known of each engine |
+//! | [`fleet`] | known state of each engine |
 //! | [`cost`] | the scoring function, in milliseconds of time to first token |
-//! | [`decide`] | route match, candidate filter, choice, explanation |
-//! | [`decimal`] | numbers in headers of other parties |
+//! | [`decide`] | candidate filter, engine choice, explanation |
+//! | [`decimal`] | parsing of numbers in headers from other parties |
 //! | [`admission`] | rate limits and deadline admission |
 //! | [`retry`] | the retry budget |
-//! | [`attempt`] | the state of one attempt and what may be said of it |
-//! | [`update_broadcast`] | when a change is told to other nodes |
-//! | [`request`] | the state machine of one request over all its attempts |
+//! | [`attempt`] | the state of one attempt and the run state reported for it |
+//! | [`update_broadcast`] | the schedule on which a change is broadcast to other nodes |
+//! | [`request`] | the state machine of one request across all its attempts |
 
 pub mod admission;
 pub mod attempt;
--- a/crates/policy/src/object_checks.rs
+++ b/crates/policy/src/object_checks.rs
@@ -1,4 +1,4 @@
-//! Checks of objects: each refusal names the field, its value and the fix.
+//! Validation of objects: each error names the field, its value and the fix.
 
 use crate::labels::Selector;
 use crate::objects::{
@@ -11,10 +11,10 @@
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 
 impl Object {
-    /// Checks shape and bounds.
+    /// Checks the object's name, the shape of its specification and the bounds of its fields.
     ///
     /// # Errors
-    /// The first fault found, with the fix.
+    /// The first invalid field, with the fix.
     pub fn validate(&self) -> Result<(), ObjectError> {
         self.check_name()?;
         match self.kind {
--- a/crates/policy/src/objects.rs
+++ b/crates/policy/src/objects.rs
@@ -1,5 +1,4 @@
-//! The operator's objects in the form in which the object API holds them, and
-//! their validation.
+//! The operator's objects as the object API stores them.
 
 use crate::ids::{CacheScope, NodeName, ResourceVersion, ZoneName};
 use crate::labels::{Labels, Selector};
@@ -7,25 +6,25 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// The kinds of object that the router reads.
+/// Kinds of objects that the router reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
     /// A group of engines that serve one model or one plain service.
     Pool,
-    /// A caller organisation with its keys and limits.
+    /// An organisation that sends requests, with its keys and limits.
     Tenant,
-    /// Says which traffic goes to which pool.
+    /// Maps traffic to a pool.
     Route,
     /// An entry of the platform's machine list.
     Machine,
-    /// The agreed replicas that hold claims of requests that run at most once.
+    /// The agreed set of replicas that hold claims on requests that run at most once.
     ClaimGroup,
-    /// The right to a duty that needs one holder.
+    /// A lease on a duty that only one node may perform.
     Lease,
 }
 
 impl Kind {
-    /// Every kind, in the order in which they are listed.
+    /// Every kind, in listing order.
     pub const ALL: [Kind; 6] = [
         Kind::Pool,
         Kind::Tenant,
@@ -47,7 +46,7 @@
         }
     }
 
-    /// Finds a kind by its plural or singular name, in any case.
+    /// Finds a kind by its plural or singular name, ignoring case.
     pub fn parse(text: &str) -> Option<Kind> {
         let wanted = text.to_ascii_lowercase();
         Kind::ALL.into_iter().find(|kind| {
@@ -63,30 +62,30 @@
 pub struct Metadata {
     /// Unique within the kind.
     pub name: String,
-    /// Labels that selectors look at.
+    /// Labels that selectors match.
     #[serde(default)]
     pub labels: Labels,
-    /// Zero for an object that was never stored.
+    /// Version of the object; zero if it was never stored.
     #[serde(default)]
     pub resource_version: ResourceVersion,
 }
 
-/// One object. `spec` is checked by [`Object::validate`] before it is used.
+/// An object. [`Object::validate`] checks `spec` before it is used.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Object {
-    /// Which kind of object this is.
+    /// Kind of the object.
     pub kind: Kind,
     /// Name, labels and version.
     pub metadata: Metadata,
-    /// What the operator wants; its shape depends on `kind`.
+    /// Desired state; its shape depends on `kind`.
     pub spec: serde_json::Value,
-    /// What the system reports back.
+    /// State reported by the system.
     #[serde(default, skip_serializing_if = "serde_json::Value::is_null")]
     pub status: serde_json::Value,
 }
 
-/// The name by which objects refer to each other.
+/// Kind and name of an object, unique among all objects.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ObjectKey {
     /// Kind of the object.
@@ -95,13 +94,13 @@
     pub name: String,
 }
 
-/// What an engine pool is made of and how its engines behave.
+/// Specification of an engine pool: its members and the properties of its engines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct PoolSpec {
-    /// The model that callers name, or the plain service's name.
+    /// The model name in requests, or the name of the plain service.
     pub model: String,
-    /// Which machines belong to the pool.
+    /// Selects the machines that belong to the pool.
     #[serde(default)]
     pub selector: Selector,
     /// Size of the engines' cache blocks, in tokens.
@@ -113,13 +112,13 @@
     /// Time to prefill one uncached token, in microseconds.
     #[serde(default = "default_prefill_micros")]
     pub prefill_micros_per_token: u32,
-    /// Weight of recomputed tokens over the plain time they take.
+    /// Factor by which recomputed tokens count more than the time that they take.
     #[serde(default = "default_recompute_weight")]
     pub recompute_weight: f64,
-    /// How many engines may load weights at the same time.
+    /// Most engines that may load weights at the same time.
     #[serde(default = "default_concurrent_loads")]
     pub max_concurrent_loads: u32,
-    /// The weights that engines of the pool should serve; 0 accepts any.
+    /// Weights version that engines of the pool should serve; 0 accepts any.
     #[serde(default)]
     pub weights_version: u64,
 }
@@ -137,30 +136,31 @@
     DEFAULT_RECOMPUTE_WEIGHT
 }
 
-/// Recomputing a prefix elsewhere takes capacity from every later request. At
-/// the plain time it takes, a loaded fleet recomputes itself into collapse;
-/// docs/design/cost.md has the measurement.
+/// Default of [`PoolSpec::recompute_weight`]. Recomputing a prefix at another engine takes
+/// capacity from every later request. If it counted only the time that it takes, a loaded
+/// fleet would collapse under recomputation; docs/design/cost.md has the measurement.
 pub const DEFAULT_RECOMPUTE_WEIGHT: f64 = 3.0;
 fn default_concurrent_loads() -> u32 {
     2
 }
 
-/// A caller organisation.
+/// Specification of a tenant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct TenantSpec {
-    /// SHA-256 of each bearer key, in lower-case hexadecimal.
+    /// SHA-256 of each API key, in lower-case hexadecimal.
     pub key_hashes: Vec<String>,
-    /// Requests a second over the whole fleet; 0 is no limit.
+    /// Requests per second across the whole fleet; 0 means no limit.
     #[serde(default)]
     pub requests_per_second: u32,
-    /// Requests that may come at once after a pause.
+    /// Most requests accepted at once after an idle period.
     #[serde(default)]
     pub burst: u32,
-    /// Tenants with the same scope share cached prompts; empty means the tenant's own.
+    /// Tenants with the same scope share cached prompts; empty selects a scope of the
+    /// tenant's own.
     #[serde(default)]
     pub cache_scope: CacheScope,
-    /// Relative share of an overloaded pool.
+    /// Weight that determines the tenant's share of an overloaded pool.
     #[serde(default = "default_weight")]
     pub weight: u32,
 }
@@ -169,40 +169,41 @@
     1
 }
 
-/// Which traffic a route is for.
+/// The traffic that a route matches.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct RouteMatch {
-    /// Model or service names; empty matches every one.
+    /// Model or service names; empty matches all.
     #[serde(default)]
     pub models: Vec<String>,
-    /// Which tenants, by their labels.
+    /// Selects tenants by their labels.
     #[serde(default)]
     pub tenant_selector: Selector,
 }
 
-/// Sends matching traffic to a pool.
+/// Specification of a route, which sends matching traffic to a pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct RouteSpec {
-    /// Which traffic.
+    /// The traffic that the route matches.
     #[serde(default)]
     pub r#match: RouteMatch,
-    /// The pool that serves it.
+    /// Name of the pool that serves the traffic.
     pub pool: String,
-    /// Narrows the pool's engines further.
+    /// Restricts the route to some of the pool's engines.
     #[serde(default)]
     pub engine_selector: Selector,
-    /// Among matching routes the highest precedence wins; ties go to the first name.
+    /// Among matching routes the highest precedence wins; ties go to the route whose name
+    /// sorts first.
     #[serde(default)]
     pub precedence: i32,
-    /// False when a request may run at most once.
+    /// Whether a request may run more than once.
     #[serde(default = "default_true")]
     pub repeatable: bool,
-    /// Time a request may take to its first byte, in milliseconds.
+    /// Longest time from a request to the first byte of its answer, in milliseconds.
     #[serde(default = "default_deadline")]
     pub deadline_ms: u64,
-    /// Priority handed to the engine; lower runs first.
+    /// Priority passed to the engine; lower values run first.
     #[serde(default)]
     pub priority: i32,
 }
@@ -214,15 +215,15 @@
     30_000
 }
 
-/// What a machine of the machine list does.
+/// The role of a machine in the machine list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineRole {
     /// A model engine.
     Engine,
-    /// A plain service, called under `/services/`.
+    /// A plain service, reached under `/services/`.
     Service,
-    /// A node of the router.
+    /// A router node.
     Node,
 }
 
@@ -233,7 +234,7 @@
     /// In use.
     #[default]
     Live,
-    /// Finishes what it has and gets nothing new.
+    /// Drains: finishes its requests and receives no new ones.
     Leaving,
 }
 
@@ -241,9 +242,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct MachineSpec {
-    /// What the machine does.
+    /// Role of the machine.
     pub role: MachineRole,
-    /// `IP:port` of its listener.
+    /// Address of its listener, as `IP:port`.
     pub address: String,
     /// Its failure domain.
     pub zone: ZoneName,
@@ -252,49 +253,52 @@
     pub state: MachineState,
 }
 
-/// The replicas that together hold claims. A change of replicas has a higher generation.
+/// Specification of a claim group: the replicas that together hold claims. Each change of
+/// replicas has a higher generation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct ClaimGroupSpec {
-    /// Rises by one with every change of `replicas`.
+    /// Incremented on every change of `replicas`.
     pub generation: u64,
-    /// Names of the nodes that hold claims, at most one a zone where zones allow.
+    /// Names of the nodes that hold claims, at most one per zone if there are enough zones.
     pub replicas: Vec<NodeName>,
-    /// The replicas of the generation before, from which the new ones recover.
-    /// Empty for the first generation.
+    /// Replicas of the previous generation, from which the new ones recover claims. Empty
+    /// for the first generation.
     #[serde(default)]
     pub previous: Vec<NodeName>,
-    /// The lives of the replicas when this generation was made, in the order
-    /// of `replicas`. A replica in that same life has not voted in it before.
+    /// Incarnations of the replicas when this generation was created, in the order of
+    /// `replicas`. A replica that still runs in that incarnation has not voted in this
+    /// generation in an earlier one.
     #[serde(default)]
     pub lives: Vec<u64>,
 }
 
-/// The right to a duty, held until `expires_unix_ms`.
+/// A lease on a duty, held until `expires_unix_ms`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct LeaseSpec {
-    /// The node that holds the duty.
+    /// The lease holder.
     pub holder: NodeName,
-    /// The holder's life: after a restart a node is another holder.
+    /// The holder's incarnation. After a restart a node counts as a different holder.
     pub holder_life: u64,
-    /// Rises with every change of holder; engines refuse orders with a lower one.
+    /// Fencing token, raised on every change of holder; engines reject orders with a lower
+    /// one.
     pub fencing_token: u64,
-    /// End of the lease, in milliseconds of Unix time.
+    /// Expiry of the lease, in milliseconds since the Unix epoch.
     pub expires_unix_ms: u64,
 }
 
-/// Why an object was refused. The text names kind, object, field, value and the fix.
+/// Why an object was rejected. The message names its kind, name, field, value and the fix.
 #[derive(Debug, Snafu, PartialEq)]
 pub enum ObjectError {
-    /// The specification does not have the kind's shape.
-    #[snafu(display("{kind:?} '{name}': spec does not fit: {reason}"))]
+    /// The specification does not have the shape required by its kind.
+    #[snafu(display("{kind:?} '{name}': invalid spec: {reason}"))]
     Shape {
         /// Kind of the object.
         kind: Kind,
         /// Name of the object.
         name: String,
-        /// What the parser found, with the field's name.
+        /// The parser's error, with the name of the field.
         reason: String,
     },
     /// A field has a value outside its bounds.
@@ -306,18 +310,18 @@
         name: String,
         /// Path of the field.
         field: &'static str,
-        /// The value found.
+        /// The invalid value.
         value: String,
-        /// What to write instead.
+        /// How to correct the value.
         fix: &'static str,
     },
 }
 
 impl Object {
-    /// Builds an object that was not stored yet.
+    /// Creates an object that has not been stored yet.
     ///
     /// # Panics
-    /// When `spec` cannot be written as JSON, which no type of this module can cause.
+    /// When `spec` cannot be serialized as JSON, which no type of this module can cause.
     pub fn new(kind: Kind, name: &str, labels: Labels, spec: impl Serialize) -> Self {
         Self {
             kind,
@@ -339,7 +343,7 @@
         }
     }
 
-    /// Reads the specification as the type of its kind.
+    /// Deserializes the specification.
     ///
     /// # Errors
     /// [`ObjectError::Shape`] when a field is missing, unknown or of another type.
--- a/crates/policy/src/prompt.rs
+++ b/crates/policy/src/prompt.rs
@@ -1,8 +1,9 @@
-//! The text of a prompt as blocks are cut from it.
+//! Renders the prompt of a request as the text that is split into blocks.
 
 use serde_json::{Map, Value};
 
-/// Separates the parts of a prompt, so that moved borders give other blocks.
+/// Separates the parts of a prompt, so that the same text split into different parts gives
+/// different blocks.
 const PART_SEPARATOR: u8 = 0x1f;
 
 /// Renders the prompt of a chat or plain completion request: every message's
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -1,36 +1,36 @@
-//! The state machine of one request over its claim and all its attempts.
+//! The state machine of one request, covering its claim and all its attempts.
 //!
-//! It decides what may be tried again, what is delivered to the caller and
-//! what the caller is told. The node performs each [`Step`] and reports what
-//! came of it as an [`Event`].
+//! It decides which attempts may be retried, which data is delivered to the caller and
+//! which error the caller receives. The node performs each [`Step`] and reports the
+//! outcome as an [`Event`].
 
 use crate::admission::RetryAfter;
 use crate::attempt::{AttemptState, RunState};
 use crate::ids::Millis;
 use crate::retry::RetryBudget;
 
-/// Attempts at back ends for one request, the first included.
+/// Most attempts at back ends for one request, including the first.
 pub const MAX_ATTEMPTS: u32 = 4;
-/// Longest silence of a back end within an answer that has begun, in
-/// milliseconds; after it the answer counts as broken.
+/// Longest time without data from a back end once its answer has begun, in milliseconds;
+/// after it the stream counts as broken.
 pub const STREAM_IDLE_MS: u64 = 10_000;
-/// Time to come back after a refusal without a better estimate, in milliseconds.
+/// Retry delay returned with a rejection that has no better estimate, in milliseconds.
 pub const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
 
-/// What happened.
+/// An input of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The request was admitted.
     Admitted,
     /// A majority of replicas granted the claim.
     ClaimGranted,
-    /// An earlier request holds the claim and its whole answer is recorded.
+    /// An earlier request holds the claim and its complete answer is recorded.
     ClaimAnswered,
     /// An earlier request holds the claim and its outcome is not recorded.
     ClaimHeld,
-    /// The key was used for another request.
+    /// The idempotency key was used for another request.
     ClaimKeyReused,
-    /// No majority answered, so it is not known whether the request ran before.
+    /// No majority of replicas answered, so it is unknown whether the request ran before.
     ClaimUnavailable(RetryAfter),
     /// No engine is eligible.
     NoEngine,
@@ -40,72 +40,72 @@
     Head,
     /// The back end sent the piece of the answer at this position, from 0.
     Piece(u64),
-    /// The back end ended its answer, before the piece at this position where
-    /// it numbers them. A gap at the end is found by it.
+    /// The back end completed its answer. If it numbers the pieces, this is the position
+    /// after the last one, which reveals missing pieces at the end.
     Completed(Option<u64>),
-    /// The answer ended early.
+    /// The stream ended before the answer was complete.
     StreamBroken,
-    /// Every eligible engine would answer after the deadline.
+    /// Every eligible engine is expected to answer after the deadline.
     Overloaded(RetryAfter),
     /// The deadline for the first byte passed while the attempt was in this state.
     DeadlinePassed(AttemptState),
 }
 
-/// What to do next.
+/// The next action of the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Ask the claim's replicas.
+    /// Request the claim from its replicas.
     Claim,
-    /// Send to an engine; `from` is the first position that the caller lacks.
+    /// Send the request to an engine.
     Attempt {
-        /// The first position that is still to be delivered.
+        /// The first position that has not been delivered to the caller.
         from: u64,
     },
     /// Wait for the next event.
     Wait,
-    /// Give the piece to the caller.
+    /// Deliver the piece to the caller.
     Deliver,
-    /// Drop the piece, the caller has it.
+    /// Drop the piece because the caller already has it.
     Skip,
-    /// End the answer: it is whole.
+    /// End the answer, which is complete.
     Finish,
-    /// Give the caller the recorded answer of the earlier request.
+    /// Return the recorded answer of the earlier request.
     Replay,
-    /// Refuse; nothing was delivered yet.
+    /// Reject the request; nothing has been delivered yet.
     Refuse(Refusal),
-    /// End the answer with an error event; some of it was delivered.
+    /// End the answer with an error event; part of it has been delivered.
     Abort(Refusal),
 }
 
-/// What a caller is told when its request was given up.
+/// The error returned to the caller of a request that was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request was given up.
     pub reason: RefusalReason,
-    /// What is known of the run.
+    /// Whether the request ran, as far as is known.
     pub run_state: RunState,
-    /// When a new try can succeed.
+    /// The delay after which a retry can succeed.
     pub retry_after: RetryAfter,
 }
 
 /// Why a request was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// No engine may serve it now.
+    /// No engine is eligible at present.
     NoEngine,
     /// The claim is held by an earlier request.
     Duplicate,
     /// The idempotency key was used for another request.
     KeyReused,
-    /// The claim's replicas could not be asked.
+    /// No majority of the claim's replicas answered.
     ClaimUnavailable,
-    /// The queue is longer than the deadline allows.
+    /// The expected wait exceeds the deadline.
     Overloaded,
-    /// Attempts failed and no more may be made.
+    /// Attempts failed and no further one is allowed.
     AttemptsFailed,
     /// The deadline for the first byte passed.
     Deadline,
-    /// The answer's stream broke and may not be continued.
+    /// The stream broke and may not be resumed.
     StreamLost,
 }
 
@@ -118,7 +118,7 @@
     Ended,
 }
 
-/// One request.
+/// The state of one request.
 #[derive(Clone, Debug)]
 pub struct RequestMachine {
     repeatable: bool,
@@ -132,8 +132,9 @@
 }
 
 impl RequestMachine {
-    /// A request that was not started. `needs_claim` asks for at most one run over
-    /// callers that try again; `repeatable` allows more than one attempt.
+    /// Creates a request that has not started. With `needs_claim`, the request runs at most
+    /// once even if its caller retries; `repeatable` allows another attempt after one that
+    /// may have run.
     pub fn new(repeatable: bool, needs_claim: bool, deadline: Millis) -> Self {
         Self {
             repeatable,
@@ -147,28 +148,28 @@
         }
     }
 
-    /// A request whose caller already has every piece before `position`.
+    /// Resumes at `position`: the caller already has every piece before it.
     pub fn resume_at(mut self, position: u64) -> Self {
         self.next_position = position;
         self
     }
 
-    /// What is known of the run so far.
+    /// Whether the request has run, as far as is known.
     pub fn run_state(&self) -> RunState {
         self.run_state
     }
 
-    /// The first position that was not delivered.
+    /// The first position that has not been delivered.
     pub fn next_position(&self) -> u64 {
         self.next_position
     }
 
-    /// Whether the claim may be given back: the request did not run and never will.
+    /// Whether the claim may be released: the request did not run and never will.
     pub fn may_release_claim(&self) -> bool {
         self.phase == Phase::Ended && self.run_state == RunState::NotRun
     }
 
-    /// Takes in an event and says what to do next.
+    /// Handles an event and returns the next action.
     pub fn on(&mut self, event: Event, budget: &mut RetryBudget, now: Millis) -> Step {
         if self.phase == Phase::Ended {
             return Step::Wait;
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,12 +1,12 @@
-//! The retry budget: retries are a bounded share of recent first attempts, so
-//! that a failing fleet is not loaded further by its own router.
+//! The retry budget: limits retries to a share of recent first attempts, so that the
+//! router does not add much load to a fleet that is failing.
 
-/// Retries allowed for each first attempt.
+/// Retries credited for each first attempt.
 pub const RETRY_SHARE: f64 = 0.1;
-/// Retries that a quiet node may still make.
+/// Size of the budget, in retries. A node without recent requests may make this many.
 pub const RETRY_RESERVE: f64 = 10.0;
 
-/// Tokens of the budget; one retry takes one token.
+/// A token bucket of retries; each retry takes one token.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     tokens: f64,
@@ -26,7 +26,7 @@
         self.tokens = (self.tokens + RETRY_SHARE).min(RETRY_RESERVE);
     }
 
-    /// Takes one retry from the budget; false when it is spent.
+    /// Takes one retry from the budget; returns false when the budget is exhausted.
     pub fn try_take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -1,6 +1,6 @@
-//! The typed view of all objects that decisions read. It is rebuilt as a whole
-//! when an object changes and shared by reference, so a request sees one
-//! configuration from its start to its end.
+//! The typed view of all objects that decisions use. A new snapshot is built when an
+//! object changes and shared by reference, so each request uses one configuration from
+//! start to end.
 
 use crate::ids::{CacheScope, ResourceVersion, TenantName};
 use crate::labels::Labels;
@@ -33,7 +33,8 @@
 }
 
 impl Tenant {
-    /// The scope within which the tenant's cached prompts are shared.
+    /// The scope within which the tenant's cached prompts are shared. A prefix separates
+    /// scopes of single tenants from configured ones.
     pub fn cache_scope(&self) -> CacheScope {
         if self.spec.cache_scope.0.is_empty() {
             CacheScope(format!("tenant:{}", self.name))
@@ -52,43 +53,43 @@
     pub spec: RouteSpec,
 }
 
-/// An object that was left out of the view, and why.
+/// An object that was left out of the snapshot, with the reason.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rejected {
     /// Kind of the object.
     pub kind: Kind,
     /// Name of the object.
     pub name: String,
-    /// What is wrong with it.
+    /// The validation error.
     pub reason: String,
 }
 
 /// Pools, tenants and routes at one version of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// The highest version of any object in the view.
+    /// The highest object version in the snapshot.
     pub version: ResourceVersion,
     /// All pools, by name.
     pub pools: Arc<Vec<Pool>>,
-    /// All routes, in the order in which they are tried.
+    /// All routes, in matching order.
     pub routes: Arc<Vec<Route>>,
     /// All tenants.
     pub tenants: Arc<TenantTable>,
-    /// Objects that did not fit; the rest stays in force.
+    /// Invalid objects; all others stay in effect.
     pub rejected: Vec<Rejected>,
 }
 
-/// All tenants, found by name or by key. The table is kept in shards that are
-/// shared between views, so that a change copies one shard and not all tenants.
+/// All tenants, indexed by name and by API key. The table is split into shards that
+/// snapshots share, so that a change copies one shard and not all tenants.
 #[derive(Clone, Debug)]
 pub struct TenantTable {
     tenants: Vec<Arc<BTreeMap<TenantKey, Arc<Tenant>>>>,
-    /// Tenants by the beginning of a key's hash; the whole hash is compared
-    /// in constant time.
+    /// Tenants by the prefix of an API key's hash. The full hash is compared in constant
+    /// time.
     keys: Vec<Arc<HashMap<KeyPrefix, Vec<TenantKey>>>>,
 }
 
-/// Shards of a tenant table.
+/// Number of shards of a tenant table.
 const TENANT_SHARDS: usize = 128;
 
 impl Default for TenantTable {
@@ -100,7 +101,7 @@
     }
 }
 
-/// Hash of a tenant's name: the compact form used in messages.
+/// Hash of a tenant's name, the compact form used in messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantKey(pub u64);
 
@@ -111,10 +112,10 @@
     }
 }
 
-/// The beginning of a key's hash, in hexadecimal.
+/// The prefix of an API key's hash, in hexadecimal.
 type KeyPrefix = [u8; KEY_PREFIX_BYTES];
 
-/// Characters of a key's hash by which tenants are found.
+/// Length of the hash prefix that indexes tenants, in characters.
 const KEY_PREFIX_BYTES: usize = 16;
 
 fn key_prefix(hash: &str) -> Option<KeyPrefix> {
@@ -168,7 +169,7 @@
         }
     }
 
-    /// The tenant of this name.
+    /// The tenant with this name.
     pub fn get(&self, name: &TenantName) -> Option<&Arc<Tenant>> {
         self.get_by_key(TenantKey::of(name))
     }
@@ -178,7 +179,7 @@
         self.tenants[tenant_shard(key)].get(&key)
     }
 
-    /// All tenants, in no order that means anything.
+    /// All tenants, in unspecified order.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Tenant>> {
         self.tenants.iter().flat_map(|shard| shard.values())
     }
@@ -199,8 +200,8 @@
     }
 }
 
-/// Builds views by change, so that a change costs what it changes and not the
-/// whole configuration.
+/// Builds snapshots incrementally, so that the cost of a change depends on its size and
+/// not on that of the whole configuration.
 #[derive(Clone, Debug, Default)]
 pub struct SnapshotBuilder {
     version: ResourceVersion,
@@ -213,8 +214,8 @@
 }
 
 impl SnapshotBuilder {
-    /// Takes in an object, or its deletion. An object that does not fit is
-    /// listed and left out.
+    /// Applies an object, or its deletion when `object` is `None`. An invalid object is left
+    /// out and listed as rejected.
     pub fn apply(
         &mut self,
         kind: Kind,
@@ -294,7 +295,7 @@
         self.built_routes = Arc::new(routes);
     }
 
-    /// The view of everything that was taken in.
+    /// Builds a snapshot of all objects applied so far.
     pub fn build(&self) -> Snapshot {
         Snapshot {
             version: self.version,
@@ -307,7 +308,7 @@
 }
 
 impl Snapshot {
-    /// Builds the view of all objects at once.
+    /// Builds a snapshot of all given objects.
     pub fn of<'a>(objects: impl Iterator<Item = &'a Object>) -> Self {
         let mut builder = SnapshotBuilder::default();
         for object in objects {
@@ -317,12 +318,12 @@
         builder.build()
     }
 
-    /// Finds the tenant whose key this is.
+    /// Finds the tenant that owns an API key.
     pub fn authenticate(&self, key: &str) -> Option<&Arc<Tenant>> {
         self.tenants.find_by_hash(&hash_key(key))
     }
 
-    /// The first route that matches, in order of precedence.
+    /// The first matching route in order of precedence, with its position in `routes`.
     pub fn route(&self, tenant: &Tenant, model: &str) -> Option<(usize, &Route)> {
         self.routes.iter().enumerate().find(|(_, route)| {
             let rule = &route.spec.r#match;
@@ -343,7 +344,7 @@
         self.pools.get(position)
     }
 
-    /// Models and services that a tenant can reach, in order and without repeats.
+    /// Models and services that a tenant can reach, sorted and without duplicates.
     pub fn models_for(&self, tenant: &Tenant) -> Vec<&str> {
         let mut models: Vec<&str> = self
             .pools
@@ -357,7 +358,7 @@
     }
 }
 
-/// The lower-case hexadecimal SHA-256 of a bearer key, as tenants list it.
+/// The SHA-256 of an API key in lower-case hexadecimal, as in [`TenantSpec::key_hashes`].
 pub fn hash_key(key: &str) -> String {
     let digest = Sha256::digest(key.as_bytes());
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
--- a/crates/policy/src/update_broadcast.rs
+++ b/crates/policy/src/update_broadcast.rs
@@ -1,13 +1,15 @@
-//! When a change is told to other nodes: datagrams are lost, so it is told more than once.
+//! The schedule on which a change is broadcast to other nodes. Datagrams can be lost, so
+//! each change is sent more than once.
 
 use crate::ids::Millis;
 
-/// How often a change is told: datagrams are lost.
+/// Number of times a change is sent, because datagrams can be lost.
 const BROADCASTS_PER_UPDATE: u32 = 3;
-/// Time from the first telling to the second, in milliseconds; it doubles.
+/// Delay between the first and second broadcast, in milliseconds. Each further delay is
+/// twice as long.
 const FIRST_REPEAT_DELAY_MS: u64 = 250;
 
-/// The tellings of one change that are still due.
+/// The remaining broadcasts of one change. The default has none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UpdateBroadcast {
     remaining: u32,
@@ -15,7 +17,7 @@
 }
 
 impl UpdateBroadcast {
-    /// A change that is told at once, and again.
+    /// Starts the broadcasts of a change; the first is due immediately.
     pub fn begin(now: Millis) -> Self {
         Self {
             remaining: BROADCASTS_PER_UPDATE,
@@ -23,12 +25,13 @@
         }
     }
 
-    /// Whether it is due now.
+    /// Whether a broadcast is due.
     pub fn is_due(&self, now: Millis) -> bool {
         self.remaining > 0 && self.due_at <= now
     }
 
-    /// It is told now.
+    /// Records that the change is sent now and schedules the next broadcast. Has no effect
+    /// when none is due.
     pub fn record_broadcast(&mut self, now: Millis) {
         if self.is_due(now) {
             let sent = BROADCASTS_PER_UPDATE - self.remaining;
