--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,21 +1,24 @@
-//! Leases for duties that need one holder, with fencing, in a store that may forget.
+//! Leases with fencing tokens for duties that only one node may perform, kept in a store
+//! that may lose recent writes.
 //!
-//! Nothing here does I/O: time, what was read and what was heard are arguments.
+//! This crate does no I/O: time, lease reads and announcements of holders are arguments.
 //!
-//! - Clocks of nodes are never compared. A node counts a lease as expired when it has not
-//!   changed for the lease's whole duration by the node's own clock; the holder stops acting
-//!   before that.
-//! - A lease that is missing is not one that never was. A node that finds none, or only one
-//!   from before the store came back from a copy, waits as if it had just been renewed.
-//! - A fencing token names its node, so no two nodes share one, whatever the store has
-//!   forgotten. Tokens rise over all that a node has seen, heard and been refused, and
-//!   over the store's eras.
+//! - Clocks of different nodes are never compared. A node treats a lease as expired when it
+//!   has not changed for the lease's full duration by the node's own clock. The holder stops
+//!   acting before that.
+//! - A missing lease may have been lost by the store. A node that finds no lease, or only
+//!   one from before the store was restored from a copy, waits as if the lease had just been
+//!   renewed.
+//! - A fencing token contains the number of its node, so that two nodes do not share a token
+//!   even when the store has lost writes. A new token is higher than every token that the
+//!   node has read, received from other holders or had refused, and tokens rise with the
+//!   store's eras.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | [`token`] | fencing tokens: term and node |
 //! | [`timing`] | durations |
-//! | [`step`] | what a node should do about a lease, and why |
+//! | [`step`] | the next action of a node on a lease, and its reason |
 //! | [`view`] | one node's view of one lease |
 
 pub mod step;
--- a/crates/lease/src/step.rs
+++ b/crates/lease/src/step.rs
@@ -1,4 +1,4 @@
-//! What a node should do about a lease, and why.
+//! The next action of a node on a lease, and its reason.
 
 use crate::view::StoredLease;
 use ploverlift_policy::ids::{Millis, ResourceVersion};
@@ -6,24 +6,25 @@
 /// Why a node writes a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseReason {
-    /// It holds the lease and renews it.
+    /// The node holds the lease and renews it.
     Renewal,
-    /// It held the lease when the store came back from a copy, and still might act.
+    /// The node held the lease when the store was restored from a copy, and its right to
+    /// act has not ended yet.
     Continuation,
-    /// Its lease lapsed, and nobody has taken it.
+    /// The node's own lease lapsed, and no other node has taken it.
     Lapsed,
-    /// An engine refused its token, or a higher one is known.
+    /// An engine refused the node's token, or a higher token is known.
     Overtaken,
-    /// The holder is an earlier life of this node.
+    /// The holder is an earlier incarnation of this node.
     EarlierLife,
-    /// The holder did not renew for the lease's duration.
+    /// The holder did not renew the lease for its full duration.
     Expired,
-    /// There has been no lease for the lease's duration.
+    /// There has been no lease for a full lease duration.
     Absent,
 }
 
 impl LeaseReason {
-    /// Its name in logs.
+    /// The name of the reason in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Renewal => "renewal",
@@ -40,23 +41,24 @@
 /// A write of a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseWrite {
-    /// Version that must still be stored; 0 to create.
+    /// Version that the store must still have for the write to succeed; 0 to create the
+    /// lease.
     pub condition: ResourceVersion,
-    /// What to store; its version is not known yet.
+    /// The lease to store; its version is set by the store.
     pub lease: StoredLease,
-    /// When the write began; the lease counts from then.
+    /// When the write began; the lease's duration counts from then.
     pub began: Millis,
-    /// Why it is written.
+    /// Why the lease is written.
     pub reason: LeaseReason,
 }
 
-/// What a node should do about a lease.
+/// The next action of a node on a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// Nothing now.
+    /// Do nothing for now.
     Wait,
-    /// Store this.
+    /// Store the lease.
     Write(LeaseWrite),
-    /// The node may take the lease, and no token is left above those that are known.
+    /// The node may take the lease, but no token above the known ones is left.
     NoTokenLeft,
 }
--- a/crates/lease/src/timing.rs
+++ b/crates/lease/src/timing.rs
@@ -1,14 +1,14 @@
 //! Durations of a lease.
 
-/// Durations of a lease. Two holders never act within
-/// `duration_ms - stop_acting_after_ms` of each other.
+/// Durations of a lease. Actions of two holders are at least
+/// `duration_ms - stop_acting_after_ms` apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTiming {
-    /// A lease expires when it was not renewed for so long, in milliseconds.
+    /// Time without a renewal after which a lease expires, in milliseconds.
     pub duration_ms: u64,
-    /// The holder renews when so much has passed, in milliseconds.
+    /// Time after a renewal at which the holder renews again, in milliseconds.
     pub renew_after_ms: u64,
-    /// The holder stops acting when it has not renewed for so long, in milliseconds.
+    /// Time without a renewal after which the holder stops acting, in milliseconds.
     pub stop_acting_after_ms: u64,
 }
 
--- a/crates/lease/src/view.rs
+++ b/crates/lease/src/view.rs
@@ -1,4 +1,4 @@
-//! One node's view of one lease.
+//! A node's view of a lease.
 
 use crate::step::{LeaseReason, LeaseStep, LeaseWrite};
 use crate::timing::LeaseTiming;
@@ -6,59 +6,60 @@
 use ploverlift_policy::ids::{Millis, NodeName, ResourceVersion, StoreEra};
 use ploverlift_policy::objects::LeaseSpec;
 
-/// Pause after an engine refused a token before the next write, in milliseconds: an
-/// engine that refuses each token must not keep the store busy. An order waits for the
-/// store and the engine some 100 ms at most, so a load is late by little more than this.
+/// Backoff after an engine refused a token before the next write, in milliseconds. It keeps
+/// an engine that refuses every token from overloading the store with writes. An order
+/// waits about 100 ms at most for the store and the engine, so a weights load is delayed by
+/// little more than this backoff.
 const REFUSED_TOKEN_BACKOFF_MS: u64 = 250;
 
-/// A lease as the store has it.
+/// A lease as stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredLease {
-    /// Its version in the store.
+    /// Version in the store.
     pub version: ResourceVersion,
-    /// Holder and token.
+    /// Holder, fencing token and expiry.
     pub spec: LeaseSpec,
-    /// The era of the store in which its holder wrote it; 0 where the store has none.
+    /// The store era in which the holder wrote the lease; 0 if the store reports none.
     pub era: StoreEra,
 }
 
 impl StoredLease {
-    /// The holder's token.
+    /// The holder's fencing token.
     pub fn token(&self) -> FencingToken {
         FencingToken(self.spec.fencing_token)
     }
 }
 
-/// What a node has seen of the lease in the present era.
+/// The last state of the lease that a node has observed in the current store era.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Observed {
-    /// Nothing yet.
+    /// The lease has not been read yet.
     Unread,
-    /// The store has none since then.
+    /// The store has had no lease since then.
     Absent { since: Millis },
-    /// The store has had it just so since then.
+    /// The store has had this lease, unchanged, since then.
     Present { lease: StoredLease, since: Millis },
 }
 
-/// One node's view of one lease.
+/// A node's view of a lease.
 #[derive(Clone, Debug)]
 pub struct LeaseView {
     timing: LeaseTiming,
     own_name: NodeName,
     own_life: u64,
     own_number: NodeNumber,
-    /// The latest era of the store that is known.
+    /// The latest known era of the store.
     era: StoreEra,
     observed: Observed,
-    /// When the last renewal of the lease that is seen began, if it is this node's.
+    /// When the last renewal of the observed lease began, if this node wrote it.
     renewed_at: Option<Millis>,
-    /// Until when this node might have acted when the store came back from a copy. Nobody
-    /// else can have taken the lease before.
+    /// When this node's right to act under its lease of an earlier era would have ended.
+    /// Until then no other node can have taken the lease.
     prior_era_right_until: Option<Millis>,
     writing_since: Option<Millis>,
-    /// The highest token of anybody that is known.
+    /// The highest known token of any node.
     highest_known: FencingToken,
-    /// When another holder was last heard.
+    /// When another holder last announced its token.
     announced_at: Option<Millis>,
     /// The highest token that an engine has refused.
     highest_refused: FencingToken,
@@ -66,12 +67,12 @@
 }
 
 impl LeaseView {
-    /// A view that has seen nothing yet, with the usual durations.
+    /// Creates a view of a lease that has not been read yet, with the default durations.
     pub fn new(own_name: NodeName, own_life: u64) -> Self {
         Self::with_timing(own_name, own_life, LeaseTiming::default())
     }
 
-    /// A view that has seen nothing yet.
+    /// Creates a view of a lease that has not been read yet.
     pub fn with_timing(own_name: NodeName, own_life: u64, timing: LeaseTiming) -> Self {
         Self {
             timing,
@@ -90,8 +91,8 @@
         }
     }
 
-    /// The store is known to be in an era. In a later one than was known, what was seen of
-    /// the lease is void, and this node's right to act ends at once.
+    /// Records the store's era. When it is later than the known one, the observed lease is
+    /// discarded and this node's right to act ends immediately.
     pub fn on_era(&mut self, era: StoreEra, now: Millis) {
         if era <= self.era {
             return;
@@ -104,9 +105,9 @@
         self.renewed_at = None;
     }
 
-    /// Takes in the lease, or that there is none, as the store of an era told. `known_at` is
-    /// when this node first knew of it so. A lease of this node does not count as renewed
-    /// by it: when it was written is not known.
+    /// Handles a read of the lease, or of its absence, from the store in the given era.
+    /// `known_at` is when this node first knew that state. A read does not count as a renewal
+    /// of a lease of this node, because the time of the write is unknown.
     pub fn on_read(&mut self, lease: Option<StoredLease>, era: StoreEra, known_at: Millis) {
         self.on_era(era, known_at);
         if era < self.era {
@@ -131,13 +132,14 @@
         }
     }
 
-    /// A write of this node that `began` then was stored, as the store of an era told.
-    /// Written for another era it is no renewal: others may have acted in between.
+    /// Handles the confirmation, by the store in the given era, of a write of this node that
+    /// started at `began`. A write made for another era is no renewal, because other nodes
+    /// may have acted in between.
     pub fn on_written(&mut self, lease: StoredLease, began: Millis, era: StoreEra, now: Millis) {
         self.writing_since = None;
         self.on_era(era, now);
         if lease.era != era || era < self.era {
-            // It may be gone with the era, or stand where another lease did.
+            // The write may be lost with its era, or may have replaced another lease.
             self.observed = Observed::Unread;
             self.renewed_at = None;
             return;
@@ -150,13 +152,13 @@
         self.prior_era_right_until = None;
     }
 
-    /// A write failed or its reply was lost.
+    /// Handles a write that failed or whose response was lost.
     pub fn on_write_failed(&mut self) {
         self.writing_since = None;
     }
 
-    /// A holder told at `announced_at` that it acts under a token. The echo of this node's own
-    /// is ignored.
+    /// Handles the announcement at `announced_at` that a holder acts under a token. Tokens of
+    /// this node, sent back by others, do not count as announcements.
     pub fn on_holder_announced(&mut self, token: FencingToken, announced_at: Millis) {
         self.highest_known = self.highest_known.max(token);
         if token.node() != Some(self.own_number) {
@@ -164,15 +166,15 @@
         }
     }
 
-    /// An engine refused an order of this node because it has seen a higher token: this
-    /// node gives no more orders under this one, also when a renewal of it is on its way,
-    /// and the next write raises it.
+    /// Handles an engine's refusal of an order of this node because of a higher token. The
+    /// node gives no more orders under the refused token, even if a renewal with it is in
+    /// flight, and its next write raises the token.
     pub fn on_token_refused(&mut self, token: FencingToken, now: Millis) {
         self.highest_refused = self.highest_refused.max(token);
         self.refused_at = Some(now);
     }
 
-    /// The last lease that was seen in the present era.
+    /// The last lease that was observed in the current era.
     pub fn observed_lease(&self) -> Option<&StoredLease> {
         match &self.observed {
             Observed::Present { lease, .. } => Some(lease),
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Since when the store has been seen to have the lease, or none, as it is.
+    /// Since when the observed state, a lease or its absence, has been unchanged.
     pub fn observed_since(&self) -> Option<Millis> {
         match &self.observed {
             Observed::Unread => None,
@@ -188,30 +190,31 @@
         }
     }
 
-    /// Whether the lease must be read before anything can be done about it.
+    /// Whether the lease must be read before the node can act on it.
     pub fn is_unread(&self) -> bool {
         self.observed == Observed::Unread
     }
 
-    /// Whether the last lease that was seen is this node's of the present era, lapsed or
-    /// not.
+    /// Whether the last observed lease belongs to this node and the current era, even if it
+    /// has lapsed.
     pub fn is_own_lease(&self) -> bool {
         let last_read = self.observed_lease();
         last_read.is_some_and(|lease| self.is_own(lease) && self.is_of_present_era(lease))
     }
 
-    /// Whether another holder was heard within the lease's duration: nobody succeeds it.
+    /// Whether another holder announced its token within the lease's duration. Until that has
+    /// passed this node does not take over.
     pub fn has_recent_announcement(&self, now: Millis) -> bool {
         let announced_at = self.announced_at;
         announced_at.is_some_and(|announced_at| now.since(announced_at) < self.timing.duration_ms)
     }
 
-    /// The highest token that is known of anybody.
+    /// The highest known token of any node.
     pub fn highest_token(&self) -> FencingToken {
         self.highest_known
     }
 
-    /// The token for orders, while this node may act as the holder.
+    /// The token for orders; `None` when this node may not act as the holder.
     pub fn token(&self, now: Millis) -> Option<FencingToken> {
         let renewed_at = self.renewed_at?;
         let lease = self.observed_lease()?;
@@ -220,7 +223,7 @@
         may_act.then(|| lease.token())
     }
 
-    /// What to do at `now`. `is_candidate` tells whether this node is a candidate.
+    /// The next action at `now`. `is_candidate` is whether this node may become the holder.
     pub fn step(&mut self, is_candidate: bool, unix_ms: u64, now: Millis) -> LeaseStep {
         if self.must_pause(now) {
             return LeaseStep::Wait;
@@ -261,7 +264,7 @@
             || is_within(self.refused_at, REFUSED_TOKEN_BACKOFF_MS)
     }
 
-    /// Why this node may write the lease now, if it may.
+    /// The reason for this node to write the lease now; `None` when it may not.
     fn write_reason(&self, is_candidate: bool, now: Millis) -> Option<LeaseReason> {
         match &self.observed {
             Observed::Unread => None,
@@ -272,7 +275,7 @@
                 if !is_candidate || self.has_recent_announcement(now) {
                     return None;
                 }
-                // An earlier life of this node is certainly over.
+                // An earlier incarnation of this node is no longer running.
                 if lease.spec.holder == self.own_name {
                     return Some(LeaseReason::EarlierLife);
                 }
@@ -300,13 +303,14 @@
         let renewed_at = self.renewed_at.unwrap_or(Millis(0));
         let passed_ms = now.since(renewed_at);
         if passed_ms >= self.timing.stop_acting_after_ms {
-            // After a pause beyond the lease somebody else may have acted.
+            // After a pause longer than the lease another holder may have acted.
             return (!self.has_recent_announcement(now)).then_some(LeaseReason::Lapsed);
         }
         (passed_ms >= self.timing.renew_after_ms).then_some(LeaseReason::Renewal)
     }
 
-    /// There is no lease of the present era: whoever held the last one may still act.
+    /// The reason to write when there is no lease of the current era. The holder of the last
+    /// lease may still act, so other nodes wait for its expiry.
     fn era_reason(&self, is_candidate: bool, since: Millis, now: Millis) -> Option<LeaseReason> {
         if !is_candidate {
             return None;
@@ -338,7 +342,8 @@
         lease.era == self.era
     }
 
-    /// Whether a token above that of a lease of this node is known, or an engine refused it.
+    /// Whether a higher token than that of this node's lease is known, or an engine refused
+    /// the lease's token or a higher one.
     fn is_overtaken(&self, lease: &StoredLease) -> bool {
         lease.token() < self.highest_known || lease.token() <= self.highest_refused
     }
