--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,9 +1,10 @@
-//! The clock by which all ages, leases, proofs and deadlines count.
+//! The clock that all ages, leases, proofs and deadlines are measured with.
 //!
-//! A suspended machine's steady clock stands still, and so do all timers; what a node knew
-//! before it slept would seem as young as it was. This clock goes on meanwhile
-//! (`CLOCK_BOOTTIME`), and setting the time of day does not move it. Whoever waited on a
-//! timer wakes late and looks at the ages again before it acts.
+//! The monotonic clock and all timers stop while a machine is suspended, so by that clock
+//! the state of a node would seem as recent after the suspension as before. This clock
+//! (`CLOCK_BOOTTIME`) advances during a suspension and is not affected when the time of day
+//! is set. A task that waited on a timer is woken late and has to check ages again before it
+//! acts.
 
 use ploverlift_policy::ids::Millis;
 use rustix::time::{clock_gettime, ClockId};
@@ -11,11 +12,11 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What the clock shows at its start, in milliseconds: times before the start can be told
-/// from its zero.
+/// Reading of the clock at its start, in milliseconds. It is above zero so that points in
+/// time before the start can be represented and differ from zero.
 const START_MS: u64 = 1_000_000;
 
-/// A clock with a fixed start that never goes back.
+/// A clock that starts at a fixed reading and never goes back.
 #[derive(Clone, Debug)]
 pub struct Clock {
     start_ms: u64,
@@ -32,7 +33,7 @@
 }
 
 impl Clock {
-    /// A clock that can be moved on, as by a suspension of the machine.
+    /// Creates a clock and a handle that simulates suspensions of the machine, for tests.
     pub fn suspendable() -> (Self, Suspension) {
         let suspension = Suspension::default();
         let clock = Self {
@@ -49,14 +50,14 @@
     }
 }
 
-/// Suspensions of the machine, as a test plays them: the clock goes on and no timer does.
+/// Simulates suspensions of the machine in tests: the clock advances but timers do not.
 #[derive(Clone, Debug, Default)]
 pub struct Suspension {
     total_ms: Arc<AtomicU64>,
 }
 
 impl Suspension {
-    /// The machine sleeps for so long, in milliseconds.
+    /// Simulates a suspension of `milliseconds`.
     pub fn sleep(&self, milliseconds: u64) {
         self.total_ms.fetch_add(milliseconds, Ordering::AcqRel);
     }
@@ -66,14 +67,14 @@
     }
 }
 
-/// Time since the machine started, suspensions included, in milliseconds.
+/// Time since the machine booted, including suspensions, in milliseconds.
 fn boot_ms() -> u64 {
     let time = clock_gettime(ClockId::Boottime);
     time.tv_sec as u64 * 1_000 + time.tv_nsec as u64 / 1_000_000
 }
 
-/// The time of day in milliseconds since 1970, which only tells two lives of a node
-/// apart; 0 where the clock stands before that.
+/// Milliseconds since the Unix epoch; 0 if the system clock is set to an earlier time. It
+/// only distinguishes two incarnations of a node; durations are measured with [`Clock`].
 pub fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |duration| duration.as_millis() as u64)
--- a/crates/routing/src/configuration.rs
+++ b/crates/routing/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration of forwarded traffic, as one versioned document.
+//! The operator's configuration of forwarded traffic, one versioned document.
 
 use crate::rate_limit::RateLimit;
 use ploverlift_policy::ids::{TenantName, ZoneName};
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The name of a service: a set of engines that are alike.
+/// The name of a service, which is a set of interchangeable engines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceName(pub String);
 
@@ -22,22 +22,22 @@
     }
 }
 
-/// One version of the configuration, whole.
+/// A complete version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Rises with every change.
+    /// Version number, raised on every change.
     pub version: u64,
-    /// Routes in the order in which the operator wrote them.
+    /// Routes, in the operator's order.
     pub routes: Vec<Route>,
     /// Services by name.
     pub services: BTreeMap<ServiceName, Service>,
-    /// Tenants; nothing when requests need no key.
+    /// Tenants; `None` when requests need no API key.
     pub tenants: Option<Vec<Tenant>>,
-    /// Bounds on what a caller may send.
+    /// Limits on the requests of callers.
     pub limits: CallerLimits,
 }
 
-/// What may be done again with the requests of a route.
+/// Which retries the requests of a route allow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
     /// The request may run more than once.
@@ -46,7 +46,7 @@
     AtMostOnce,
     /// The answer is a stream of events.
     Stream {
-        /// Whether another engine may continue a stream at a position.
+        /// Whether another engine may resume a stream at a position.
         resumable: bool,
     },
 }
@@ -71,27 +71,27 @@
 pub struct Route {
     /// Name, for logs.
     pub name: String,
-    /// Host that the request must name.
+    /// Host that the request must be addressed to.
     pub host: String,
-    /// Start of the path, from a slash to a slash.
+    /// Path prefix, with a slash at both ends.
     pub path_prefix: String,
     /// Services and their weights; at least one.
     pub targets: Vec<WeightedTarget>,
-    /// What may be done again.
+    /// Which retries are allowed.
     pub delivery: Delivery,
-    /// Longest time that a request is held, in milliseconds.
+    /// Request time-out, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer is of full use, in milliseconds.
+    /// Latency objective of an answer, in milliseconds.
     pub objective_ms: u64,
-    /// Engines that one request may be sent to.
+    /// Most engines that one request may be sent to.
     pub max_attempts: u32,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub is_public: bool,
 }
 
-/// One service of a split route.
+/// A target service of a route that splits its traffic.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedTarget {
     /// The service.
@@ -103,36 +103,36 @@
 /// One service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Service {
-    /// Connections that one engine accepts from all callers together.
+    /// Connections that one engine accepts in total.
     pub max_connections: Option<u32>,
     /// Models that its engines serve; empty for a plain application.
     pub models: Vec<String>,
-    /// Tokens that one engine keeps.
+    /// Capacity of one engine's KV cache, in tokens.
     pub cache_capacity_tokens: Option<u64>,
-    /// Bytes of KV cache for each token.
+    /// KV cache size per token, in bytes.
     pub cache_token_bytes: Option<f64>,
-    /// Rate at which one engine moves KV cache, in megabits a second.
+    /// Bandwidth at which one engine transfers KV cache, in megabits per second.
     pub cache_link_mbps: Option<f64>,
-    /// Waiting calls for cache events that one engine holds at once; nothing
-    /// where engines tell no events.
+    /// Most pending long-poll calls for cache events that one engine accepts; `None` if its
+    /// engines report no cache events.
     pub max_event_calls: Option<u32>,
-    /// Address and zone, when the service is a KV cache store and no engine.
+    /// Properties of the KV cache store, if the service is one and has no engines.
     pub cache_store: Option<CacheStore>,
 }
 
 /// A KV cache store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CacheStore {
-    /// Where engines reach it.
+    /// Address at which engines reach it.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: ZoneName,
-    /// Tokens that it keeps.
+    /// Capacity, in tokens.
     pub capacity_tokens: u64,
-    /// Rate at which it moves KV cache, in megabits a second.
+    /// Bandwidth at which it transfers KV cache, in megabits per second.
     pub link_mbps: Option<f64>,
-    /// Waiting calls for its events that it holds at once; not limited where the
-    /// configuration does not tell.
+    /// Most pending long-poll calls for its events; unlimited if the configuration sets no
+    /// limit.
     pub max_event_calls: Option<u32>,
 }
 
@@ -141,26 +141,26 @@
 pub struct Tenant {
     /// Name.
     pub name: TenantName,
-    /// Keys that its callers send.
+    /// API keys of its callers.
     pub keys: Vec<String>,
-    /// Rank that goes before the route's.
+    /// Priority that overrides the route's.
     pub priority: Option<u8>,
-    /// Whether its cache is shared with nobody.
+    /// Whether its cached prompts are not shared with other tenants.
     pub is_isolated: bool,
-    /// What it may use; nothing where that is not limited.
+    /// Rate limit; `None` if its use is not limited.
     pub rate_limit: Option<RateLimit>,
 }
 
-/// Bounds on what a caller may send, and how slowly.
+/// Limits on the size and duration of callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest head, in bytes.
+    /// Largest request head, in bytes.
     pub max_head_bytes: usize,
-    /// Largest body, in bytes.
+    /// Largest request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time from the first byte of a head to its last, in milliseconds.
+    /// Longest time from the first to the last byte of a request head, in milliseconds.
     pub head_timeout_ms: u64,
-    /// Longest rest of a connection between two requests, in milliseconds.
+    /// Longest idle time of a connection between two requests, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
--- a/crates/routing/src/freshness.rs
+++ b/crates/routing/src/freshness.rs
@@ -1,10 +1,10 @@
-//! How long the configuration at hand may be relied on.
+//! How long the current configuration may be used.
 //!
-//! A key that was taken away must stop to work within a bound, also at a node
-//! that cannot reach the store any more. So a node may accept keys only while
-//! it can prove that its configuration was the newest a short time ago. The
-//! proof counts from the *sending* of the call that gave it: what the store
-//! acknowledged before that moment would have been in the answer.
+//! A revoked key must stop working within a bound, even at a node that can no longer reach
+//! the store. A node therefore accepts keys only while it can prove that its configuration
+//! was the newest one a short time ago. The age of a proof counts from the *sending* of the
+//! call that gave it: the answer includes every change that the store acknowledged before
+//! that.
 
 use ploverlift_policy::ids::Millis;
 
@@ -15,12 +15,12 @@
 }
 
 impl Freshness {
-    /// A call that was sent at `sent` showed the newest configuration.
+    /// Records that a call sent at `sent` returned the newest configuration.
     pub fn prove(&mut self, sent: Millis) {
         self.proven_at = self.proven_at.max(Some(sent));
     }
 
-    /// Time since the last proof, in milliseconds; nothing before the first.
+    /// Time since the last proof, in milliseconds; `None` before the first.
     pub fn age_ms(&self, now: Millis) -> Option<u64> {
         self.proven_at.map(|proven| now.since(proven))
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,18 +1,18 @@
-//! Which service a forwarded request belongs to, for whom, and on what terms.
+//! Routing of forwarded requests: route and service, tenant, limits and cache scope.
 //!
-//! Pure: no I/O, no clock. The runtime is `ploverlift-gateway`.
+//! This crate does no I/O and reads no clock. The runtime is `ploverlift-gateway`.
 //!
-//! | module | question it answers |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`configuration`] | what did the operator configure? |
-//! | [`table`] | which route does a host and path belong to? |
-//! | [`split`] | which service of the route takes this request? |
-//! | [`tenants`] | whose key is this? |
-//! | [`prompt`] | which parts does the prompt have, and which may be shared? |
-//! | [`freshness`] | may the configuration still be relied on? |
-//! | [`rate_limit`] | what may a tenant use? |
-//! | [`software`] | which versions of an engine's software may serve? |
-//! | [`topology`] | how far apart are two places? |
+//! | [`configuration`] | the operator's configuration |
+//! | [`table`] | route lookup by host and path |
+//! | [`split`] | choice of a route's service for a request |
+//! | [`tenants`] | tenant lookup by API key |
+//! | [`prompt`] | the parts of a prompt, and which of them may share cache |
+//! | [`freshness`] | whether the configuration is recent enough to accept keys |
+//! | [`rate_limit`] | rate limits of tenants |
+//! | [`software`] | which versions of an engine's software may serve a request |
+//! | [`topology`] | zones, regions and the distance between them |
 
 pub mod configuration;
 pub mod freshness;
--- a/crates/routing/src/prompt.rs
+++ b/crates/routing/src/prompt.rs
@@ -1,4 +1,4 @@
-//! A prompt as a chain of parts, and the names under which cache of it is kept.
+//! A prompt as a chain of parts, and the keys under which its cache is stored.
 
 use crate::tenants::TenantTerms;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -6,7 +6,7 @@
 /// One part of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names the part's content.
+    /// Identifies the part's content.
     pub id: u64,
     /// Its size, in tokens.
     pub tokens: u64,
@@ -17,24 +17,24 @@
 pub struct Prompt {
     /// The model.
     pub model: String,
-    /// Parts in order. The last belongs to the request or its session alone;
-    /// those before it may be shared with other requests.
+    /// Parts in order. The last belongs only to this request or its session; the others may
+    /// be shared with other requests.
     pub parts: Vec<PromptPart>,
-    /// Most tokens that are to be generated.
+    /// Most tokens to generate.
     pub max_output_tokens: u64,
 }
 
-/// The hash of a chain of parts: equal only for the same parts in the same
-/// order under the same model and cache scope.
+/// The hash of a chain of parts, equal only for the same parts in the same order under the
+/// same model and cache scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ChainKey(pub u64);
 
-/// The name of a part as it is kept under a salt.
+/// The key of a part that is cached under a salt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PartKey(pub u64);
 
 impl PartKey {
-    /// The part with this id under a salt.
+    /// The key of the part with this id under a salt.
     pub fn of(salt: &str, part: u64) -> Self {
         Self(xxh3_64_with_seed(salt.as_bytes(), part))
     }
@@ -47,7 +47,7 @@
 }
 
 impl Prompt {
-    /// The parts that other requests may have too.
+    /// The parts that other requests may share.
     pub fn shared_parts(&self) -> &[PromptPart] {
         let shared = self.parts.len().saturating_sub(1);
         &self.parts[..shared]
@@ -63,8 +63,8 @@
         self.shared_parts().iter().map(|part| part.tokens).sum()
     }
 
-    /// The key of all shared parts, under a cache scope. A prompt without
-    /// shared parts is keyed by its only part, so that a session stays together.
+    /// The key of all shared parts under a cache scope. A prompt without shared parts is keyed
+    /// by its only part, so that all requests of a session have the same key.
     pub fn shared_key(&self, scope: &str) -> ChainKey {
         let shared = self.shared_parts();
         let keyed = if shared.is_empty() {
@@ -81,7 +81,8 @@
     }
 }
 
-/// The scope in which cache may be shared: everyone's, or one tenant's.
+/// The scope within which cache may be shared: a tenant's own if it is isolated, else the
+/// common scope, which is empty.
 pub fn cache_scope(tenant: Option<&TenantTerms>) -> &str {
     match tenant {
         Some(terms) if terms.is_isolated => &terms.name,
@@ -89,9 +90,8 @@
     }
 }
 
-/// The name under which engines file cache. It spells out the version of the
-/// weights, the model and the scope, so cache of another tenant or of older
-/// weights cannot match.
+/// The salt under which engines store cache. It contains the weights version, the model and
+/// the scope, so that cache of another tenant or of older weights cannot match.
 pub fn cache_salt(model: &str, weights: u64, scope: &str) -> String {
     format!("{weights}/{model}/{scope}")
 }
--- a/crates/routing/src/rate_limit.rs
+++ b/crates/routing/src/rate_limit.rs
@@ -1,21 +1,21 @@
-//! Limits on what a tenant may use, over all nodes together.
+//! Rate limits of tenants, which apply to all nodes together.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What requests count by.
+/// The unit in which requests count against a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitUnit {
-    /// Each request counts one.
+    /// Each request counts as one unit.
     Requests,
-    /// A request counts the tokens of its prompt and the most that it may generate.
+    /// A request counts as the tokens of its prompt plus the most that it may generate.
     Tokens {
-        /// What a request counts that declares no tokens.
+        /// Tokens that a request counts as if it declares none.
         undeclared: u64,
     },
 }
 
 impl LimitUnit {
-    /// Its name in logs and answers.
+    /// The name of the unit in logs and answers.
     pub fn name(self) -> &'static str {
         match self {
             LimitUnit::Requests => "requests",
@@ -24,19 +24,19 @@
     }
 }
 
-/// A tenant's limit: so much a second, and so much on top at once.
+/// A tenant's rate limit, as rate and burst of a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Units a second.
+    /// Units per second.
     pub per_second: f64,
-    /// Units that may be used at once after a rest.
+    /// Units that may be used at once after an idle period.
     pub burst: f64,
-    /// What is counted.
+    /// The unit that is counted.
     pub unit: LimitUnit,
 }
 
 impl RateLimit {
-    /// What a request counts that declares so many tokens.
+    /// Units that a request with `declared_tokens` counts as.
     pub fn cost(&self, declared_tokens: Option<u64>) -> u64 {
         match self.unit {
             LimitUnit::Requests => 1,
@@ -45,13 +45,13 @@
     }
 }
 
-/// A short name of a tenant, the same on all nodes. Two of 16,000 tenants share one
-/// with a probability of 1 in 10^11.
+/// A hash that identifies a tenant, the same on all nodes. The probability that any two of
+/// 16,000 tenants have the same tag is 1 in 10^11.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantTag(pub u64);
 
 impl TenantTag {
-    /// The short name of a tenant.
+    /// The tag of the tenant with this name.
     pub fn of(name: &str) -> Self {
         Self(xxh3_64(name.as_bytes()))
     }
--- a/crates/routing/src/software.rs
+++ b/crates/routing/src/software.rs
@@ -1,8 +1,9 @@
-//! Versions of an engine's software, and which of them may serve a request.
+//! Versions of an engine's software, and rules for which of them may serve a request.
 
 use std::fmt;
 
-/// A version of an engine's software. Versions have no order of their own.
+/// A version of an engine's software. The derived order has no meaning: it does not tell
+/// which version is newer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SoftwareVersion(pub String);
 
@@ -12,22 +13,22 @@
     }
 }
 
-/// Which versions may serve a request.
+/// The software versions that may serve a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum SoftwareRule {
-    /// Each version: no rollout concerns the service.
+    /// Every version, as no rollout affects the service.
     #[default]
     Any,
-    /// One version alone.
+    /// Only this version.
     Only(SoftwareVersion),
-    /// Each version but one.
+    /// Every version except this one.
     Except(SoftwareVersion),
-    /// Each version but some.
+    /// Every version except these.
     ExceptAll(Vec<SoftwareVersion>),
 }
 
 impl SoftwareRule {
-    /// The rule without some versions; nothing when it then allows none.
+    /// Excludes further versions from the rule; `None` when no version is left.
     pub fn excluding(self, excluded: &[SoftwareVersion]) -> Option<Self> {
         if excluded.is_empty() {
             return Some(self);
--- a/crates/routing/src/split.rs
+++ b/crates/routing/src/split.rs
@@ -1,25 +1,27 @@
-//! Splitting the requests of one route between services by weight.
+//! Splits the requests of a route between its services by weight.
 
 use crate::configuration::{Route, ServiceName, WeightedTarget};
 use std::collections::HashMap;
 
-/// Turns among which a route's first one is drawn. It is a whole number of rounds for
-/// weights in percent or in thousandths; for others a target with a small weight is
-/// first a little too often or too rarely, and one under a thousandth never is.
+/// Number of positions in the round robin from which a route's start is chosen. It is a
+/// whole number of rounds for weights in percent or thousandths. With other weights, a
+/// target with a small weight comes first slightly too often or too rarely, and one with a
+/// share under a thousandth never comes first.
 const START_TURNS: f64 = 1_000.0;
 
-/// Chooses targets so that at every moment each has had its share, by the
-/// smooth weighted round robin: the target that is furthest behind is next.
+/// Chooses targets by smooth weighted round robin: the target that is furthest behind its
+/// share is next, so that each has received its share at any time.
 #[derive(Debug, Default)]
 pub struct WeightedSplitter {
     credits: HashMap<String, Vec<f64>>,
 }
 
 impl WeightedSplitter {
-    /// The service for the next request of a route. `start` in 0 to 1 tells
-    /// where a route begins; nodes that begin alike would serve their first
-    /// requests alike, and in a large fleet with few requests a node the
-    /// targets with a small weight would get nothing.
+    /// The service for the next request of a route; `None` if the route has no targets.
+    /// `start`, from 0 to 1, sets the position at which the route starts and should differ
+    /// between nodes. If all nodes started at the same position, they would send their first
+    /// requests to the same targets, and in a large fleet with few requests per node the
+    /// targets with a small weight would receive none.
     pub fn next<'a>(&mut self, route: &'a Route, start: f64) -> Option<&'a ServiceName> {
         if route.targets.len() < 2 {
             return route.targets.first().map(|target| &target.service);
@@ -35,14 +37,15 @@
         Some(&route.targets[index].service)
     }
 
-    /// Forgets routes that are no more.
+    /// Removes the state of routes that no longer exist.
     pub fn retain(&mut self, routes: &[Route]) {
         self.credits
             .retain(|name, _| routes.iter().any(|route| route.name == *name));
     }
 }
 
-/// The target that is furthest behind; it is charged with the request.
+/// Returns the index of the target that is furthest behind its share and charges it for the
+/// request.
 fn next_target(credits: &mut [f64], targets: &[WeightedTarget]) -> usize {
     let total: f64 = targets.iter().map(|target| target.weight).sum();
     for (credit, target) in credits.iter_mut().zip(targets) {
--- a/crates/routing/src/tenants.rs
+++ b/crates/routing/src/tenants.rs
@@ -1,4 +1,4 @@
-//! Finding a tenant by the key that its caller sent.
+//! Finds a tenant by the API key in a request.
 
 use crate::configuration::Tenant;
 use crate::rate_limit::RateLimit;
@@ -8,28 +8,28 @@
 
 type KeyHash = [u8; 32];
 
-/// Tenants by the hashes of their keys. Keys themselves are not kept, and a
-/// look-up by hash takes no longer for a key that is nearly right.
+/// Tenants by the hashes of their API keys. The keys themselves are not stored. A lookup by
+/// hash does not reveal by its duration how much of a key is right.
 #[derive(Clone, Debug, Default)]
 pub struct TenantDirectory {
     by_key: HashMap<KeyHash, Arc<TenantTerms>>,
 }
 
-/// What a tenant is granted.
+/// The settings of a tenant that apply to its requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantTerms {
-    /// Name, as engines learn it.
+    /// Name, as passed to engines.
     pub name: String,
-    /// Rank that goes before the route's.
+    /// Priority that overrides the route's.
     pub priority: Option<u8>,
-    /// Whether its cache is shared with nobody.
+    /// Whether its cached prompts are not shared with other tenants.
     pub is_isolated: bool,
-    /// What it may use; nothing where that is not limited.
+    /// Rate limit; `None` if its use is not limited.
     pub rate_limit: Option<RateLimit>,
 }
 
 impl TenantDirectory {
-    /// A directory of these tenants.
+    /// Creates a directory of the given tenants.
     pub fn new(tenants: &[Tenant]) -> Self {
         let mut by_key = HashMap::new();
         for tenant in tenants {
@@ -46,7 +46,7 @@
         Self { by_key }
     }
 
-    /// The tenant that holds a key.
+    /// The tenant that owns an API key.
     pub fn find(&self, key: &str) -> Option<&Arc<TenantTerms>> {
         self.by_key.get(&hash(key))
     }
--- a/crates/routing/src/topology.rs
+++ b/crates/routing/src/topology.rs
@@ -1,10 +1,10 @@
-//! Where nodes, engines and KV cache stores are, and how far apart.
+//! The zones and regions of nodes, engines and KV cache stores, and their distances.
 
 use ploverlift_policy::ids::ZoneName;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A region: zones that are near each other.
+/// The name of a region, which is a group of zones that are near each other.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RegionName(pub String);
 
@@ -14,19 +14,19 @@
     }
 }
 
-/// How far apart two places are.
+/// The distance between two zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Distance {
     /// Both are in one zone.
     SameZone,
-    /// They are in two zones of one region, or of regions that are not known.
+    /// They are in two zones of one region, or the region of either is not known.
     SameRegion,
-    /// They are in two regions.
+    /// They are in different regions.
     OtherRegion,
 }
 
 impl Distance {
-    /// Its name in logs and metrics.
+    /// The name of the distance in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::SameZone => "zone",
@@ -43,24 +43,24 @@
 }
 
 impl Topology {
-    /// The regions of all zones.
+    /// Creates a topology from the region of each zone.
     pub fn new(regions: BTreeMap<ZoneName, RegionName>) -> Self {
         Self { regions }
     }
 
-    /// The region of a zone, where it is known.
+    /// The region of a zone, if known.
     pub fn region_of(&self, zone: &ZoneName) -> Option<&RegionName> {
         self.regions.get(zone)
     }
 
-    /// The zones that are in other regions than a zone.
+    /// The zones that are in a different region from the given zone.
     pub fn zones_far_from<'a>(&'a self, zone: &'a ZoneName) -> impl Iterator<Item = &'a ZoneName> {
         let zones = self.regions.keys();
         zones.filter(move |other| self.distance(zone, other) == Distance::OtherRegion)
     }
 
-    /// How far apart two zones are. A zone without a known region is taken to be in
-    /// the same one: a site that names no regions has one.
+    /// The distance between two zones. A zone without a known region is assumed to be in the
+    /// same region, because a site that configures no regions has only one.
     pub fn distance(&self, from: &ZoneName, to: &ZoneName) -> Distance {
         if from == to {
             return Distance::SameZone;
