--- a/crates/clock/tests/clock.rs
+++ b/crates/clock/tests/clock.rs
@@ -7,24 +7,24 @@
 const SLACK_MS: u64 = 50;
 
 #[test]
-fn it_runs_as_the_steady_clock_does_while_the_machine_is_awake() {
+fn the_clock_advances_with_the_monotonic_clock() {
     let clock = Clock::default();
-    let (began, steady) = (clock.now(), Instant::now());
+    let (start, monotonic) = (clock.now(), Instant::now());
     std::thread::sleep(Duration::from_millis(60));
-    let steady_ms = steady.elapsed().as_millis() as u64;
-    let passed_ms = clock.now().since(began);
+    let monotonic_ms = monotonic.elapsed().as_millis() as u64;
+    let passed_ms = clock.now().since(start);
     assert!(
-        passed_ms.abs_diff(steady_ms) <= SLACK_MS,
-        "{passed_ms} and {steady_ms}"
+        passed_ms.abs_diff(monotonic_ms) <= SLACK_MS,
+        "{passed_ms} and {monotonic_ms}"
     );
 }
 
 #[test]
-fn a_suspension_moves_it_on_in_all_its_copies() {
+fn a_suspension_advances_all_copies_of_the_clock() {
     let (clock, suspension) = Clock::suspendable();
     let copy = clock.clone();
-    let began = clock.now();
+    let start = clock.now();
     suspension.sleep(10_000);
-    assert!(clock.now().since(began) >= 10_000);
-    assert!(copy.now().since(began) >= 10_000);
+    assert!(clock.now().since(start) >= 10_000);
+    assert!(copy.now().since(start) >= 10_000);
 }
--- a/crates/lease/tests/leases/schedules.rs
+++ b/crates/lease/tests/leases/schedules.rs
@@ -1,7 +1,7 @@
 //! A lease under random schedules: nodes that pause and restart, writes whose answers are
 //! lost, that are not done, or that are done late, and a store that forgets.
 
-use crate::world::{Action, Breaches, World, Write};
+use crate::world::{Action, Violations, World, Write};
 use proptest::prelude::*;
 
 const NODES: usize = 3;
@@ -10,29 +10,29 @@
     prop_oneof![
         4 => Just(Write::Answered),
         1 => Just(Write::AnswerLost),
-        1 => Just(Write::NotDone),
-        1 => (100u64..6_000).prop_map(Write::DoneAfter),
+        1 => Just(Write::NotApplied),
+        1 => (100u64..6_000).prop_map(Write::AppliedAfter),
     ]
 }
 
 /// What happens where the store keeps what it has.
 fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
-        6 => write().prop_map(Action::Keep),
-        2 => Just(Action::Look),
+        6 => write().prop_map(Action::RenewOrTake),
+        2 => Just(Action::Read),
         6 => Just(Action::Order),
-        1 => Just(Action::Refused),
+        1 => Just(Action::RefuseToken),
         1 => Just(Action::Restart),
-        2 => Just(Action::Hear),
+        2 => Just(Action::ReceiveAnnouncement),
     ]
 }
 
 /// The same where it forgets.
-fn forgetful_action() -> impl Strategy<Value = Action> {
+fn lossy_action() -> impl Strategy<Value = Action> {
     prop_oneof![
         12 => action(),
-        1 => Just(Action::Copy),
-        1 => Just(Action::Restore),
+        1 => Just(Action::CopyStore),
+        1 => Just(Action::RestoreStore),
         1 => Just(Action::LoseLease),
     ]
 }
@@ -54,8 +54,8 @@
     prop::collection::vec((pause(), 0..NODES, action), 1..120)
 }
 
-fn play(tells_era: bool, schedule: Vec<Step>) -> World {
-    let mut world = World::new(NODES, tells_era);
+fn run_schedule(reports_era: bool, schedule: Vec<Step>) -> World {
+    let mut world = World::new(NODES, reports_era);
     for (pause, node, action) in schedule {
         world.now = world.now.plus(pause);
         world.act(node, action);
@@ -67,15 +67,15 @@
     #![proptest_config(ProptestConfig { cases: 2_000, ..ProptestConfig::default() })]
 
     #[test]
-    fn orders_of_two_machines_are_never_near(schedule in schedule(action())) {
-        let world = play(true, schedule);
-        prop_assert_eq!(world.breaches(), Breaches::default(), "{:?}", world.orders);
+    fn no_schedule_violates_the_lease_rules(schedule in schedule(action())) {
+        let world = run_schedule(true, schedule);
+        prop_assert_eq!(world.violations(), Violations::default(), "{:?}", world.orders);
     }
 
     #[test]
-    fn the_same_holds_where_the_store_has_no_eras(schedule in schedule(action())) {
-        let world = play(false, schedule);
-        prop_assert_eq!(world.breaches(), Breaches::default(), "{:?}", world.orders);
+    fn no_schedule_violates_the_lease_rules_without_store_eras(schedule in schedule(action())) {
+        let world = run_schedule(false, schedule);
+        prop_assert_eq!(world.violations(), Violations::default(), "{:?}", world.orders);
     }
 }
 
@@ -85,20 +85,20 @@
     /// Two nodes gave orders under one token, or in turns, after the store had forgotten the
     /// lease of the first.
     #[test]
-    fn no_orders_of_two_machines_are_near_where_the_store_forgets(
-        schedule in schedule(forgetful_action()),
+    fn no_schedule_violates_the_lease_rules_when_the_store_loses_writes(
+        schedule in schedule(lossy_action()),
     ) {
-        let world = play(true, schedule);
-        prop_assert_eq!(world.breaches(), Breaches::default(), "{:?}", world.orders);
+        let world = run_schedule(true, schedule);
+        prop_assert_eq!(world.violations(), Violations::default(), "{:?}", world.orders);
     }
 
     /// The same where no answer tells that the store has forgotten: tokens alone are kept
     /// apart then.
     #[test]
-    fn no_token_is_shared_where_the_store_forgets_in_silence(
-        schedule in schedule(forgetful_action()),
+    fn no_schedule_shares_a_token_when_the_store_loses_writes_silently(
+        schedule in schedule(lossy_action()),
     ) {
-        let world = play(false, schedule);
-        prop_assert_eq!(world.breaches().shared_tokens, 0, "{:?}", world.orders);
+        let world = run_schedule(false, schedule);
+        prop_assert_eq!(world.violations().shared_tokens, 0, "{:?}", world.orders);
     }
 }
--- a/crates/lease/tests/leases/search.rs
+++ b/crates/lease/tests/leases/search.rs
@@ -1,6 +1,6 @@
 //! Every schedule of a bounded length, beside the random ones.
 
-use crate::world::{Action, Breaches, World, Write, TIMING};
+use crate::world::{Action, Violations, World, Write, TIMING};
 
 /// Steps of a schedule after the first node has taken the lease.
 const DEPTH: usize = 5;
@@ -10,14 +10,14 @@
 
 /// What may happen in each step. After it both nodes give an order, if they may.
 const STEPS: [(usize, Action); 9] = [
-    (0, Action::Keep(Write::Answered)),
-    (1, Action::Keep(Write::Answered)),
-    (0, Action::Keep(Write::AnswerLost)),
-    (1, Action::Keep(Write::DoneAfter(1_200))),
-    (0, Action::Keep(Write::DoneAfter(1_200))),
-    (1, Action::Look),
-    (0, Action::Copy),
-    (0, Action::Restore),
+    (0, Action::RenewOrTake(Write::Answered)),
+    (1, Action::RenewOrTake(Write::Answered)),
+    (0, Action::RenewOrTake(Write::AnswerLost)),
+    (1, Action::RenewOrTake(Write::AppliedAfter(1_200))),
+    (0, Action::RenewOrTake(Write::AppliedAfter(1_200))),
+    (1, Action::Read),
+    (0, Action::CopyStore),
+    (0, Action::RestoreStore),
     (0, Action::LoseLease),
 ];
 
@@ -25,32 +25,32 @@
 #[derive(Debug, Default)]
 struct Found {
     schedules: usize,
-    turns: usize,
-    broken: Option<World>,
+    handovers: usize,
+    violating: Option<World>,
 }
 
 /// Node 0 has the lease; node 1 has seen what was there before.
-fn begun(tells_era: bool) -> World {
-    let mut world = World::new(2, tells_era);
-    world.act(0, Action::Look);
-    world.act(1, Action::Look);
-    world.act(0, Action::Copy);
+fn world_with_holder(reports_era: bool) -> World {
+    let mut world = World::new(2, reports_era);
+    world.act(0, Action::Read);
+    world.act(1, Action::Read);
+    world.act(0, Action::CopyStore);
     world.now = world.now.plus(TIMING.duration_ms);
-    world.act(0, Action::Keep(Write::Answered));
+    world.act(0, Action::RenewOrTake(Write::Answered));
     world.act(0, Action::Order);
     world
 }
 
-fn search(world: &World, depth: usize, is_sound: fn(&Breaches) -> bool, found: &mut Found) {
-    if !is_sound(&world.breaches()) {
-        found.broken.get_or_insert_with(|| world.clone());
+fn search(world: &World, depth: usize, is_valid: fn(&Violations) -> bool, found: &mut Found) {
+    if !is_valid(&world.violations()) {
+        found.violating.get_or_insert_with(|| world.clone());
         return;
     }
     if depth == 0 {
         found.schedules += 1;
         let orders = world.orders.windows(2);
-        let turns = orders.filter(|pair| pair[0].node != pair[1].node);
-        found.turns += turns.count();
+        let handovers = orders.filter(|pair| pair[0].node != pair[1].node);
+        found.handovers += handovers.count();
         return;
     }
     for pause in PAUSES {
@@ -60,42 +60,42 @@
             next.act(node, action);
             next.act(0, Action::Order);
             next.act(1, Action::Order);
-            search(&next, depth - 1, is_sound, found);
+            search(&next, depth - 1, is_valid, found);
         }
     }
 }
 
-fn search_from(tells_era: bool, depth: usize, is_sound: fn(&Breaches) -> bool) -> Found {
+fn search_from(reports_era: bool, depth: usize, is_valid: fn(&Violations) -> bool) -> Found {
     let mut found = Found::default();
-    search(&begun(tells_era), depth, is_sound, &mut found);
+    search(&world_with_holder(reports_era), depth, is_valid, &mut found);
     found
 }
 
 /// Two nodes gave orders under one token, or in turns, after the store had forgotten the
 /// lease of the first.
 #[test]
-fn no_short_schedule_has_orders_of_two_machines_near_each_other() {
-    let found = search_from(true, DEPTH, |breaches| *breaches == Breaches::default());
+fn no_short_schedule_violates_the_lease_rules() {
+    let found = search_from(true, DEPTH, |observed| *observed == Violations::default());
     assert!(
-        found.broken.is_none(),
+        found.violating.is_none(),
         "{:?}",
-        found.broken.map(|world| world.orders)
+        found.violating.map(|world| world.orders)
     );
     assert_eq!(
         found.schedules,
         (PAUSES.len() * STEPS.len()).pow(DEPTH as u32)
     );
-    assert!(found.turns > 0, "no schedule hands the lease over");
+    assert!(found.handovers > 0, "no schedule hands the lease over");
 }
 
 /// The same where no answer tells that the store has forgotten.
 #[test]
-fn no_short_schedule_shares_a_token_where_the_store_forgets_in_silence() {
-    let found = search_from(false, DEPTH - 1, |breaches| breaches.shared_tokens == 0);
+fn no_short_schedule_shares_a_token_when_the_store_loses_writes_silently() {
+    let found = search_from(false, DEPTH - 1, |observed| observed.shared_tokens == 0);
     assert!(
-        found.broken.is_none(),
+        found.violating.is_none(),
         "{:?}",
-        found.broken.map(|world| world.orders)
+        found.violating.map(|world| world.orders)
     );
-    assert!(found.turns > 0, "no schedule hands the lease over");
+    assert!(found.handovers > 0, "no schedule hands the lease over");
 }
--- a/crates/lease/tests/leases/tokens.rs
+++ b/crates/lease/tests/leases/tokens.rs
@@ -15,7 +15,7 @@
 
 proptest! {
     #[test]
-    fn the_next_token_is_higher_whoever_takes_it(known in 0..1u64 << 52, era in 0u64..600, name in "[a-z]{1,9}") {
+    fn the_next_token_is_higher_for_every_node(known in 0..1u64 << 52, era in 0u64..600, name in "[a-z]{1,9}") {
         let known = FencingToken(known);
         let next = FencingToken::next(known, StoreEra(era), number(&name));
         let next = next.expect("a token is left");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_first_token_of_an_era_is_above_all_that_the_one_before_used() {
+fn the_first_token_of_an_era_is_above_all_tokens_of_the_previous_era() {
     let mut last = FencingToken::default();
     for _ in 0..60_000 {
         last = FencingToken::next(last, StoreEra(3), number("a")).expect("a token");
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn the_nodes_of_large_fleets_have_numbers_of_their_own() {
+fn the_nodes_of_a_large_fleet_have_distinct_numbers() {
     let names = (0..985).map(|index| format!("front-viti-west-{index}"));
     let numbers: BTreeSet<NodeNumber> = names.map(|name| number(&name)).collect();
     assert_eq!(numbers.len(), 985);
--- a/crates/lease/tests/leases/world.rs
+++ b/crates/lease/tests/leases/world.rs
@@ -19,29 +19,29 @@
 pub enum Write {
     Answered,
     AnswerLost,
-    NotDone,
-    DoneAfter(u64),
+    NotApplied,
+    AppliedAfter(u64),
 }
 
 /// What happens next.
 #[derive(Clone, Copy, Debug)]
 pub enum Action {
     /// The node renews or asks for the lease.
-    Keep(Write),
+    RenewOrTake(Write),
     /// The node reads the lease.
-    Look,
+    Read,
     /// The node gives an order, if it may.
     Order,
     /// An engine refuses the token of an order that the node has just given.
-    Refused,
+    RefuseToken,
     /// The node's process starts anew.
     Restart,
     /// The node hears what the next one would report.
-    Hear,
+    ReceiveAnnouncement,
     /// A copy of the store is made.
-    Copy,
+    CopyStore,
     /// The store comes back from the last copy.
-    Restore,
+    RestoreStore,
     /// The store comes back, and the lease is not in it.
     LoseLease,
 }
@@ -54,7 +54,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Copy {
+struct StoreCopy {
     number: u64,
     entry: Option<Entry>,
 }
@@ -70,10 +70,10 @@
 #[derive(Clone, Debug)]
 struct Store {
     era: StoreEra,
-    tells_era: bool,
+    reports_era: bool,
     number: u64,
     entry: Option<Entry>,
-    copy: Copy,
+    copy: StoreCopy,
     late: Vec<LateWrite>,
 }
 
@@ -95,7 +95,7 @@
     fn read(&self) -> Option<StoredLease> {
         let entry = self.entry.as_ref()?;
         let revision = StoreRevision {
-            era: self.told_era(),
+            era: self.reported_era(),
             number: entry.number,
         };
         Some(StoredLease {
@@ -104,8 +104,8 @@
         })
     }
 
-    fn told_era(&self) -> StoreEra {
-        match self.tells_era {
+    fn reported_era(&self) -> StoreEra {
+        match self.reports_era {
             true => self.era,
             false => StoreEra(0),
         }
@@ -123,7 +123,7 @@
     }
 
     /// Does the writes that are due, if their condition still holds.
-    fn catch_up(&mut self, now: Millis) {
+    fn apply_due_writes(&mut self, now: Millis) {
         let late = std::mem::take(&mut self.late).into_iter();
         let (due, later) = late.partition(|write| write.at <= now);
         self.late = later;
@@ -144,10 +144,10 @@
 
 /// What orders broke.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Breaches {
+pub struct Violations {
     pub shared_tokens: usize,
-    pub fallen_tokens: usize,
-    pub hasty_turns: usize,
+    pub decreased_tokens: usize,
+    pub early_handovers: usize,
     /// Orders under a token that an engine had refused.
     pub refused_tokens: usize,
 }
@@ -160,26 +160,26 @@
     lives: u64,
     pub orders: Vec<Order>,
     refused: Vec<FencingToken>,
-    refused_again: usize,
+    orders_after_refusal: usize,
 }
 
 impl World {
-    pub fn new(nodes: usize, tells_era: bool) -> Self {
+    pub fn new(nodes: usize, reports_era: bool) -> Self {
         let mut world = Self {
             now: Millis(1_000_000),
             store: Store {
                 era: StoreEra(1),
-                tells_era,
+                reports_era,
                 number: 0,
                 entry: None,
-                copy: Copy::default(),
+                copy: StoreCopy::default(),
                 late: Vec::new(),
             },
             views: Vec::new(),
             lives: 0,
             orders: Vec::new(),
             refused: Vec::new(),
-            refused_again: 0,
+            orders_after_refusal: 0,
         };
         for node in 0..nodes {
             let view = world.new_view(node);
@@ -194,30 +194,30 @@
         LeaseView::with_timing(name, self.lives, TIMING)
     }
 
-    pub fn look(&mut self, node: usize) {
-        let (stored, era) = (self.store.read(), self.store.told_era());
+    pub fn read_lease(&mut self, node: usize) {
+        let (stored, era) = (self.store.read(), self.store.reported_era());
         self.views[node].on_read(stored, era, self.now);
     }
 
-    fn keep(&mut self, node: usize, write: Write) {
+    fn renew_or_take(&mut self, node: usize, write: Write) {
         if self.views[node].is_unread() {
-            self.look(node);
+            self.read_lease(node);
         }
         // The lease's wall-clock field only tells one write from another.
         self.lives += 1;
         let step = self.views[node].step(true, self.lives, self.now);
-        let LeaseStep::Write(begun) = step else {
+        let LeaseStep::Write(started) = step else {
             return;
         };
-        let condition = StoreRevision::of_packed(begun.condition.0).number;
-        let done = match write {
-            Write::Answered | Write::AnswerLost => self.store.put(condition, begun.lease.clone()),
-            Write::NotDone => None,
-            Write::DoneAfter(delay) => {
+        let condition = StoreRevision::of_packed(started.condition.0).number;
+        let applied = match write {
+            Write::Answered | Write::AnswerLost => self.store.put(condition, started.lease.clone()),
+            Write::NotApplied => None,
+            Write::AppliedAfter(delay) => {
                 self.store.late.push(LateWrite {
                     at: self.now.plus(delay),
                     condition,
-                    lease: begun.lease.clone(),
+                    lease: started.lease.clone(),
                 });
                 None
             }
@@ -225,37 +225,37 @@
         if !matches!(write, Write::Answered) {
             self.now = self.now.plus(ANSWER_TIMEOUT_MS);
         }
-        match (write, done) {
-            (Write::Answered, Some(stored)) => self.note_written(node, stored, begun.began),
+        match (write, applied) {
+            (Write::Answered, Some(stored)) => self.record_written(node, stored, started.began),
             _ => {
                 self.views[node].on_write_failed();
-                self.look_for(node, &begun);
+                self.confirm_write(node, &started);
             }
         }
     }
 
-    fn note_written(&mut self, node: usize, stored: StoredLease, began: Millis) {
-        let era = self.store.told_era();
+    fn record_written(&mut self, node: usize, stored: StoredLease, began: Millis) {
+        let era = self.store.reported_era();
         self.views[node].on_written(stored, began, era, self.now);
     }
 
     /// After a write without an answer: if the store holds just what was
     /// written, the write was done, and not before it `began`.
-    fn look_for(&mut self, node: usize, begun: &LeaseWrite) {
-        let as_written = self
+    fn confirm_write(&mut self, node: usize, started: &LeaseWrite) {
+        let confirmed = self
             .store
             .read()
-            .filter(|stored| stored.spec == begun.lease.spec && stored.era == begun.lease.era);
-        match as_written {
-            Some(stored) => self.note_written(node, stored, begun.began),
-            None => self.look(node),
+            .filter(|stored| stored.spec == started.lease.spec && stored.era == started.lease.era);
+        match confirmed {
+            Some(stored) => self.record_written(node, stored, started.began),
+            None => self.read_lease(node),
         }
     }
 
     /// The node hears the next one, if that one holds the lease.
-    fn hear(&mut self, node: usize) {
+    fn receive_announcement(&mut self, node: usize) {
         let next = (node + 1) % self.views.len();
-        let era = self.store.told_era();
+        let era = self.store.reported_era();
         let token = self.views[next].token(self.now);
         let view = &mut self.views[node];
         view.on_era(era, self.now);
@@ -265,26 +265,26 @@
     }
 
     pub fn act(&mut self, node: usize, action: Action) {
-        self.store.catch_up(self.now);
+        self.store.apply_due_writes(self.now);
         match action {
-            Action::Keep(write) => self.keep(node, write),
-            Action::Look => self.look(node),
+            Action::RenewOrTake(write) => self.renew_or_take(node, write),
+            Action::Read => self.read_lease(node),
             Action::Order => self.order(node),
-            Action::Refused => {
+            Action::RefuseToken => {
                 if let Some(token) = self.views[node].token(self.now) {
                     self.views[node].on_token_refused(token, self.now);
                     self.refused.push(token);
                 }
             }
             Action::Restart => self.views[node] = self.new_view(node),
-            Action::Hear => self.hear(node),
-            Action::Copy => {
-                self.store.copy = Copy {
+            Action::ReceiveAnnouncement => self.receive_announcement(node),
+            Action::CopyStore => {
+                self.store.copy = StoreCopy {
                     number: self.store.number,
                     entry: self.store.entry.clone(),
                 };
             }
-            Action::Restore => self.store.restore(),
+            Action::RestoreStore => self.store.restore(),
             Action::LoseLease => self.store.lose_lease(),
         }
     }
@@ -293,29 +293,29 @@
         let Some(token) = self.views[node].token(self.now) else {
             return;
         };
-        self.refused_again += usize::from(self.refused.contains(&token));
+        self.orders_after_refusal += usize::from(self.refused.contains(&token));
         let at = self.now;
         self.orders.push(Order { at, node, token });
     }
 
     /// What all orders so far broke.
-    pub fn breaches(&self) -> Breaches {
-        let mut breaches = Breaches {
-            refused_tokens: self.refused_again,
-            ..Breaches::default()
+    pub fn violations(&self) -> Violations {
+        let mut violations = Violations {
+            refused_tokens: self.orders_after_refusal,
+            ..Violations::default()
         };
         for (index, order) in self.orders.iter().enumerate() {
             let earlier = &self.orders[..index];
             let shares = |other: &&Order| other.token == order.token && other.node != order.node;
-            breaches.shared_tokens += earlier.iter().filter(shares).count().min(1);
+            violations.shared_tokens += earlier.iter().filter(shares).count().min(1);
             let Some(before) = earlier.last() else {
                 continue;
             };
-            breaches.fallen_tokens += usize::from(order.token < before.token);
-            let is_turn = order.node != before.node;
-            let is_hasty = is_turn && order.at.since(before.at) < LEASE_BOUND_MS;
-            breaches.hasty_turns += usize::from(is_hasty);
+            violations.decreased_tokens += usize::from(order.token < before.token);
+            let is_handover = order.node != before.node;
+            let is_early = is_handover && order.at.since(before.at) < LEASE_BOUND_MS;
+            violations.early_handovers += usize::from(is_early);
         }
-        breaches
+        violations
     }
 }
--- a/crates/policy/tests/decimal.rs
+++ b/crates/policy/tests/decimal.rs
@@ -3,7 +3,7 @@
 use ploverlift_policy::decimal::{read_decimal, read_seconds_as_ms};
 
 #[test]
-fn digits_with_one_point_are_a_number_and_nothing_else_is() {
+fn only_digits_with_at_most_one_point_are_a_number() {
     assert_eq!(read_decimal("0"), Some(0.0));
     assert_eq!(read_decimal("1.7"), Some(1.7));
     let bad = [
@@ -17,7 +17,7 @@
 
 /// Guards against a time of parts of a second that is taken for none.
 #[test]
-fn parts_of_a_second_are_a_time() {
+fn fractions_of_a_second_are_parsed() {
     assert_eq!(read_seconds_as_ms("0.25"), Some(250));
     assert_eq!(read_seconds_as_ms("7"), Some(7_000));
     assert_eq!(read_seconds_as_ms("-1"), None);
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn blocks_of_other_scopes_and_weights_never_match() {
+fn blocks_of_different_scopes_or_weights_never_match() {
     let strategy = (
         prop::collection::vec(any::<u64>(), 1..40),
         1u64..9,
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn the_directory_never_matches_an_earlier_life_and_stays_within_its_bound() {
+fn the_directory_never_matches_an_earlier_incarnation_and_stays_within_its_capacity() {
     let records = prop::collection::vec((0u64..200, 0u64..6, 1u64..4), 1..300);
     let outcome = runner().run(&records, |records| {
         let mut directory = Directory::new(50);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_worth_of_a_cached_block_only_falls_with_its_age() {
+fn expected_retention_never_rises_with_age() {
     let outcome = runner().run(
         &(0u64..100_000, 0u64..100_000, 1u64..60_000),
         |(a, b, age)| {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn the_chosen_engine_is_eligible_not_failed_and_never_dearer_than_a_tie() {
+fn the_chosen_engine_is_eligible_not_failed_and_within_a_tie_of_the_lowest_cost() {
     let loads = prop::collection::vec(0u32..50_000, 1..12);
     let outcome = runner().run(
         &(loads, any::<u64>(), 0usize..12),
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn no_tenant_gets_under_its_share_because_of_another() {
+fn no_tenant_gets_less_than_its_share_because_of_another() {
     let outcome = runner().run(&(1u32..8, 1u32..8, 1u32..200), |(own, other, capacity)| {
         let (a, b) = (TenantName::from("a"), TenantName::from("b"));
         let weight_of = |name: &TenantName| if *name == a { own } else { other };
@@ -257,7 +257,7 @@
 /// are bounded, what may not be repeated is sent again only when nothing can
 /// have run, and "not run" is said only of such a request.
 #[test]
-fn the_request_machine_keeps_its_promises_under_any_events() {
+fn the_request_machine_keeps_its_invariants_under_any_events() {
     let outcome = runner().run(&(events(), any::<bool>()), |(events, repeatable)| {
         let mut budget = RetryBudget::default();
         let mut machine = RequestMachine::new(repeatable, false, Millis(1_000));
@@ -293,10 +293,10 @@
                 }
                 Step::Finish => prop_assert!(completed),
                 Step::Refuse(refusal) | Step::Abort(refusal) => {
-                    let says_not_run = refusal.run_state == RunState::NotRun;
-                    let knows = matches!(machine.run_state(), RunState::NotRun);
-                    prop_assert_eq!(says_not_run, knows);
-                    prop_assert!(!(says_not_run && may_have_run));
+                    let reports_not_run = refusal.run_state == RunState::NotRun;
+                    let is_known_not_run = matches!(machine.run_state(), RunState::NotRun);
+                    prop_assert_eq!(reports_not_run, is_known_not_run);
+                    prop_assert!(!(reports_not_run && may_have_run));
                     return Ok(());
                 }
                 _ => {}
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn an_object_that_does_not_fit_is_left_out_and_named() {
+fn an_invalid_object_is_left_out_and_listed() {
     let none = Labels::default();
     let good = Object::new(
         Kind::Tenant,
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -50,7 +50,7 @@
 
     /// After any number of requests each target is within one request of its share.
     #[test]
-    fn a_split_keeps_its_shares_at_every_moment(
+    fn a_split_keeps_its_shares_at_all_times(
         weights in prop::collection::vec(1u32..100, 2..5),
         requests in 1usize..400,
         start in 0.0f64..1.0,
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_key_finds_its_tenant_and_isolation_makes_a_scope_of_its_own() {
+fn a_key_finds_its_tenant_and_an_isolated_tenant_has_its_own_scope() {
     let tenant = |name: &str, key: &str, is_isolated| Tenant {
         name: TenantName::from(name),
         keys: vec![key.to_owned()],
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn the_last_part_of_a_prompt_is_its_own() {
+fn the_last_part_of_a_prompt_is_not_shared() {
     assert_eq!(
         prompt(&[1, 2, 3]).shared_key(""),
         prompt(&[1, 2, 4]).shared_key("")
