--- a/crates/clock/tests/clock.rs
+++ b/crates/clock/tests/clock.rs
@@ -1,9 +1,9 @@
-//! The clock counts what the machine slept.
+//! The clock includes the time that the machine was suspended.
 
 use ploverlift_clock::Clock;
 use std::time::{Duration, Instant};
 
-/// Difference between two readings that follow each other, in milliseconds.
+/// Allowed difference between two consecutive readings, in milliseconds.
 const SLACK_MS: u64 = 50;
 
 #[test]
--- a/crates/lease/tests/leases/holders.rs
+++ b/crates/lease/tests/leases/holders.rs
@@ -1,4 +1,4 @@
-//! Single courses of a lease.
+//! Single scenarios of taking, renewing and losing a lease.
 
 use crate::world::{Action, Violations, World, Write, TIMING};
 use ploverlift_lease::{FencingToken, LeaseReason, LeaseStep};
@@ -6,7 +6,7 @@
 
 const RENEW_OR_TAKE: Action = Action::RenewOrTake(Write::Answered);
 
-/// A world whose node 0 has taken the lease, after the wait for a holder that may be alive.
+/// A world in which node 0 has taken the lease after waiting for a full lease duration.
 fn world_with_holder(nodes: usize, reports_era: bool) -> World {
     let mut world = World::new(nodes, reports_era);
     for node in 0..nodes {
@@ -131,8 +131,8 @@
     assert!(token(&world, 0).is_some());
 }
 
-/// A node took a renewal that had been written before the store came back for one of the
-/// present era.
+/// Guards against a renewal that was sent before the store was restored being taken for a
+/// renewal in the current era.
 #[test]
 fn a_write_of_an_earlier_era_is_no_renewal_in_a_later_one() {
     let mut world = world_with_holder(2, true);
@@ -141,7 +141,7 @@
     world.act(0, Action::RenewOrTake(Write::AppliedAfter(600)));
     world.act(1, Action::RestoreStore);
     world.now = world.now.plus(600);
-    // The write lands on the copy, whose lease has the number that it expects.
+    // The write is applied to the restored copy, whose lease has the expected number.
     world.act(1, Action::Read);
     world.act(0, Action::Read);
     assert_eq!(token(&world, 0), None);
--- a/crates/lease/tests/leases/main.rs
+++ b/crates/lease/tests/leases/main.rs
@@ -1,4 +1,4 @@
-//! Leases in a store that loses answers, writes late, and forgets.
+//! Leases in a store that loses answers, applies writes late and loses recent writes.
 
 mod holders;
 mod schedules;
--- a/crates/lease/tests/leases/schedules.rs
+++ b/crates/lease/tests/leases/schedules.rs
@@ -1,5 +1,5 @@
-//! A lease under random schedules: nodes that pause and restart, writes whose answers are
-//! lost, that are not done, or that are done late, and a store that forgets.
+//! A lease under random schedules: nodes pause and restart, the answers to writes are lost,
+//! writes are not applied or applied late, and the store loses recent writes.
 
 use crate::world::{Action, Violations, World, Write};
 use proptest::prelude::*;
@@ -15,7 +15,7 @@
     ]
 }
 
-/// What happens where the store keeps what it has.
+/// Actions while the store loses no writes.
 fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
         6 => write().prop_map(Action::RenewOrTake),
@@ -27,7 +27,7 @@
     ]
 }
 
-/// The same where it forgets.
+/// Actions that include restorations of the store and the loss of the lease.
 fn lossy_action() -> impl Strategy<Value = Action> {
     prop_oneof![
         12 => action(),
@@ -37,7 +37,7 @@
     ]
 }
 
-/// Pauses near the durations at which something lapses.
+/// Pauses in milliseconds, some of them near the durations of the lease.
 fn pause() -> impl Strategy<Value = u64> {
     prop_oneof![
         4 => 0u64..300,
@@ -47,7 +47,7 @@
     ]
 }
 
-/// One step of a schedule: the pause before it, the node, what happens.
+/// A step of a schedule: the pause before it, the node and the action.
 type Step = (u64, usize, Action);
 
 fn schedule(action: impl Strategy<Value = Action>) -> impl Strategy<Value = Vec<Step>> {
@@ -82,8 +82,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 10_000, ..ProptestConfig::default() })]
 
-    /// Two nodes gave orders under one token, or in turns, after the store had forgotten the
-    /// lease of the first.
+    /// Guards against two nodes giving orders under one token, or in alternation, after the
+    /// store has lost the lease of the first.
     #[test]
     fn no_schedule_violates_the_lease_rules_when_the_store_loses_writes(
         schedule in schedule(lossy_action()),
@@ -92,8 +92,8 @@
         prop_assert_eq!(world.violations(), Violations::default(), "{:?}", world.orders);
     }
 
-    /// The same where no answer tells that the store has forgotten: tokens alone are kept
-    /// apart then.
+    /// As above, but no answer reveals that the store has lost writes. Only the uniqueness of
+    /// tokens is guaranteed in this case.
     #[test]
     fn no_schedule_shares_a_token_when_the_store_loses_writes_silently(
         schedule in schedule(lossy_action()),
--- a/crates/lease/tests/leases/search.rs
+++ b/crates/lease/tests/leases/search.rs
@@ -1,14 +1,14 @@
-//! Every schedule of a bounded length, beside the random ones.
+//! Exhaustive search of all schedules of a bounded length.
 
 use crate::world::{Action, Violations, World, Write, TIMING};
 
-/// Steps of a schedule after the first node has taken the lease.
+/// Steps of a schedule after node 0 has taken the lease.
 const DEPTH: usize = 5;
-/// Time before each step, in milliseconds: within a renewal, beyond the holder's right to
-/// act, and beyond the lease.
+/// Time before each step, in milliseconds: less than the renewal interval, the end of the
+/// holder's right to act, and the lease duration.
 const PAUSES: [u64; 3] = [100, TIMING.stop_acting_after_ms, TIMING.duration_ms];
 
-/// What may happen in each step. After it both nodes give an order, if they may.
+/// The actions that are tried in each step. After each, both nodes give an order if allowed.
 const STEPS: [(usize, Action); 9] = [
     (0, Action::RenewOrTake(Write::Answered)),
     (1, Action::RenewOrTake(Write::Answered)),
@@ -21,7 +21,7 @@
     (0, Action::LoseLease),
 ];
 
-/// What a search has seen.
+/// The result of a search.
 #[derive(Debug, Default)]
 struct Found {
     schedules: usize,
@@ -29,7 +29,7 @@
     violating: Option<World>,
 }
 
-/// Node 0 has the lease; node 1 has seen what was there before.
+/// A world in which node 0 holds the lease and node 1 last read the store before that.
 fn world_with_holder(reports_era: bool) -> World {
     let mut world = World::new(2, reports_era);
     world.act(0, Action::Read);
@@ -71,8 +71,8 @@
     found
 }
 
-/// Two nodes gave orders under one token, or in turns, after the store had forgotten the
-/// lease of the first.
+/// Guards against two nodes giving orders under one token, or in alternation, after the store
+/// has lost the lease of the first.
 #[test]
 fn no_short_schedule_violates_the_lease_rules() {
     let found = search_from(true, DEPTH, |observed| *observed == Violations::default());
@@ -88,7 +88,7 @@
     assert!(found.handovers > 0, "no schedule hands the lease over");
 }
 
-/// The same where no answer tells that the store has forgotten.
+/// As above, but no answer reveals that the store has lost writes.
 #[test]
 fn no_short_schedule_shares_a_token_when_the_store_loses_writes_silently() {
     let found = search_from(false, DEPTH - 1, |observed| observed.shared_tokens == 0);
--- a/crates/lease/tests/leases/tokens.rs
+++ b/crates/lease/tests/leases/tokens.rs
@@ -1,4 +1,4 @@
-//! Fencing tokens by themselves.
+//! Properties of fencing tokens.
 
 use ploverlift_lease::token::NodeNumber;
 use ploverlift_lease::FencingToken;
@@ -6,7 +6,8 @@
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
-/// Readers of JSON that know no integers keep those up to here whole.
+/// JSON parsers that read numbers as floating point represent integers exactly up to this
+/// one.
 const LARGEST_EXACT: u64 = 1 << 53;
 
 fn number(name: &str) -> NodeNumber {
@@ -43,7 +44,7 @@
     assert!(next > Some(earlier));
 }
 
-/// An earlier release that takes over adds one to the token that it reads.
+/// An earlier release adds one to the token that it reads when it takes over a lease.
 #[test]
 fn a_token_that_an_earlier_release_has_raised_is_below_the_next_one() {
     let own = FencingToken::next(FencingToken::default(), StoreEra(1), number("a"));
--- a/crates/lease/tests/leases/world.rs
+++ b/crates/lease/tests/leases/world.rs
@@ -1,12 +1,12 @@
-//! Nodes and a store in virtual time.
+//! A simulation of nodes and a store in virtual time.
 
 use ploverlift_lease::{FencingToken, LeaseStep, LeaseTiming, LeaseView, LeaseWrite, StoredLease};
 use ploverlift_policy::ids::{Millis, NodeName, ResourceVersion, StoreEra};
 use ploverlift_policy::store_revision::StoreRevision;
 
-/// Two machines never give orders within this time, in milliseconds.
+/// Minimum time between orders of two different nodes, in milliseconds.
 pub const LEASE_BOUND_MS: u64 = 3_000;
-/// Time after which a node no longer waits for an answer, in milliseconds.
+/// Time-out of a node's wait for the answer to a write, in milliseconds.
 const ANSWER_TIMEOUT_MS: u64 = 450;
 pub const TIMING: LeaseTiming = LeaseTiming {
     duration_ms: 4_200,
@@ -14,7 +14,7 @@
     stop_acting_after_ms: 1_000,
 };
 
-/// What becomes of a write.
+/// The outcome of a write.
 #[derive(Clone, Copy, Debug)]
 pub enum Write {
     Answered,
@@ -23,30 +23,30 @@
     AppliedAfter(u64),
 }
 
-/// What happens next.
+/// An action in the simulation.
 #[derive(Clone, Copy, Debug)]
 pub enum Action {
-    /// The node renews or asks for the lease.
+    /// The node renews or takes the lease if its view allows it.
     RenewOrTake(Write),
     /// The node reads the lease.
     Read,
-    /// The node gives an order, if it may.
+    /// The node gives an order if its view allows it.
     Order,
-    /// An engine refuses the token of an order that the node has just given.
+    /// An engine refuses the node's current token.
     RefuseToken,
-    /// The node's process starts anew.
+    /// The node's process restarts.
     Restart,
-    /// The node hears what the next one would report.
+    /// The node receives the announcement of the next node, if that one holds the lease.
     ReceiveAnnouncement,
-    /// A copy of the store is made.
+    /// The store is copied.
     CopyStore,
-    /// The store comes back from the last copy.
+    /// The store is restored from the last copy.
     RestoreStore,
-    /// The store comes back, and the lease is not in it.
+    /// The store is restored without the lease.
     LoseLease,
 }
 
-/// A lease as it stands in the store.
+/// A lease as stored, with the number of the write.
 #[derive(Clone, Debug)]
 struct Entry {
     number: u64,
@@ -59,7 +59,7 @@
     entry: Option<Entry>,
 }
 
-/// A write that is done later, on its condition.
+/// A write that is applied later if its condition still holds.
 #[derive(Clone, Debug)]
 struct LateWrite {
     at: Millis,
@@ -78,8 +78,8 @@
 }
 
 impl Store {
-    /// Stores a lease if the number of the last write is still the expected one. The store
-    /// knows nothing of eras in conditions: numbers are given out again.
+    /// Stores a lease if the number of the last write is still the expected one. Conditions do
+    /// not include the era, so a number that is assigned again after a restoration matches.
     fn put(&mut self, condition: u64, lease: StoredLease) -> Option<StoredLease> {
         let known = self.entry.as_ref().map_or(0, |entry| entry.number);
         if known != condition {
@@ -91,7 +91,7 @@
         self.read()
     }
 
-    /// The lease, with its version as clients see it.
+    /// The lease, with the version that clients receive.
     fn read(&self) -> Option<StoredLease> {
         let entry = self.entry.as_ref()?;
         let revision = StoreRevision {
@@ -122,7 +122,7 @@
         self.era.0 += 1;
     }
 
-    /// Does the writes that are due, if their condition still holds.
+    /// Applies the late writes that are due, if their condition still holds.
     fn apply_due_writes(&mut self, now: Millis) {
         let late = std::mem::take(&mut self.late).into_iter();
         let (due, later) = late.partition(|write| write.at <= now);
@@ -134,7 +134,7 @@
     }
 }
 
-/// An order as an engine got it.
+/// An order as received by an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Order {
     pub at: Millis,
@@ -142,7 +142,7 @@
     pub token: FencingToken,
 }
 
-/// What orders broke.
+/// Number of violations of each rule.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Violations {
     pub shared_tokens: usize,
@@ -203,7 +203,7 @@
         if self.views[node].is_unread() {
             self.read_lease(node);
         }
-        // The lease's wall-clock field only tells one write from another.
+        // The wall-clock field of the lease only distinguishes one write from another.
         self.lives += 1;
         let step = self.views[node].step(true, self.lives, self.now);
         let LeaseStep::Write(started) = step else {
@@ -239,8 +239,8 @@
         self.views[node].on_written(stored, began, era, self.now);
     }
 
-    /// After a write without an answer: if the store holds just what was
-    /// written, the write was done, and not before it `began`.
+    /// Reads the lease after a write without an answer. If the store holds exactly what was
+    /// written, the write was applied, and not before it started.
     fn confirm_write(&mut self, node: usize, started: &LeaseWrite) {
         let confirmed = self
             .store
@@ -252,7 +252,7 @@
         }
     }
 
-    /// The node hears the next one, if that one holds the lease.
+    /// Passes on the token of the next node, if that one holds the lease.
     fn receive_announcement(&mut self, node: usize) {
         let next = (node + 1) % self.views.len();
         let era = self.store.reported_era();
@@ -298,7 +298,7 @@
         self.orders.push(Order { at, node, token });
     }
 
-    /// What all orders so far broke.
+    /// The violations by all orders so far.
     pub fn violations(&self) -> Violations {
         let mut violations = Violations {
             refused_tokens: self.orders_after_refusal,
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -1,5 +1,5 @@
-//! Time of one decision: lookup in the directory and choice, for prompts of 64
-//! blocks over 1,000 engines. Run with `cargo bench -p ploverlift-policy`.
+//! Measures the time of a decision, with directory lookup and engine choice, for prompts of 64
+//! blocks and 1,000 engines. Run with `cargo bench -p ploverlift-policy`.
 
 #[path = "../tests/support.rs"]
 mod support;
@@ -25,7 +25,7 @@
         model: "model",
         weights: WeightsVersion(1),
     };
-    // Prompts share half of their blocks with others of the same group.
+    // Each prompt shares the first half of its blocks with the other prompts of its group.
     let shared = (0..BLOCKS / 2).map(|block| number % 50 * 1_000 + block);
     let own = (0..BLOCKS / 2).map(|block| 1_000_000 + number * 1_000 + block);
     let identities: Vec<u64> = shared.chain(own).collect();
--- a/crates/policy/tests/decimal.rs
+++ b/crates/policy/tests/decimal.rs
@@ -1,4 +1,4 @@
-//! Which texts are numbers.
+//! Parsing of decimal numbers.
 
 use ploverlift_policy::decimal::{read_decimal, read_seconds_as_ms};
 
@@ -15,7 +15,7 @@
     assert_eq!(read_decimal(&"9".repeat(25)), None);
 }
 
-/// Guards against a time of parts of a second that is taken for none.
+/// Guards against a time with a fraction of a second being treated as missing.
 #[test]
 fn fractions_of_a_second_are_parsed() {
     assert_eq!(read_seconds_as_ms("0.25"), Some(250));
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of the pure decisions, each under generated inputs.
+//! Property tests of the pure decisions.
 
 mod support;
 
@@ -184,7 +184,7 @@
         let (a, b) = (TenantName::from("a"), TenantName::from("b"));
         let weight_of = |name: &TenantName| if *name == a { own } else { other };
         let mut shares = TenantShares::default();
-        // The other tenant takes all it can get first.
+        // The other tenant first takes as much as it can get.
         while shares.within_share(&b, weight_of, capacity) && shares.total() < capacity {
             shares.start(&b);
         }
@@ -253,9 +253,9 @@
     prop::collection::vec(event, 1..60)
 }
 
-/// Whatever happens: positions are delivered in order and once each, attempts
-/// are bounded, what may not be repeated is sent again only when nothing can
-/// have run, and "not run" is said only of such a request.
+/// Under any sequence of events, positions are delivered in order and once each, attempts are
+/// bounded, a request that may not run twice is retried only when it cannot have run, and only
+/// such a request is reported as not run.
 #[test]
 fn the_request_machine_keeps_its_invariants_under_any_events() {
     let outcome = runner().run(&(events(), any::<bool>()), |(events, repeatable)| {
--- a/crates/policy/tests/support.rs
+++ b/crates/policy/tests/support.rs
@@ -1,4 +1,4 @@
-//! Small builders for tests of the policy.
+//! Builders for tests and benchmarks of the policy crate.
 #![allow(dead_code)]
 
 use ploverlift_policy::fleet::{Engine, Fleet, Health, ListedEngine};
@@ -8,7 +8,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::net::SocketAddr;
 
-/// A runner whose seed is fixed, so that CI returns the same verdict every time.
+/// A property test runner with a fixed seed, so that results in CI are reproducible.
 pub fn runner() -> TestRunner {
     let config = Config {
         cases: 256,
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routes, splits, tenants, prompts and freshness.
+//! Tests of routes, splits, tenants, prompts, freshness, distances and software rules.
 
 use ploverlift_policy::ids::{Millis, TenantName, ZoneName};
 use ploverlift_routing::configuration::{Delivery, Route, ServiceName, Tenant, WeightedTarget};
@@ -48,7 +48,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, ..ProptestConfig::default() })]
 
-    /// After any number of requests each target is within one request of its share.
+    /// After any number of requests each target's count is close to its share: it differs by
+    /// no more than the number of targets.
     #[test]
     fn a_split_keeps_its_shares_at_all_times(
         weights in prop::collection::vec(1u32..100, 2..5),
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Cache under one weights version, model or scope is never found under another.
+    /// Cache of one weights version, model or scope is never found under another.
     #[test]
     fn salts_of_different_weights_models_or_scopes_differ(
         a in (0u64..5, "[a-z]{1,3}", "[a-z]{0,3}"),
@@ -148,7 +149,8 @@
 
 #[test]
 fn the_first_requests_of_many_nodes_are_split_by_weight() {
-    // 81 nodes with four requests each: none has enough for a share of its own.
+    // 81 nodes with four requests each: no single node sends enough requests for the target
+    // with the small weight to receive its share.
     let split = route("r", "h", "/", &[("old", 9.0), ("new", 1.0)]);
     let (nodes, requests) = (81, 4);
     let mut counts = [0.0; 2];
