--- a/crates/cluster/src/router/mod.rs
+++ b/crates/cluster/src/router/mod.rs
@@ -199,7 +199,7 @@
                 let found = snapshot.tenants.get(name);
                 found.map_or(1, |known| known.spec.weight)
             };
-            if !shares.within_share(&tenant.name, weight_of, capacity) {
+            if !shares.is_within_share(&tenant.name, weight_of, capacity) {
                 return Err(RetryAfter::clamped(0));
             }
         }
--- a/crates/lab/src/engine.rs
+++ b/crates/lab/src/engine.rs
@@ -12,7 +12,7 @@
     EXPECTED_WEIGHTS_HEADER, NOT_RUN, REQUEST_ID_HEADER, RESUME_FROM_HEADER, RUN_STATE_HEADER,
 };
 use ploverlift_node::listener::{HttpListener, ListenerLimits};
-use ploverlift_policy::prompt::rendered_prompt;
+use ploverlift_policy::prompt::render_prompt;
 use serde::Deserialize;
 use serde_json::{json, Map, Value};
 use smol::lock::{Mutex as AsyncMutex, Semaphore, SemaphoreGuardArc};
@@ -278,7 +278,7 @@
     });
     Run {
         id,
-        prompt: rendered_prompt(fields),
+        prompt: render_prompt(fields),
         scope: scope.unwrap_or_default().to_owned(),
         from: from.and_then(|text| text.parse().ok()).unwrap_or(0),
         tokens: tokens.unwrap_or(DEFAULT_ANSWER_TOKENS),
--- a/crates/node/src/callers/handler.rs
+++ b/crates/node/src/callers/handler.rs
@@ -180,7 +180,7 @@
     let taken = node.with_core(|core, now| core.take_rate(tenant, now));
     taken.map_err(|come_back| {
         let message = "the tenant's request rate is over its limit";
-        let seconds = come_back.retry_after_seconds();
+        let seconds = come_back.seconds_rounded_up();
         ErrorReply::try_later(Status::TooManyRequests, "rate_limited", message, seconds)
     })
 }
--- a/crates/node/src/callers/relay/pool_share.rs
+++ b/crates/node/src/callers/relay/pool_share.rs
@@ -29,7 +29,7 @@
         });
         started.map_err(|come_back| {
             let message = "the pool is full and the tenant is over its share of it";
-            let seconds = come_back.retry_after_seconds();
+            let seconds = come_back.seconds_rounded_up();
             ErrorReply::try_later(Status::TooManyRequests, "over_share", message, seconds)
         })?;
         Ok(Self {
--- a/crates/node/src/callers/reply.rs
+++ b/crates/node/src/callers/reply.rs
@@ -85,7 +85,7 @@
                 },
                 run_state: refusal.run_state,
             },
-            retry_after_seconds: Some(refusal.retry_after.retry_after_seconds()),
+            retry_after_seconds: Some(refusal.retry_after.seconds_rounded_up()),
         }
     }
 }
--- a/crates/node/src/callers/request.rs
+++ b/crates/node/src/callers/request.rs
@@ -4,7 +4,7 @@
 use crate::state::Node;
 use futures_lite::AsyncReadExt;
 use ploverlift_policy::ids::{EngineName, RequestId};
-use ploverlift_policy::prompt::rendered_prompt;
+use ploverlift_policy::prompt::render_prompt;
 use ploverlift_policy::snapshot::Tenant;
 use serde_json::{Map, Value};
 use smol::Timer;
@@ -209,7 +209,7 @@
     Ok(CompletionRequest {
         model: model.clone(),
         stream,
-        prompt: Arc::new(rendered_prompt(&fields)),
+        prompt: Arc::new(render_prompt(&fields)),
         fields,
     })
 }
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -24,7 +24,7 @@
     }
 
     /// The value of a `Retry-After` header, in whole seconds, rounded up.
-    pub fn retry_after_seconds(self) -> u64 {
+    pub fn seconds_rounded_up(self) -> u64 {
         self.after_ms.div_ceil(1_000)
     }
 }
@@ -90,7 +90,7 @@
     /// Whether one more request keeps the tenant within its share of an
     /// overloaded pool. Only tenants with requests in flight count, so the share
     /// of an idle tenant is divided among the others.
-    pub fn within_share(
+    pub fn is_within_share(
         &self,
         tenant: &TenantName,
         weight_of: impl Fn(&TenantName) -> u32,
--- a/crates/policy/src/prompt.rs
+++ b/crates/policy/src/prompt.rs
@@ -8,7 +8,7 @@
 
 /// Renders the prompt of a chat or plain completion request: every message's
 /// role and content, or the plain `prompt`, in order.
-pub fn rendered_prompt(body: &Map<String, Value>) -> Vec<u8> {
+pub fn render_prompt(body: &Map<String, Value>) -> Vec<u8> {
     let mut text = Vec::new();
     if let Some(Value::Array(messages)) = body.get("messages") {
         for message in messages {
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -185,11 +185,11 @@
         let weight_of = |name: &TenantName| if *name == a { own } else { other };
         let mut shares = TenantShares::default();
         // The other tenant first takes as much as it can get.
-        while shares.within_share(&b, weight_of, capacity) && shares.total() < capacity {
+        while shares.is_within_share(&b, weight_of, capacity) && shares.total() < capacity {
             shares.start(&b);
         }
         let mut got = 0;
-        while shares.within_share(&a, weight_of, capacity) {
+        while shares.is_within_share(&a, weight_of, capacity) {
             shares.start(&a);
             got += 1;
         }
@@ -207,7 +207,7 @@
             Ok(()) => prop_assert!(expected <= remaining as f64),
             Err(retry_after) => {
                 prop_assert!(expected > remaining as f64);
-                prop_assert!((1..=60).contains(&retry_after.retry_after_seconds()));
+                prop_assert!((1..=60).contains(&retry_after.seconds_rounded_up()));
             }
         }
         Ok(())
