--- a/crates/lease/tests/leases/holders.rs
+++ b/crates/lease/tests/leases/holders.rs
@@ -6,7 +6,8 @@
 
 const RENEW_OR_TAKE: Action = Action::RenewOrTake(Write::Answered);
 
-/// A world in which node 0 has taken the lease after waiting for a full lease duration.
+/// A world in which node 0 has taken the lease, after waiting for a full lease duration
+/// because an unknown holder may still act.
 fn world_with_holder(nodes: usize, reports_era: bool) -> World {
     let mut world = World::new(nodes, reports_era);
     for node in 0..nodes {
