--- a/crates/balancing/src/engine_notices/exchange.rs
+++ b/crates/balancing/src/engine_notices/exchange.rs
@@ -6,7 +6,7 @@
 use super::{EngineLife, EngineNotices, LeavingNotice, NoticeSource, KEPT_MS};
 use crate::names::EngineTag;
 use ploverlift_policy::ids::Millis;
-use ploverlift_policy::telling::Telling;
+use ploverlift_policy::update_broadcast::UpdateBroadcast;
 
 /// Maximum number of engines in one message, so that it fits into one datagram.
 pub const MAX_REPORTED: usize = 32;
@@ -45,7 +45,7 @@
         for engine in &reported {
             let leaving = self.notices.get_mut(engine);
             if let Some(leaving) = leaving.and_then(|known| known.leaving.as_mut()) {
-                leaving.telling.note_told(now);
+                leaving.telling.record_broadcast(now);
             }
         }
         if round.is_period {
@@ -120,8 +120,8 @@
             since: now.before(reported.age_ms),
             source: NoticeSource::Node,
             telling: match passes_on {
-                true => Telling::begin(now),
-                false => Telling::default(),
+                true => UpdateBroadcast::begin(now),
+                false => UpdateBroadcast::default(),
             },
         };
         self.take_leaving(reported.life, notice, now)
--- a/crates/balancing/src/engine_notices/mod.rs
+++ b/crates/balancing/src/engine_notices/mod.rs
@@ -11,7 +11,7 @@
 use crate::heartbeat::Heartbeat;
 use crate::names::EngineTag;
 use ploverlift_policy::ids::Millis;
-use ploverlift_policy::telling::Telling;
+use ploverlift_policy::update_broadcast::UpdateBroadcast;
 use std::collections::BTreeMap;
 
 /// Time for which a notice is kept after its engine was last in the catalogue, in
@@ -62,7 +62,7 @@
     pub since: Millis,
     /// The source from which this node has the notice.
     pub source: NoticeSource,
-    telling: Telling,
+    telling: UpdateBroadcast,
 }
 
 /// A backoff that an engine asked for: this node sends it no requests during that time.
@@ -151,7 +151,7 @@
         let notice = LeavingNotice {
             since: now,
             source: NoticeSource::Answer,
-            telling: Telling::begin(now),
+            telling: UpdateBroadcast::begin(now),
         };
         self.take_leaving(life, notice, now)
     }
--- a/crates/balancing/tests/choices/unreported_load.rs
+++ b/crates/balancing/tests/choices/unreported_load.rs
@@ -23,7 +23,7 @@
         loads.apply(&report(peer, 1, &[]), Millis(NOW.0 - 200));
     }
     let mut recent_prefill = RecentPrefill::default();
-    recent_prefill.note(tokens as f64, NOW);
+    recent_prefill.add(tokens as f64, NOW);
     let shared = [PromptPart { id: 1, tokens: 100 }];
     let view = FleetView {
         topology: &Topology::default(),
@@ -81,7 +81,7 @@
 #[test]
 fn recent_prefill_decays_within_seconds() {
     let mut prefill = RecentPrefill::default();
-    prefill.note(30_000.0, NOW);
+    prefill.add(30_000.0, NOW);
     assert!((prefill.per_ms(NOW) - 10.0).abs() < 0.01);
     assert!(prefill.per_ms(NOW.plus(9_000)) < 0.6);
 }
--- a/crates/lease/tests/leases/tokens.rs
+++ b/crates/lease/tests/leases/tokens.rs
@@ -1,4 +1,4 @@
-//! Fencing tokens by themselves.
+//! Properties of fencing tokens.
 
 use ploverlift_lease::token::NodeNumber;
 use ploverlift_lease::FencingToken;
@@ -6,7 +6,8 @@
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
-/// Readers of JSON that know no integers keep those up to here whole.
+/// JSON parsers that read numbers as floating point represent integers exactly up to this
+/// one.
 const LARGEST_EXACT: u64 = 1 << 53;
 
 fn number(name: &str) -> NodeNumber {
@@ -15,7 +16,7 @@
 
 proptest! {
     #[test]
-    fn the_next_token_is_higher_whoever_takes_it(known in 0..1u64 << 52, era in 0u64..600, name in "[a-z]{1,9}") {
+    fn the_next_token_is_higher_for_every_node(known in 0..1u64 << 52, era in 0u64..600, name in "[a-z]{1,9}") {
         let known = FencingToken(known);
         let next = FencingToken::next(known, StoreEra(era), number(&name));
         let next = next.expect("a token is left");
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn the_first_token_of_an_era_is_above_all_that_the_one_before_used() {
+fn the_first_token_of_an_era_is_above_all_tokens_of_the_previous_era() {
     let mut last = FencingToken::default();
     for _ in 0..60_000 {
         last = FencingToken::next(last, StoreEra(3), number("a")).expect("a token");
@@ -43,7 +44,7 @@
     assert!(next > Some(earlier));
 }
 
-/// An earlier release that takes over adds one to the token that it reads.
+/// An earlier release adds one to the token that it reads when it takes over a lease.
 #[test]
 fn a_token_that_an_earlier_release_has_raised_is_below_the_next_one() {
     let own = FencingToken::next(FencingToken::default(), StoreEra(1), number("a"));
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn the_nodes_of_large_fleets_have_numbers_of_their_own() {
+fn the_nodes_of_a_large_fleet_have_distinct_numbers() {
     let names = (0..985).map(|index| format!("front-viti-west-{index}"));
     let numbers: BTreeSet<NodeNumber> = names.map(|name| number(&name)).collect();
     assert_eq!(numbers.len(), 985);
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,35 +1,35 @@
-//! Rate limits by tenant, shares of an overloaded pool, and admission by deadline.
+//! Rate limits per tenant, shares of an overloaded pool, and admission by deadline.
 
 use crate::ids::{Millis, TenantName};
 use std::collections::HashMap;
 
-/// A refusal by a limit: when to come back.
+/// The delay before a retry, returned with a rejection by a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ComeBack {
-    /// Milliseconds after which a new try can succeed.
+pub struct RetryAfter {
+    /// Milliseconds after which a retry can succeed.
     pub after_ms: u64,
 }
 
-/// Shortest time given in a refusal, in milliseconds.
-pub const MIN_COME_BACK_MS: u64 = 1_000;
-/// Longest time given in a refusal, in milliseconds.
-pub const MAX_COME_BACK_MS: u64 = 60_000;
+/// Shortest retry delay returned to a caller, in milliseconds.
+pub const MIN_RETRY_AFTER_MS: u64 = 1_000;
+/// Longest retry delay returned to a caller, in milliseconds.
+pub const MAX_RETRY_AFTER_MS: u64 = 60_000;
 
-impl ComeBack {
-    /// A refusal with a time within the bounds.
-    pub fn after(milliseconds: u64) -> Self {
+impl RetryAfter {
+    /// A retry delay, clamped to [`MIN_RETRY_AFTER_MS`] and [`MAX_RETRY_AFTER_MS`].
+    pub fn clamped(milliseconds: u64) -> Self {
         Self {
-            after_ms: milliseconds.clamp(MIN_COME_BACK_MS, MAX_COME_BACK_MS),
+            after_ms: milliseconds.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS),
         }
     }
 
     /// The value of a `Retry-After` header, in whole seconds, rounded up.
-    pub fn retry_after_seconds(self) -> u64 {
+    pub fn seconds_rounded_up(self) -> u64 {
         self.after_ms.div_ceil(1_000)
     }
 }
 
-/// A token bucket whose rate can change with a quota lease.
+/// A token bucket whose rate can change when the node's quota changes.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     tokens: f64,
@@ -39,7 +39,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(rate_per_second: f64, burst: f64, now: Millis) -> Self {
         let burst = burst.max(1.0);
         Self {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Changes rate and burst and keeps what is in the bucket, up to the new burst.
+    /// Changes rate and burst. Tokens in the bucket are kept, up to the new burst.
     pub fn set_rate(&mut self, rate_per_second: f64, burst: f64, now: Millis) {
         self.refill(now);
         self.rate_per_second = rate_per_second;
@@ -67,8 +67,8 @@
     /// Takes one token.
     ///
     /// # Errors
-    /// When the bucket is empty: the time until a token is there.
-    pub fn take(&mut self, now: Millis) -> Result<(), ComeBack> {
+    /// When the bucket is empty: the time until the next token is available.
+    pub fn take(&mut self, now: Millis) -> Result<(), RetryAfter> {
         self.refill(now);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
@@ -76,11 +76,11 @@
         }
         let missing = 1.0 - self.tokens;
         let seconds = missing / self.rate_per_second.max(f64::EPSILON);
-        Err(ComeBack::after((seconds * 1_000.0).ceil() as u64))
+        Err(RetryAfter::clamped((seconds * 1_000.0).ceil() as u64))
     }
 }
 
-/// Requests of each tenant that are under way in one pool, against its share.
+/// In-flight requests of each tenant in one pool, for comparison with its share.
 #[derive(Clone, Debug, Default)]
 pub struct TenantShares {
     in_flight: HashMap<TenantName, u32>,
@@ -88,9 +88,9 @@
 
 impl TenantShares {
     /// Whether one more request keeps the tenant within its share of an
-    /// overloaded pool. Only tenants with requests under way count, so an idle
-    /// tenant's share goes to the others.
-    pub fn within_share(
+    /// overloaded pool. Only tenants with requests in flight count, so the share
+    /// of an idle tenant is divided among the others.
+    pub fn is_within_share(
         &self,
         tenant: &TenantName,
         weight_of: impl Fn(&TenantName) -> u32,
@@ -119,20 +119,21 @@
         }
     }
 
-    /// Requests of all tenants that are under way.
+    /// In-flight requests of all tenants.
     pub fn total(&self) -> u32 {
         self.in_flight.values().sum()
     }
 }
 
-/// Refuses at once when the expected time to first token is beyond the deadline.
+/// Rejects a request immediately when its expected time to first token exceeds the time
+/// that remains before its deadline.
 ///
 /// # Errors
 /// The time after which the queue is expected to be short enough.
-pub fn admit_by_deadline(expected_ms: f64, remaining_ms: u64) -> Result<(), ComeBack> {
+pub fn admit_by_deadline(expected_ms: f64, remaining_ms: u64) -> Result<(), RetryAfter> {
     if expected_ms <= remaining_ms as f64 {
         return Ok(());
     }
     let excess = expected_ms - remaining_ms as f64;
-    Err(ComeBack::after(excess.ceil() as u64))
+    Err(RetryAfter::clamped(excess.ceil() as u64))
 }
--- a/crates/policy/src/prompt.rs
+++ b/crates/policy/src/prompt.rs
@@ -1,13 +1,14 @@
-//! The text of a prompt as blocks are cut from it.
+//! Renders the prompt of a request as the text that is split into blocks.
 
 use serde_json::{Map, Value};
 
-/// Separates the parts of a prompt, so that moved borders give other blocks.
+/// Separates the parts of a prompt, so that the same text split into different parts gives
+/// different blocks.
 const PART_SEPARATOR: u8 = 0x1f;
 
 /// Renders the prompt of a chat or plain completion request: every message's
 /// role and content, or the plain `prompt`, in order.
-pub fn rendered_prompt(body: &Map<String, Value>) -> Vec<u8> {
+pub fn render_prompt(body: &Map<String, Value>) -> Vec<u8> {
     let mut text = Vec::new();
     if let Some(Value::Array(messages)) = body.get("messages") {
         for message in messages {
