--- a/crates/enginelimit/src/account.rs
+++ b/crates/enginelimit/src/account.rs
@@ -55,7 +55,7 @@
     }
 
     /// A token was not used.
-    pub fn give_back(&mut self, now: Millis) {
+    pub fn return_token(&mut self, now: Millis) {
         self.bucket.refill(&self.rate, now);
         self.bucket.take(-1.0);
         // No more than a full bucket.
--- a/crates/enginelimit/src/exchange.rs
+++ b/crates/enginelimit/src/exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::group::GroupTag;
 use crate::limits::{EngineLimits, Group, KnownLimit};
-use crate::news::{GroupNews, ToldLimit, MAX_TOLD};
+use crate::node_messages::{GroupUpdate, UpdatedLimit, MAX_LIMITS_PER_UPDATE};
 use crate::observation::StandingLimit;
 use ploverlift_balancing::engine_rooms::EngineRooms;
 use ploverlift_balancing::names::EngineTag;
@@ -13,7 +13,7 @@
 impl EngineLimits {
     /// What is told now: changes that are due, and in each period some of the limits that
     /// this node counts for, in turn.
-    pub fn news(&mut self, is_period: bool, now: Millis) -> Vec<GroupNews> {
+    pub fn updates_due(&mut self, is_period: bool, now: Millis) -> Vec<GroupUpdate> {
         let mut told: BTreeMap<GroupTag, Vec<EngineTag>> = BTreeMap::new();
         for (tag, group) in &mut self.groups {
             let is_due = group.telling.is_due(now);
@@ -36,24 +36,24 @@
                 }
             }
         }
-        self.pieces(&told, now)
+        self.split_into_updates(&told, now)
     }
 
     /// All that is known, for a node that knows nothing yet.
-    pub fn everything(&self, now: Millis) -> Vec<GroupNews> {
+    pub fn all_updates(&self, now: Millis) -> Vec<GroupUpdate> {
         let groups = self.groups.keys();
         let mut told: BTreeMap<GroupTag, Vec<EngineTag>> =
             groups.map(|group| (*group, Vec::new())).collect();
         for (engine, known) in &self.known {
             told.entry(known.group).or_default().push(*engine);
         }
-        self.pieces(&told, now)
+        self.split_into_updates(&told, now)
     }
 
     /// Who holds a group, for a node that took this one for its holder.
-    pub fn holder_news(&self, group: GroupTag) -> Option<GroupNews> {
+    pub fn holder_update(&self, group: GroupTag) -> Option<GroupUpdate> {
         let known = self.groups.get(&group).filter(|known| !known.is_held)?;
-        Some(GroupNews {
+        Some(GroupUpdate {
             group,
             holder: known.holder,
             limits: Vec::new(),
@@ -66,52 +66,56 @@
         let held = known.filter(|(_, known)| known.account.is_some());
         let mut held: Vec<EngineTag> = held.map(|(engine, _)| *engine).collect();
         held.sort();
-        let first = self.next_told % held.len().max(1);
-        self.next_told = first + MAX_TOLD;
+        let first = self.next_repeated % held.len().max(1);
+        self.next_repeated = first + MAX_LIMITS_PER_UPDATE;
         held.rotate_left(first);
-        held.truncate(MAX_TOLD);
+        held.truncate(MAX_LIMITS_PER_UPDATE);
         held
     }
 
-    fn pieces(&self, told: &BTreeMap<GroupTag, Vec<EngineTag>>, now: Millis) -> Vec<GroupNews> {
+    fn split_into_updates(
+        &self,
+        told: &BTreeMap<GroupTag, Vec<EngineTag>>,
+        now: Millis,
+    ) -> Vec<GroupUpdate> {
         let mut news = Vec::new();
         for (tag, engines) in told {
             let Some(group) = self.groups.get(tag) else {
                 continue;
             };
-            let limits: Vec<ToldLimit> = engines
+            let limits: Vec<UpdatedLimit> = engines
                 .iter()
-                .filter_map(|engine| self.told(*engine, now))
+                .filter_map(|engine| self.limit_update(*engine, now))
                 .collect();
-            let piece = |limits: &[ToldLimit]| GroupNews {
+            let piece = |limits: &[UpdatedLimit]| GroupUpdate {
                 group: *tag,
                 holder: group.holder,
                 limits: limits.to_vec(),
             };
             match limits.is_empty() {
                 true => news.push(piece(&[])),
-                false => news.extend(limits.chunks(MAX_TOLD).map(piece)),
+                false => news.extend(limits.chunks(MAX_LIMITS_PER_UPDATE).map(piece)),
             }
         }
         news
     }
 
     /// Only what the holder has counted is told on.
-    fn told(&self, engine: EngineTag, now: Millis) -> Option<ToldLimit> {
+    fn limit_update(&self, engine: EngineTag, now: Millis) -> Option<UpdatedLimit> {
         let known = self.known.get(&engine)?;
-        (known.sequence > 0).then(|| ToldLimit {
+        (known.sequence > 0).then(|| UpdatedLimit {
             engine,
             limit: known.standing.limit,
             sequence: known.sequence,
-            age_ms: now.since(known.standing.named_at),
+            age_ms: now.since(known.standing.observed_at),
         })
     }
 
     /// Takes in what another node tells; tells whether it was news. A relay `passes_on` what
     /// is; others leave it to the holder.
-    pub fn hear(
+    pub fn apply_update(
         &mut self,
-        news: &GroupNews,
+        news: &GroupUpdate,
         passes_on: bool,
         rooms: &mut EngineRooms,
         now: Millis,
@@ -138,16 +142,16 @@
         let is_held = self.groups[&news.group].is_held;
         if news.holder.at.node == self.own.node && !is_held {
             // An earlier life of this node held it. What that one granted is not known.
-            self.take_limits(news, telling, rooms, now);
+            self.apply_limits(news, telling, rooms, now);
             self.claim(news.group, now);
             return true;
         }
-        let is_changed = !is_held && self.take_limits(news, telling, rooms, now);
+        let is_changed = !is_held && self.apply_limits(news, telling, rooms, now);
         is_other || is_changed
     }
 
     /// Another node holds the group from now on.
-    fn follow(&mut self, news: &GroupNews, telling: Telling, now: Millis) {
+    fn follow(&mut self, news: &GroupUpdate, telling: Telling, now: Millis) {
         let followed = Group {
             telling,
             ..Group::held_by(news.holder, now)
@@ -160,9 +164,9 @@
         }
     }
 
-    fn take_limits(
+    fn apply_limits(
         &mut self,
-        news: &GroupNews,
+        news: &GroupUpdate,
         telling: Telling,
         rooms: &mut EngineRooms,
         now: Millis,
@@ -178,7 +182,7 @@
             let before = self.limit_of(told.engine);
             let standing = StandingLimit {
                 limit: told.limit,
-                named_at: now.before(told.age_ms),
+                observed_at: now.before(told.age_ms),
             };
             let known = KnownLimit {
                 group: news.group,
@@ -190,7 +194,7 @@
             self.known.insert(told.engine, known);
             is_changed = true;
             if before != told.limit {
-                self.put_in_force(told.engine, rooms, now);
+                self.apply_limit(told.engine, rooms, now);
             }
         }
         is_changed
--- a/crates/enginelimit/src/group.rs
+++ b/crates/enginelimit/src/group.rs
@@ -49,7 +49,7 @@
 
 impl NodeAddress {
     /// A node that no other node can ask.
-    pub const NOWHERE: Self = Self {
+    pub const UNREACHABLE: Self = Self {
         node: PeerId(0),
         address: SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0),
     };
--- a/crates/enginelimit/src/lib.rs
+++ b/crates/enginelimit/src/lib.rs
@@ -8,7 +8,7 @@
 //! what an earlier one granted does not add up.
 //!
 //! ```text
-//! answer ─▶ Observation ─▶ holder ── GroupNews ──▶ all nodes: who holds, which limits
+//! answer ─▶ Observation ─▶ holder ── GroupUpdate ──▶ all nodes: who holds, which limits
 //!                            ▲  │
 //!            TokenRequest ───┘  └──▶ TokenAnswer: granted, or when to ask again
 //! ```
@@ -18,19 +18,19 @@
 //! | [`group`] | which engines one node counts for, and which node of two holds |
 //! | [`observation`] | what an answer said of a limit, and which of two is the newer |
 //! | [`account`] | tokens of one engine, at the holder |
-//! | [`askers`] | how many nodes ask, and how long each backs off |
+//! | [`backoff`] | how many nodes ask, and how long each backs off |
 //! | [`tokens`] | asking for tokens and granting them |
-//! | [`news`] | what the nodes tell each other |
+//! | [`node_messages`] | what the nodes tell each other |
 //! | [`limits`] | what one node knows of all limits |
 //! | [`exchange`] | what it tells, and what it takes in |
 //! | [`retry_schedule`] | when callers that were rejected may come back |
 
 pub mod account;
-pub mod askers;
+pub mod backoff;
 pub mod exchange;
 pub mod group;
 pub mod limits;
-pub mod news;
+pub mod node_messages;
 pub mod observation;
 pub mod retry_schedule;
 pub mod tokens;
--- a/crates/enginelimit/src/limits.rs
+++ b/crates/enginelimit/src/limits.rs
@@ -1,9 +1,9 @@
 //! What one node knows of all advertised limits.
 
 use crate::account::Account;
-use crate::askers::Askers;
+use crate::backoff::RequestingNodes;
 use crate::group::{GroupTag, Holder, NodeAddress};
-use crate::news::TokenAnswer;
+use crate::node_messages::TokenAnswer;
 use crate::observation::{Observation, StandingLimit};
 use crate::retry_schedule::RetrySchedule;
 use ploverlift_balancing::engine_rooms::EngineRooms;
@@ -14,17 +14,17 @@
 
 /// Silence of a holder after which another node takes its group over, in milliseconds: a
 /// node with a small share of a core stands still for a tenth of a second at times.
-const SILENT_MS: u64 = 400;
+const HOLDER_TIMEOUT_MS: u64 = 400;
 /// Questions that must have gone unanswered by then.
-const SILENT_QUESTIONS: u32 = 4;
+const UNANSWERED_REQUESTS: u32 = 4;
 /// Time for which a holder is not asked that has not answered, in milliseconds.
 const UNANSWERED_BACKOFF_MS: u64 = 100;
 /// Time within which nodes send to an engine again whose limit has ended, each from a moment
 /// of its own, in milliseconds: all at once would fill it before they hear of each other.
-const RAMP_MS: u64 = 500;
+const LIFT_SPREAD_MS: u64 = 500;
 /// Time for which the end of a limit is remembered, in milliseconds: what was told before
 /// may come late.
-const ENDED_MS: u64 = 60_000;
+const ENDED_LIMIT_RETENTION_MS: u64 = 60_000;
 
 /// One engine's limit.
 #[derive(Clone, Debug)]
@@ -46,13 +46,13 @@
     pub(crate) is_held: bool,
     pub(crate) sequence: u64,
     pub(crate) telling: Telling,
-    pub(crate) askers: Askers,
+    pub(crate) requesting_nodes: RequestingNodes,
     /// Answers that were given lately, for questions that come twice.
     pub(crate) answered: HashMap<(PeerId, u64), (Millis, TokenAnswer)>,
     /// Since when the holder has not answered this node, and how many questions.
     pub(crate) unanswered: Option<(Millis, u32)>,
     /// Before this moment no engine of the group has a token for this node.
-    pub(crate) nothing_before: Millis,
+    pub(crate) no_tokens_before: Millis,
     /// Time in which one token comes for each node that asks, in milliseconds.
     pub(crate) turn_ms: u64,
     pub(crate) retries: RetrySchedule,
@@ -65,10 +65,10 @@
             is_held: false,
             sequence: 0,
             telling: Telling::begin(now),
-            askers: Askers::default(),
+            requesting_nodes: RequestingNodes::default(),
             answered: HashMap::new(),
             unanswered: None,
-            nothing_before: Millis(0),
+            no_tokens_before: Millis(0),
             turn_ms: 0,
             retries: RetrySchedule::default(),
         }
@@ -77,13 +77,13 @@
 
 /// What an answer changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum ObservationOutcome {
     /// Nothing.
-    Nothing,
+    Unchanged,
     /// Something that the other nodes should hear of.
     Changed,
     /// Whoever holds the engine's group should hear of it.
-    ForHolder(NodeAddress),
+    ForwardToHolder(NodeAddress),
 }
 
 /// All limits, as one node knows them.
@@ -92,12 +92,12 @@
     pub(crate) own: NodeAddress,
     pub(crate) groups: BTreeMap<GroupTag, Group>,
     pub(crate) known: HashMap<EngineTag, KnownLimit>,
-    pub(crate) next_told: usize,
+    pub(crate) next_repeated: usize,
 }
 
 impl Default for EngineLimits {
     fn default() -> Self {
-        Self::new(NodeAddress::NOWHERE)
+        Self::new(NodeAddress::UNREACHABLE)
     }
 }
 
@@ -108,7 +108,7 @@
             own,
             groups: BTreeMap::new(),
             known: HashMap::new(),
-            next_told: 0,
+            next_repeated: 0,
         }
     }
 
@@ -150,10 +150,10 @@
         group: GroupTag,
         rooms: &mut EngineRooms,
         now: Millis,
-    ) -> Heard {
+    ) -> ObservationOutcome {
         let limit_before = self.limit_of(seen.engine);
         if seen.limit.is_none() && limit_before.is_none() {
-            return Heard::Nothing;
+            return ObservationOutcome::Unchanged;
         }
         let group = self.group_of(seen.engine).unwrap_or(group);
         if !self.groups.contains_key(&group) {
@@ -161,23 +161,23 @@
         }
         let known = &self.groups[&group];
         if known.is_held {
-            return match self.count(seen, group, rooms, now) {
-                true => Heard::Changed,
-                false => Heard::Nothing,
+            return match self.apply_as_holder(seen, group, rooms, now) {
+                true => ObservationOutcome::Changed,
+                false => ObservationOutcome::Unchanged,
             };
         }
         let holder = known.holder.at;
         if limit_before.is_none() {
             // The holder is asked from now on, whenever it learns of the limit.
-            self.note_limit(seen, group);
-            self.put_in_force(seen.engine, rooms, now);
+            self.record_limit(seen, group);
+            self.apply_limit(seen.engine, rooms, now);
         }
-        Heard::ForHolder(holder)
+        ObservationOutcome::ForwardToHolder(holder)
     }
 
     /// Takes in an answer that another node has seen; tells whether another limit is in
     /// force. Whoever does not hold the group leaves it to the holder.
-    pub fn hear_observation(
+    pub fn apply_observation(
         &mut self,
         seen: &Observation,
         group: GroupTag,
@@ -185,11 +185,11 @@
         now: Millis,
     ) -> bool {
         let is_held = self.groups.get(&group).is_some_and(|known| known.is_held);
-        is_held && self.count(seen, group, rooms, now)
+        is_held && self.apply_as_holder(seen, group, rooms, now)
     }
 
     /// Takes in an answer as the holder; tells whether another limit is in force.
-    fn count(
+    fn apply_as_holder(
         &mut self,
         seen: &Observation,
         group: GroupTag,
@@ -200,21 +200,21 @@
             Some(known) => known.standing.take(seen),
             None if seen.limit.is_none() => false,
             None => {
-                self.note_limit(seen, group);
+                self.record_limit(seen, group);
                 true
             }
         };
         if is_changed {
-            self.put_in_force(seen.engine, rooms, now);
+            self.apply_limit(seen.engine, rooms, now);
             self.announce(seen.engine, now);
         }
         is_changed
     }
 
-    fn note_limit(&mut self, seen: &Observation, group: GroupTag) {
+    fn record_limit(&mut self, seen: &Observation, group: GroupTag) {
         let standing = StandingLimit {
             limit: seen.limit,
-            named_at: seen.head_at,
+            observed_at: seen.head_at,
         };
         let known = KnownLimit {
             group,
@@ -227,8 +227,8 @@
     }
 
     /// Has the choice of engines follow a limit that has changed.
-    pub(crate) fn put_in_force(&mut self, engine: EngineTag, rooms: &mut EngineRooms, now: Millis) {
-        let ramp_ms = (self.own.node.0 ^ u64::from(engine.0)) % RAMP_MS;
+    pub(crate) fn apply_limit(&mut self, engine: EngineTag, rooms: &mut EngineRooms, now: Millis) {
+        let lift_delay_ms = (self.own.node.0 ^ u64::from(engine.0)) % LIFT_SPREAD_MS;
         let Some(known) = self.known.get_mut(&engine) else {
             return;
         };
@@ -246,7 +246,7 @@
                 }
             }
             None => {
-                rooms.lift(engine, now.plus(ramp_ms), now);
+                rooms.lift(engine, now.plus(lift_delay_ms), now);
                 known.account = None;
             }
         }
@@ -305,10 +305,10 @@
         let Some(known) = self.groups.get_mut(&group).filter(|known| !known.is_held) else {
             return false;
         };
-        known.nothing_before = retry_at;
+        known.no_tokens_before = retry_at;
         let (since, questions) = known.unanswered.get_or_insert((now, 0));
         *questions += 1;
-        let is_silent = *questions >= SILENT_QUESTIONS && now.since(*since) >= SILENT_MS;
+        let is_silent = *questions >= UNANSWERED_REQUESTS && now.since(*since) >= HOLDER_TIMEOUT_MS;
         if is_silent {
             self.claim(group, now);
         }
@@ -323,7 +323,7 @@
         now: Millis,
     ) {
         self.known.retain(|engine, known| {
-            let is_recent = now.since(known.standing.named_at) < ENDED_MS;
+            let is_recent = now.since(known.standing.observed_at) < ENDED_LIMIT_RETENTION_MS;
             let stays = is_recent || (known.standing.limit.is_some() && is_known(*engine));
             if !stays {
                 rooms.lift(*engine, now, now);
--- a/crates/enginelimit/src/news.rs
+++ b/crates/enginelimit/src/node_messages.rs
@@ -4,11 +4,11 @@
 use ploverlift_balancing::names::{EngineTag, PeerId};
 
 /// Limits of one group in one message: with them it stays within one datagram.
-pub const MAX_TOLD: usize = 32;
+pub const MAX_LIMITS_PER_UPDATE: usize = 32;
 
 /// The limit of one engine, as its holder has found it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ToldLimit {
+pub struct UpdatedLimit {
     /// The engine.
     pub engine: EngineTag,
     /// The rate, in requests a second; nothing once the engine names none any more.
@@ -21,13 +21,13 @@
 
 /// What is told of one group: limits that have changed, or some of all in turn.
 #[derive(Clone, Debug, PartialEq)]
-pub struct GroupNews {
+pub struct GroupUpdate {
     /// The group.
     pub group: GroupTag,
     /// Who holds it.
     pub holder: Holder,
     /// Limits of its engines.
-    pub limits: Vec<ToldLimit>,
+    pub limits: Vec<UpdatedLimit>,
 }
 
 /// What a token is asked for.
--- a/crates/enginelimit/src/observation.rs
+++ b/crates/enginelimit/src/observation.rs
@@ -5,7 +5,7 @@
 
 /// Time by which two heads of answers may cross on their way, in milliseconds: from the
 /// engine to two nodes, one of which is busy, and from there to the holder.
-const CROSSING_MS: u64 = 200;
+const MAX_REORDERING_MS: u64 = 200;
 
 /// What one answer said.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -26,7 +26,7 @@
     /// The rate, in requests a second; nothing once the engine names none any more.
     pub limit: Option<f64>,
     /// When the head of that answer was read.
-    pub named_at: Millis,
+    pub observed_at: Millis,
 }
 
 impl StandingLimit {
@@ -35,19 +35,19 @@
     /// an answer that was overtaken would open an engine that needs rest.
     pub fn take(&mut self, seen: &Observation) -> bool {
         if seen.limit == self.limit {
-            self.named_at = self.named_at.max(seen.head_at);
+            self.observed_at = self.observed_at.max(seen.head_at);
             return false;
         }
         let is_newer = match is_lower(seen.limit, self.limit) {
-            true => seen.head_at.plus(CROSSING_MS) >= self.named_at,
+            true => seen.head_at.plus(MAX_REORDERING_MS) >= self.observed_at,
             false => {
-                let crossed = self.named_at.plus(CROSSING_MS);
-                seen.sent_at >= self.named_at || seen.head_at >= crossed
+                let crossed = self.observed_at.plus(MAX_REORDERING_MS);
+                seen.sent_at >= self.observed_at || seen.head_at >= crossed
             }
         };
         if is_newer {
             self.limit = seen.limit;
-            self.named_at = self.named_at.max(seen.head_at);
+            self.observed_at = self.observed_at.max(seen.head_at);
         }
         is_newer
     }
--- a/crates/enginelimit/src/retry_schedule.rs
+++ b/crates/enginelimit/src/retry_schedule.rs
@@ -4,7 +4,7 @@
 use ploverlift_policy::ids::Millis;
 
 /// Longest time until a caller may come back, in milliseconds. Limits mostly end before.
-const LONGEST_MS: u64 = 5_000;
+const MAX_RETRY_MS: u64 = 5_000;
 
 /// The moments at which a node's rejected callers may come back.
 #[derive(Clone, Copy, Debug, Default)]
@@ -17,7 +17,7 @@
     /// comes after `token_ms`, and this node's turn each `turn_ms`.
     pub fn next_ms(&mut self, token_ms: u64, turn_ms: u64, now: Millis) -> u64 {
         let earliest = now.plus(token_ms);
-        let latest = now.plus(LONGEST_MS);
+        let latest = now.plus(MAX_RETRY_MS);
         let turn = self.last.plus(turn_ms);
         // Beyond the longest time turns begin anew, or all would come at its end.
         self.last = match turn > latest {
--- a/crates/enginelimit/src/tokens.rs
+++ b/crates/enginelimit/src/tokens.rs
@@ -3,18 +3,18 @@
 use crate::account::Account;
 use crate::group::{GroupTag, NodeAddress};
 use crate::limits::EngineLimits;
-use crate::news::{Denial, TokenAnswer, TokenRequest, Wanted};
+use crate::node_messages::{Denial, TokenAnswer, TokenRequest, Wanted};
 use ploverlift_balancing::engine_rooms::EngineRooms;
 use ploverlift_balancing::names::EngineTag;
 use ploverlift_policy::ids::Millis;
 
 /// Time for which an answer is remembered for a question that comes twice, in milliseconds.
-const ANSWERS_FOR_MS: u64 = 1_000;
+const ANSWER_RETENTION_MS: u64 = 1_000;
 /// Answers beyond which those that are older are forgotten.
-const ANSWERS_KEPT: usize = 256;
+const MAX_ANSWERS: usize = 256;
 /// Nodes that may ask for any engine of a group whenever a token may have come: with them
 /// no token waits while requests are rejected.
-const FREE_ASKERS: usize = 16;
+const UNDELAYED_NODES: usize = 16;
 /// Milliseconds in a second, as a factor of rates.
 const MS_PER_SECOND: f64 = 1_000.0;
 
@@ -47,14 +47,14 @@
         };
         let question = (request.sender, request.number);
         let answered = group.answered.get(&question);
-        let lately = answered.filter(|(at, _)| now.since(*at) < ANSWERS_FOR_MS);
+        let lately = answered.filter(|(at, _)| now.since(*at) < ANSWER_RETENTION_MS);
         if let Some((_, answer)) = lately {
             return *answer;
         }
-        group.askers.note(request.sender, now);
-        if group.answered.len() >= ANSWERS_KEPT {
+        group.requesting_nodes.note(request.sender, now);
+        if group.answered.len() >= MAX_ANSWERS {
             let answered = &mut group.answered;
-            answered.retain(|_, (at, _)| now.since(*at) < ANSWERS_FOR_MS);
+            answered.retain(|_, (at, _)| now.since(*at) < ANSWER_RETENTION_MS);
         }
         let answer = match &request.wanted {
             Wanted::Engine(engine) => self.grant(request, *engine, now),
@@ -107,7 +107,7 @@
         let wait_ms = waits.min().unwrap_or(0);
         let rates = accounts.iter().map(|(_, account)| account.per_second());
         let per_second = rates.sum();
-        self.denial(request, wait_ms, per_second, FREE_ASKERS)
+        self.denial(request, wait_ms, per_second, UNDELAYED_NODES)
     }
 
     fn denial(
@@ -115,22 +115,22 @@
         request: &TokenRequest,
         wait_ms: u64,
         per_second: f64,
-        free: usize,
+        undelayed: usize,
     ) -> TokenAnswer {
-        let askers = &self.groups[&request.group].askers;
-        let turn_ms = askers.count() as f64 / per_second * MS_PER_SECOND;
+        let requesting_nodes = &self.groups[&request.group].requesting_nodes;
+        let turn_ms = requesting_nodes.count() as f64 / per_second * MS_PER_SECOND;
         TokenAnswer::Denied(Denial {
             wait_ms,
-            spread_ms: askers.spread_ms(per_second, free),
+            spread_ms: requesting_nodes.spread_ms(per_second, undelayed),
             turn_ms: turn_ms as u64,
         })
     }
 
     /// A token that was granted here was not used.
-    pub fn give_back(&mut self, engine: EngineTag, now: Millis) {
+    pub fn return_token(&mut self, engine: EngineTag, now: Millis) {
         let known = self.known.get_mut(&engine);
         if let Some(account) = known.and_then(|known| known.account.as_mut()) {
-            account.give_back(now);
+            account.return_token(now);
         }
     }
 
@@ -159,7 +159,7 @@
                 None
             }
             TokenAnswer::Unlimited => {
-                self.lift_wanted(request, rooms, now);
+                self.forget_requested(request, rooms, now);
                 None
             }
             TokenAnswer::NotHolder => {
@@ -182,7 +182,7 @@
         if let Some(group) = self.groups.get_mut(&request.group) {
             group.turn_ms = denial.turn_ms;
             if matches!(request.wanted, Wanted::AnyBut(_)) {
-                group.nothing_before = until;
+                group.no_tokens_before = until;
             }
         }
         if let Wanted::Engine(engine) = request.wanted {
@@ -191,31 +191,31 @@
     }
 
     /// The holder knows of no limit where this node does: it has heard of its end.
-    fn lift_wanted(&mut self, request: &TokenRequest, rooms: &mut EngineRooms, now: Millis) {
+    fn forget_requested(&mut self, request: &TokenRequest, rooms: &mut EngineRooms, now: Millis) {
         let group = request.group;
         self.known.retain(|engine, known| {
-            let is_meant = match &request.wanted {
+            let is_requested = match &request.wanted {
                 Wanted::Engine(wanted) => wanted == engine,
                 Wanted::AnyBut(excluded) => known.group == group && !excluded.contains(engine),
             };
-            if is_meant {
+            if is_requested {
                 rooms.lift(*engine, now, now);
             }
-            !is_meant
+            !is_requested
         });
     }
 
     /// Whether any engine of a group may have a token for this node now.
     pub fn may_have_token(&self, group: GroupTag, now: Millis) -> bool {
         let group = self.groups.get(&group);
-        group.is_some_and(|group| group.nothing_before <= now)
+        group.is_some_and(|group| group.no_tokens_before <= now)
     }
 
     /// When a caller that is rejected for want of tokens of a group may come back, in
     /// milliseconds from now.
     pub fn retry_after_ms(&mut self, group: GroupTag, now: Millis) -> Option<u64> {
         let group = self.groups.get_mut(&group)?;
-        let token_ms = group.nothing_before.since(now);
+        let token_ms = group.no_tokens_before.since(now);
         Some(group.retries.next_ms(token_ms, group.turn_ms, now))
     }
 }
--- a/crates/enginelimit/tests/fleets/bounds.rs
+++ b/crates/enginelimit/tests/fleets/bounds.rs
@@ -74,13 +74,13 @@
             world.loss = 0.05;
             world.run(1_000);
             world.limits[0] = Some(LIMIT);
-            let named_at = world.now;
+            let observed_at = world.now;
             while world.nodes_that_know(0, Some(LIMIT)) < nodes {
                 world.run(5);
-                let passed = world.now - named_at;
+                let passed = world.now - observed_at;
                 assert!(passed < KNOWN_AFTER_MS, "{nodes} nodes, seed {seed}");
             }
-            let known_after = world.now - named_at;
+            let known_after = world.now - observed_at;
             println!("{nodes} nodes, seed {seed}: all know after {known_after} ms");
         }
     }
--- a/crates/enginelimit/tests/fleets/observations.rs
+++ b/crates/enginelimit/tests/fleets/observations.rs
@@ -5,13 +5,13 @@
 use ploverlift_policy::ids::Millis;
 
 /// When the newest known answer was read, in milliseconds.
-const NAMED_AT: u64 = 10_000;
+const OBSERVED_AT: u64 = 10_000;
 
 /// The limit in force after an answer, where 4 a second was in force before.
 fn after(limit: Option<f64>, sent_at: u64, head_at: u64) -> Option<f64> {
     let mut standing = StandingLimit {
         limit: Some(4.0),
-        named_at: Millis(NAMED_AT),
+        observed_at: Millis(OBSERVED_AT),
     };
     standing.take(&Observation {
         engine: EngineTag(1),
@@ -24,21 +24,21 @@
 
 #[test]
 fn a_lower_limit_counts_at_once_though_its_answer_crossed_another() {
-    assert_eq!(after(Some(1.0), 9_000, NAMED_AT - 50), Some(1.0));
-    assert_eq!(after(Some(0.0), 9_000, NAMED_AT + 50), Some(0.0));
+    assert_eq!(after(Some(1.0), 9_000, OBSERVED_AT - 50), Some(1.0));
+    assert_eq!(after(Some(0.0), 9_000, OBSERVED_AT + 50), Some(0.0));
     // This one is older for certain.
-    assert_eq!(after(Some(1.0), 9_000, NAMED_AT - 500), Some(4.0));
+    assert_eq!(after(Some(1.0), 9_000, OBSERVED_AT - 500), Some(4.0));
 }
 
 #[test]
 fn a_higher_limit_or_none_counts_once_it_is_certain_to_be_newer() {
     for higher in [Some(8.0), None] {
         // The request was sent after the newest answer was read.
-        assert_eq!(after(higher, NAMED_AT, NAMED_AT + 10), higher);
+        assert_eq!(after(higher, OBSERVED_AT, OBSERVED_AT + 10), higher);
         // Sent before, and read a moment later: the answers may have crossed.
-        assert_eq!(after(higher, 9_000, NAMED_AT + 10), Some(4.0));
-        assert_eq!(after(higher, 9_000, NAMED_AT - 10), Some(4.0));
+        assert_eq!(after(higher, 9_000, OBSERVED_AT + 10), Some(4.0));
+        assert_eq!(after(higher, 9_000, OBSERVED_AT - 10), Some(4.0));
         // Sent before, and read so much later that they cannot.
-        assert_eq!(after(higher, 9_000, NAMED_AT + 300), higher);
+        assert_eq!(after(higher, 9_000, OBSERVED_AT + 300), higher);
     }
 }
--- a/crates/enginelimit/tests/fleets/tokens.rs
+++ b/crates/enginelimit/tests/fleets/tokens.rs
@@ -4,7 +4,7 @@
 use ploverlift_balancing::names::{EngineTag, PeerId};
 use ploverlift_enginelimit::group::{GroupTag, NodeAddress};
 use ploverlift_enginelimit::limits::EngineLimits;
-use ploverlift_enginelimit::news::{TokenAnswer, TokenRequest, Wanted};
+use ploverlift_enginelimit::node_messages::{TokenAnswer, TokenRequest, Wanted};
 use ploverlift_enginelimit::observation::Observation;
 use ploverlift_policy::ids::Millis;
 
@@ -15,7 +15,7 @@
 fn holder() -> EngineLimits {
     let mut limits = EngineLimits::new(NodeAddress {
         node: PeerId(1),
-        ..NodeAddress::NOWHERE
+        ..NodeAddress::UNREACHABLE
     });
     let seen = Observation {
         engine: ENGINE,
@@ -66,11 +66,11 @@
 fn no_engine_of_a_group_is_asked_for_whose_holder_has_just_not_answered() {
     let mut limits = EngineLimits::new(NodeAddress {
         node: PeerId(3),
-        ..NodeAddress::NOWHERE
+        ..NodeAddress::UNREACHABLE
     });
     let mut rooms = EngineRooms::default();
-    for news in holder().everything(Millis(0)) {
-        limits.hear(&news, false, &mut rooms, Millis(0));
+    for news in holder().all_updates(Millis(0)) {
+        limits.apply_update(&news, false, &mut rooms, Millis(0));
     }
     assert!(rooms.has_room(ENGINE, Millis(1_000)));
     limits.note_unanswered(GROUP, &mut rooms, Millis(1_000));
--- a/crates/enginelimit/tests/fleets/world.rs
+++ b/crates/enginelimit/tests/fleets/world.rs
@@ -3,8 +3,8 @@
 use ploverlift_balancing::engine_rooms::EngineRooms;
 use ploverlift_balancing::names::{EngineTag, PeerId};
 use ploverlift_enginelimit::group::{group_of, GroupTag, NodeAddress};
-use ploverlift_enginelimit::limits::{EngineLimits, Heard};
-use ploverlift_enginelimit::news::{GroupNews, TokenAnswer, TokenRequest, Wanted};
+use ploverlift_enginelimit::limits::{EngineLimits, ObservationOutcome};
+use ploverlift_enginelimit::node_messages::{GroupUpdate, TokenAnswer, TokenRequest, Wanted};
 use ploverlift_enginelimit::observation::Observation;
 use ploverlift_enginelimit::tokens::Granter;
 use ploverlift_policy::ids::Millis;
@@ -57,7 +57,7 @@
     },
     Hear {
         node: usize,
-        news: GroupNews,
+        news: GroupUpdate,
     },
     Ask {
         to: usize,
@@ -174,13 +174,15 @@
     /// A node starts anew, and is told what another one knows.
     pub fn restart(&mut self, node: usize) {
         let other = (node + 1) % self.nodes.len();
-        let told = self.nodes[other].limits.everything(self.millis());
+        let told = self.nodes[other].limits.all_updates(self.millis());
         let now = self.millis();
         let started = &mut self.nodes[node];
         started.limits = EngineLimits::new(address_of(node));
         started.rooms = EngineRooms::default();
         for news in told {
-            started.limits.hear(&news, false, &mut started.rooms, now);
+            started
+                .limits
+                .apply_update(&news, false, &mut started.rooms, now);
         }
         started.is_up = true;
     }
@@ -274,14 +276,14 @@
                 let now = self.millis();
                 let node = &mut self.nodes[node];
                 if node.is_up {
-                    node.limits.hear(&news, false, &mut node.rooms, now);
+                    node.limits.apply_update(&news, false, &mut node.rooms, now);
                 }
             }
             Event::Ask { to, from, request } => {
                 if self.nodes[to].is_up {
                     let now = self.millis();
                     let answer = self.nodes[to].limits.answer(&request, now);
-                    let redirect = self.nodes[to].limits.holder_news(request.group);
+                    let redirect = self.nodes[to].limits.holder_update(request.group);
                     if let (TokenAnswer::NotHolder, Some(news)) = (answer, redirect) {
                         let delay = self.hop_ms();
                         self.send(to, from, delay, Event::Hear { node: from, news });
@@ -315,7 +317,7 @@
                 let node = &mut self.nodes[node];
                 if node.is_up {
                     let limits = &mut node.limits;
-                    limits.hear_observation(&seen, group, &mut node.rooms, now);
+                    limits.apply_observation(&seen, group, &mut node.rooms, now);
                 }
             }
             Event::Answered {
@@ -478,7 +480,7 @@
         let group = self.group(engine);
         let known = &mut self.nodes[node];
         let heard = known.limits.observe(&seen, group, &mut known.rooms, now);
-        if let Heard::ForHolder(holder) = heard {
+        if let ObservationOutcome::ForwardToHolder(holder) = heard {
             let holder = index_of(holder);
             let delay = self.hop_ms();
             let told = Event::Observe {
@@ -506,7 +508,7 @@
         if is_period {
             known.told_at = self.now;
         }
-        for news in known.limits.news(is_period, now) {
+        for news in known.limits.updates_due(is_period, now) {
             for other in 0..self.nodes.len() {
                 if other != node {
                     // Relays tell within some tens of milliseconds.
--- a/crates/gateway/src/engine_limits.rs
+++ b/crates/gateway/src/engine_limits.rs
@@ -4,7 +4,7 @@
 use crate::metrics::LimitedEngineLabel;
 use crate::state::Gateway;
 use ploverlift_balancing::peer_loads::EngineTag;
-use ploverlift_enginelimit::news::{TokenAnswer, TokenRequest};
+use ploverlift_enginelimit::node_messages::{TokenAnswer, TokenRequest};
 use ploverlift_policy::ids::Millis;
 
 /// An engine's limit is another one from now on; `source` told it.
--- a/crates/gateway/src/engine_signals.rs
+++ b/crates/gateway/src/engine_signals.rs
@@ -13,7 +13,7 @@
 use ploverlift_balancing::engine_notices::NoticeSource;
 use ploverlift_balancing::names::EngineTag;
 use ploverlift_enginelimit::group::group_of;
-use ploverlift_enginelimit::limits::Heard;
+use ploverlift_enginelimit::limits::ObservationOutcome;
 use ploverlift_enginelimit::observation::Observation;
 use ploverlift_policy::ids::Millis;
 
@@ -74,11 +74,11 @@
         log_limit(gateway, beliefs, engine, before, "answer");
     }
     match heard {
-        Heard::Nothing => {}
-        Heard::Changed => {
+        ObservationOutcome::Unchanged => {}
+        ObservationOutcome::Changed => {
             gateway.engine_signals_changed.notify(usize::MAX);
         }
-        Heard::ForHolder(holder) => {
+        ObservationOutcome::ForwardToHolder(holder) => {
             let message = PeerMessage::EngineLimitSeen(ToldObservation {
                 engine,
                 group,
--- a/crates/gateway/src/forward/engine_limit.rs
+++ b/crates/gateway/src/forward/engine_limit.rs
@@ -13,7 +13,7 @@
 use ploverlift_balancing::names::{EngineTag, PeerId};
 use ploverlift_balancing::overload::Urgency;
 use ploverlift_enginelimit::group::{groups_of, GroupTag};
-use ploverlift_enginelimit::news::{TokenAnswer, TokenRequest, Wanted};
+use ploverlift_enginelimit::node_messages::{TokenAnswer, TokenRequest, Wanted};
 use ploverlift_enginelimit::tokens::Granter;
 use ploverlift_policy::ids::Millis;
 use std::sync::Arc;
@@ -48,7 +48,7 @@
         let now = self.gateway.clock.now();
         let limits = &mut self.gateway.beliefs().engine_limits;
         match limits.granter(self.group) {
-            Granter::Here => limits.give_back(self.engine, now),
+            Granter::Here => limits.return_token(self.engine, now),
             Granter::At(holder) => {
                 let message = PeerMessage::TokenReturn(self.engine);
                 self.gateway.outbox.put(holder.address, &message);
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use crate::ports::StoreCall;
 use crate::rollouts::Arrival;
-use ploverlift_enginelimit::news::TokenAnswer;
+use ploverlift_enginelimit::node_messages::TokenAnswer;
 use ploverlift_ratelimit::standing::Standing;
 use ploverlift_rollout::counts::Side;
 use ploverlift_routing::topology::Distance;
--- a/crates/gateway/src/peers/engine_limit_messages.rs
+++ b/crates/gateway/src/peers/engine_limit_messages.rs
@@ -2,8 +2,8 @@
 
 use ploverlift_balancing::peer_loads::{EngineTag, PeerId};
 use ploverlift_enginelimit::group::{GroupTag, Holder, NodeAddress};
-use ploverlift_enginelimit::news::{
-    Denial, GroupNews, TokenAnswer, TokenRequest, ToldLimit, Wanted,
+use ploverlift_enginelimit::node_messages::{
+    Denial, GroupUpdate, TokenAnswer, TokenRequest, UpdatedLimit, Wanted,
 };
 use ploverlift_wire::peers;
 use ploverlift_wire::peers::engine_token_answer::Verdict;
@@ -32,7 +32,7 @@
     pub answer: TokenAnswer,
 }
 
-pub(super) fn group_message(news: &GroupNews) -> peers::EngineLimitGroup {
+pub(super) fn group_message(news: &GroupUpdate) -> peers::EngineLimitGroup {
     let limits = news.limits.iter().map(|told| peers::EngineLimit {
         engine: told.engine.0,
         per_second: told.limit,
@@ -49,8 +49,8 @@
 }
 
 /// Reads a group; nothing when its holder has no proper address.
-pub(super) fn read_group(message: &peers::EngineLimitGroup) -> Option<GroupNews> {
-    let limits = message.limits.iter().map(|told| ToldLimit {
+pub(super) fn read_group(message: &peers::EngineLimitGroup) -> Option<GroupUpdate> {
+    let limits = message.limits.iter().map(|told| UpdatedLimit {
         engine: EngineTag(told.engine),
         limit: told.per_second.filter(is_rate),
         sequence: told.sequence,
@@ -60,7 +60,7 @@
         node: PeerId(message.holder),
         address: message.address.parse().ok()?,
     };
-    Some(GroupNews {
+    Some(GroupUpdate {
         group: GroupTag(message.group),
         holder: Holder {
             at,
--- a/crates/gateway/src/peers/engine_limits.rs
+++ b/crates/gateway/src/peers/engine_limits.rs
@@ -8,7 +8,7 @@
 use crate::engine_limits::{answer_request, log_limit};
 use crate::state::Gateway;
 use ploverlift_balancing::peer_loads::EngineTag;
-use ploverlift_enginelimit::news::{GroupNews, TokenAnswer, TokenRequest};
+use ploverlift_enginelimit::node_messages::{GroupUpdate, TokenAnswer, TokenRequest};
 use ploverlift_enginelimit::observation::Observation;
 use ploverlift_policy::ids::Millis;
 use std::collections::HashSet;
@@ -34,7 +34,7 @@
 /// Takes in what another node tells of one group; tells whether it was news.
 pub(super) fn take_group_news(
     gateway: &Gateway,
-    news: &GroupNews,
+    news: &GroupUpdate,
     passes_on: bool,
     now: Millis,
 ) -> bool {
@@ -47,7 +47,9 @@
     let before = limits_of(beliefs);
     let holder_before = beliefs.engine_limits.holder(news.group);
     let rooms = &mut beliefs.engines.rooms;
-    let is_news = beliefs.engine_limits.hear(news, passes_on, rooms, now);
+    let is_news = beliefs
+        .engine_limits
+        .apply_update(news, passes_on, rooms, now);
     let after = limits_of(beliefs);
     for ((told, before), after) in news.limits.iter().zip(before).zip(after) {
         if before != after {
@@ -77,7 +79,7 @@
     let before = beliefs.engine_limits.limit_of(told.engine);
     let rooms = &mut beliefs.engines.rooms;
     let limits = &mut beliefs.engine_limits;
-    if limits.hear_observation(&seen, told.group, rooms, now) {
+    if limits.apply_observation(&seen, told.group, rooms, now) {
         log_limit(
             gateway,
             beliefs,
@@ -94,7 +96,7 @@
     let now = gateway.clock.now();
     let answer = answer_request(gateway, request, now);
     if answer == TokenAnswer::NotHolder {
-        let news = gateway.beliefs().engine_limits.holder_news(request.group);
+        let news = gateway.beliefs().engine_limits.holder_update(request.group);
         for report in limit_reports(gateway, news) {
             gateway
                 .outbox
@@ -113,5 +115,5 @@
 /// A token that was granted here was not used.
 pub fn take_back_token(gateway: &Gateway, engine: EngineTag) {
     let now = gateway.clock.now();
-    gateway.beliefs().engine_limits.give_back(engine, now);
+    gateway.beliefs().engine_limits.return_token(engine, now);
 }
--- a/crates/gateway/src/peers/engine_signal_messages.rs
+++ b/crates/gateway/src/peers/engine_signal_messages.rs
@@ -4,7 +4,7 @@
 use ploverlift_balancing::engine_notices::exchange::ToldLeaving;
 use ploverlift_balancing::engine_notices::EngineLife;
 use ploverlift_balancing::peer_loads::{EngineTag, PeerId};
-use ploverlift_enginelimit::news::GroupNews;
+use ploverlift_enginelimit::node_messages::GroupUpdate;
 use ploverlift_wire::peers;
 
 /// What a node tells of engines by their own answers.
@@ -13,7 +13,7 @@
     /// The sender.
     pub sender: PeerId,
     /// Rate limits, by group.
-    pub groups: Vec<GroupNews>,
+    pub groups: Vec<GroupUpdate>,
     /// Engines that leave.
     pub leaving: Vec<ToldLeaving>,
     /// Whether the sender knows nothing yet and wants to be told all.
--- a/crates/gateway/src/peers/engine_signals.rs
+++ b/crates/gateway/src/peers/engine_signals.rs
@@ -15,7 +15,7 @@
 use ploverlift_balancing::engine_notices::exchange::{Occasion, ToldLeaving, MAX_TOLD};
 use ploverlift_balancing::engine_notices::NoticeSource;
 use ploverlift_balancing::peer_loads::PeerId;
-use ploverlift_enginelimit::news::GroupNews;
+use ploverlift_enginelimit::node_messages::GroupUpdate;
 use ploverlift_policy::ids::Millis;
 use smol::net::UdpSocket;
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
 /// What is told at one time.
 #[derive(Default)]
 struct News {
-    groups: Vec<GroupNews>,
+    groups: Vec<GroupUpdate>,
     leaving: Vec<ToldLeaving>,
 }
 
@@ -71,7 +71,7 @@
     let news = {
         let beliefs = &mut *gateway.beliefs();
         News {
-            groups: beliefs.engine_limits.news(is_period, now),
+            groups: beliefs.engine_limits.updates_due(is_period, now),
             leaving: beliefs.engines.notices.news(occasion, now),
         }
     };
@@ -97,7 +97,7 @@
         leaving: Vec::new(),
         wants_all,
     };
-    let of_group = |group: GroupNews| EngineSignalReport {
+    let of_group = |group: GroupUpdate| EngineSignalReport {
         groups: vec![group],
         ..empty.clone()
     };
@@ -116,7 +116,7 @@
 /// A report of each of these groups.
 pub(super) fn limit_reports(
     gateway: &Gateway,
-    groups: impl IntoIterator<Item = GroupNews>,
+    groups: impl IntoIterator<Item = GroupUpdate>,
 ) -> Vec<EngineSignalReport> {
     let news = News {
         groups: groups.into_iter().collect(),
@@ -162,7 +162,7 @@
     let news = {
         let beliefs = gateway.beliefs();
         News {
-            groups: beliefs.engine_limits.everything(now),
+            groups: beliefs.engine_limits.all_updates(now),
             leaving: beliefs.engines.notices.everything(now),
         }
     };
--- a/crates/gateway/src/peers/messages.rs
+++ b/crates/gateway/src/peers/messages.rs
@@ -19,7 +19,7 @@
 use ploverlift_balancing::engine_losses::LostEngine;
 use ploverlift_balancing::peer_loads::{EngineTag, LoadReport, LoadedWeights, PeerId, ZoneTag};
 use ploverlift_balancing::prefix_holders::Placement;
-use ploverlift_enginelimit::news::TokenRequest;
+use ploverlift_enginelimit::node_messages::TokenRequest;
 use ploverlift_policy::ids::StoreEra;
 use ploverlift_ratelimit::reports::LevelReport;
 use ploverlift_wire::peers::peer_message::Body;
--- a/crates/gateway/src/peers/token_questions.rs
+++ b/crates/gateway/src/peers/token_questions.rs
@@ -3,7 +3,7 @@
 use super::messages::PeerMessage;
 use super::outbox::Outbox;
 use crate::time::within;
-use ploverlift_enginelimit::news::{TokenAnswer, TokenRequest};
+use ploverlift_enginelimit::node_messages::{TokenAnswer, TokenRequest};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/gateway/tests/engine_limits/messages.rs
+++ b/crates/gateway/tests/engine_limits/messages.rs
@@ -4,8 +4,8 @@
 use ploverlift_balancing::engine_notices::EngineLife;
 use ploverlift_balancing::names::{EngineTag, PeerId};
 use ploverlift_enginelimit::group::{GroupTag, Holder, NodeAddress};
-use ploverlift_enginelimit::news::{
-    Denial, GroupNews, TokenAnswer, TokenRequest, ToldLimit, Wanted, MAX_TOLD,
+use ploverlift_enginelimit::node_messages::{
+    Denial, GroupUpdate, TokenAnswer, TokenRequest, UpdatedLimit, Wanted, MAX_LIMITS_PER_UPDATE,
 };
 use ploverlift_gateway::peers::engine_limit_messages::{NumberedAnswer, ToldObservation};
 use ploverlift_gateway::peers::engine_signal_messages::EngineSignalReport;
@@ -19,7 +19,7 @@
 
 #[test]
 fn reports_of_limits_fit_one_datagram_and_survive_the_wire() {
-    let limits = (0..MAX_TOLD as u32).map(|number| ToldLimit {
+    let limits = (0..MAX_LIMITS_PER_UPDATE as u32).map(|number| UpdatedLimit {
         engine: EngineTag(u32::MAX - number),
         limit: [Some(1.7), Some(0.0), None][number as usize % 3],
         sequence: 1 << 40,
@@ -31,7 +31,7 @@
     };
     survives(PeerMessage::EngineSignals(EngineSignalReport {
         sender: PeerId(u64::MAX),
-        groups: vec![GroupNews {
+        groups: vec![GroupUpdate {
             group: GroupTag(u32::MAX),
             holder: Holder { at, term: 1 << 40 },
             limits: limits.collect(),
