--- a/crates/enginelimit/src/exchange.rs
+++ b/crates/enginelimit/src/exchange.rs
@@ -125,7 +125,7 @@
             false => Telling::default(),
         };
         let known = self.groups.get_mut(&news.group);
-        let is_other = match known {
+        let is_new_holder = match known {
             Some(group) if group.holder == news.holder => false,
             Some(group) if !news.holder.supersedes(&group.holder, news.group) => {
                 // Whoever told it has not heard of the later term.
@@ -136,22 +136,22 @@
             }
             _ => true,
         };
-        if is_other {
-            self.follow(news, telling, now);
+        if is_new_holder {
+            self.follow_holder(news, telling, now);
         }
         let is_held = self.groups[&news.group].is_held;
         if news.holder.at.node == self.own.node && !is_held {
             // An earlier life of this node held it. What that one granted is not known.
             self.apply_limits(news, telling, rooms, now);
-            self.claim(news.group, now);
+            self.take_over(news.group, now);
             return true;
         }
         let is_changed = !is_held && self.apply_limits(news, telling, rooms, now);
-        is_other || is_changed
+        is_new_holder || is_changed
     }
 
     /// Another node holds the group from now on.
-    fn follow(&mut self, news: &GroupUpdate, telling: Telling, now: Millis) {
+    fn follow_holder(&mut self, news: &GroupUpdate, telling: Telling, now: Millis) {
         let followed = Group {
             telling,
             ..Group::held_by(news.holder, now)
--- a/crates/enginelimit/src/limits.rs
+++ b/crates/enginelimit/src/limits.rs
@@ -157,7 +157,7 @@
         }
         let group = self.group_of(seen.engine).unwrap_or(group);
         if !self.groups.contains_key(&group) {
-            self.claim(group, now);
+            self.take_over(group, now);
         }
         let known = &self.groups[&group];
         if known.is_held {
@@ -264,7 +264,7 @@
     }
 
     /// Holds a group from now on, in a term of its own.
-    pub(crate) fn claim(&mut self, group: GroupTag, now: Millis) {
+    pub(crate) fn take_over(&mut self, group: GroupTag, now: Millis) {
         let term = self.groups.get(&group).map_or(0, |known| known.holder.term);
         let holder = Holder {
             at: self.own,
@@ -275,10 +275,10 @@
             ..Group::held_by(holder, now)
         };
         self.groups.insert(group, held);
-        let of_group = self.known.iter_mut();
-        let of_group = of_group.filter(|(_, known)| known.group == group);
+        let in_group = self.known.iter_mut();
+        let in_group = in_group.filter(|(_, known)| known.group == group);
         let mut engines = Vec::new();
-        for (engine, known) in of_group {
+        for (engine, known) in in_group {
             let limit = known.standing.limit;
             known.account = limit.map(|limit| Account::beginning_at(limit, now));
             engines.push(*engine);
@@ -306,11 +306,11 @@
             return false;
         };
         known.no_tokens_before = retry_at;
-        let (since, questions) = known.unanswered.get_or_insert((now, 0));
-        *questions += 1;
-        let is_silent = *questions >= UNANSWERED_REQUESTS && now.since(*since) >= HOLDER_TIMEOUT_MS;
+        let (since, unanswered_count) = known.unanswered.get_or_insert((now, 0));
+        *unanswered_count += 1;
+        let is_silent = *unanswered_count >= UNANSWERED_REQUESTS && now.since(*since) >= HOLDER_TIMEOUT_MS;
         if is_silent {
-            self.claim(group, now);
+            self.take_over(group, now);
         }
         is_silent
     }
--- a/crates/enginelimit/src/tokens.rs
+++ b/crates/enginelimit/src/tokens.rs
@@ -45,10 +45,10 @@
         let Some(group) = group.filter(|group| group.is_held) else {
             return TokenAnswer::NotHolder;
         };
-        let question = (request.sender, request.number);
-        let answered = group.answered.get(&question);
-        let lately = answered.filter(|(at, _)| now.since(*at) < ANSWER_RETENTION_MS);
-        if let Some((_, answer)) = lately {
+        let request_key = (request.sender, request.number);
+        let answered = group.answered.get(&request_key);
+        let recent = answered.filter(|(at, _)| now.since(*at) < ANSWER_RETENTION_MS);
+        if let Some((_, answer)) = recent {
             return *answer;
         }
         group.requesting_nodes.note(request.sender, now);
@@ -61,7 +61,7 @@
             Wanted::AnyBut(excluded) => self.grant_any(request, excluded, now),
         };
         if let Some(group) = self.groups.get_mut(&request.group) {
-            group.answered.insert(question, (now, answer));
+            group.answered.insert(request_key, (now, answer));
         }
         answer
     }
@@ -87,12 +87,12 @@
         excluded: &[EngineTag],
         now: Millis,
     ) -> TokenAnswer {
-        let of_group = self.known.iter_mut().filter_map(|(engine, known)| {
+        let in_group = self.known.iter_mut().filter_map(|(engine, known)| {
             let is_wanted = known.group == request.group && !excluded.contains(engine);
             let account = known.account.as_mut().filter(|_| is_wanted)?;
             Some((*engine, account))
         });
-        let mut accounts: Vec<(EngineTag, &mut Account)> = of_group.collect();
+        let mut accounts: Vec<(EngineTag, &mut Account)> = in_group.collect();
         accounts.sort_by(|(_, a), (_, b)| a.level(now).total_cmp(&b.level(now)));
         let Some((engine, account)) = accounts.last_mut() else {
             return TokenAnswer::Unlimited;
--- a/crates/enginelimit/tests/fleets/bounds.rs
+++ b/crates/enginelimit/tests/fleets/bounds.rs
@@ -13,7 +13,7 @@
 }
 
 /// The bounds on the engines that are limited, in a fleet with this demand a second.
-fn holds(nodes: usize, engines: usize, limited: usize, demand: f64) -> World {
+fn check_bounds(nodes: usize, engines: usize, limited: usize, demand: f64) -> World {
     let mut world = World::new(nodes, engines, demand, 7);
     world.run(2_000);
     for engine in 0..limited {
@@ -32,12 +32,12 @@
         lowest = lowest.min(used / LIMIT / seconds);
     }
     let messages = (world.counts.messages - before.messages) as f64 / seconds;
-    let asks = (world.counts.asks - before.asks) as f64 / seconds;
+    let token_requests = (world.counts.token_requests - before.token_requests) as f64 / seconds;
     let rejected = world.counts.rejected - before.rejected;
     let served = world.counts.served - before.served;
     println!(
         "{nodes} nodes, {engines} engines, {limited} limited: at most {most} in a window, \
-         used {lowest:.2} at least, {messages:.0} messages and {asks:.0} questions a second, {served} served, {rejected} rejected"
+         used {lowest:.2} at least, {messages:.0} messages and {token_requests:.0} questions a second, {served} served, {rejected} rejected"
     );
     assert!(most <= most_in_window(LIMIT), "{most} in a window");
     assert!(lowest >= 0.8, "used {lowest:.2}");
@@ -46,27 +46,27 @@
 
 #[test]
 fn one_limited_engine() {
-    holds(7, 18, 1, 100.0);
-    holds(69, 60, 1, 400.0);
-    holds(985, 200, 1, 1_000.0);
+    check_bounds(7, 18, 1, 100.0);
+    check_bounds(69, 60, 1, 400.0);
+    check_bounds(985, 200, 1, 1_000.0);
 }
 
 #[test]
 fn a_third_of_the_engines() {
-    holds(7, 18, 6, 100.0);
-    holds(69, 60, 20, 400.0);
+    check_bounds(7, 18, 6, 100.0);
+    check_bounds(69, 60, 20, 400.0);
 }
 
 #[test]
 fn all_engines() {
     for (nodes, engines, demand) in [(7, 18, 100.0), (69, 60, 400.0), (985, 120, 800.0)] {
-        let world = holds(nodes, engines, engines, demand);
+        let world = check_bounds(nodes, engines, engines, demand);
         assert!(world.counts.rejected > 0);
     }
 }
 
 #[test]
-fn all_nodes_know_a_limit_long_before_it_has_to_hold() {
+fn every_node_knows_a_limit_before_the_bound_applies() {
     for (nodes, demand) in [(7, 100.0), (69, 400.0), (985, 1_000.0)] {
         for seed in 0..5 {
             let mut world = World::new(nodes, 60, demand, seed);
--- a/crates/enginelimit/tests/fleets/changes.rs
+++ b/crates/enginelimit/tests/fleets/changes.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn any_rate_is_kept_and_used() {
+fn any_rate_is_enforced_and_used() {
     for (seed, limit) in [(1, 1.0), (2, 1.7), (3, 4.0), (4, 8.0)] {
         let mut world = limited(limit, seed);
         // More than the engine takes, whoever draws it.
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn an_engine_that_takes_next_to_nothing_is_asked_again_within_the_bound() {
+fn a_zero_or_fractional_limit_is_probed_within_the_bound() {
     for (seed, limit) in [(1, 0.0), (2, 0.2), (3, 0.7)] {
         let mut world = limited(limit, seed);
         let from = world.now;
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn after_its_end_an_engine_is_not_rushed_upon() {
+fn requests_do_not_surge_after_a_limit_ends() {
     let mut world = limited(1.7, 5);
     world.run(3_000);
     world.limits[0] = None;
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_lower_limit_counts_at_once_and_a_higher_one_when_it_is_the_newer() {
+fn a_lower_limit_applies_at_once_and_a_higher_one_once_it_is_newer() {
     let mut world = limited(8.0, 6);
     world.run(5_000);
     world.limits[0] = Some(1.7);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_limit_that_changes_each_second_is_kept_at_its_higher_value() {
+fn a_limit_that_alternates_each_second_is_enforced_at_its_higher_value() {
     let mut world = limited(1.7, 8);
     let from = world.now;
     for second in 0..20 {
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn an_engine_that_names_a_limit_now_and_then_is_limited_while_it_does() {
+fn an_intermittently_advertised_limit_is_enforced_while_it_lasts() {
     let mut world = limited(1.7, 9);
     for second in 0..20 {
         world.limits[0] = [Some(1.7), None][second % 2];
--- a/crates/enginelimit/tests/fleets/faults.rs
+++ b/crates/enginelimit/tests/fleets/faults.rs
@@ -24,7 +24,12 @@
 }
 
 /// The bound on all limited engines over what is played, from now until it is done.
-fn holds_while(world: &mut World, seed: u64, side: Option<u8>, play: impl FnOnce(&mut World)) {
+fn check_bound_during(
+    world: &mut World,
+    seed: u64,
+    side: Option<u8>,
+    play: impl FnOnce(&mut World),
+) {
     let from = world.now;
     play(world);
     for engine in 0..ENGINES / 3 {
@@ -46,11 +51,11 @@
 }
 
 #[test]
-fn a_holder_that_ends_is_followed_by_another() {
+fn a_stopped_holder_is_replaced() {
     for seed in 0..SEEDS {
         let mut world = limited(NODES, seed);
         let first = holder(&world, 0);
-        holds_while(&mut world, seed, None, |world| {
+        check_bound_during(&mut world, seed, None, |world| {
             world.stop(first);
             world.run(2_000);
             assert!(used(world, 10) >= 0.8, "seed {seed}");
@@ -61,15 +66,15 @@
 }
 
 #[test]
-fn a_holder_that_stands_still_and_goes_on_does_not_count_beside_the_new_one() {
+fn a_holder_that_resumes_after_a_pause_does_not_grant_beside_its_successor() {
     for seed in 0..SEEDS {
         let mut world = limited(NODES, seed);
         let first = holder(&world, 0);
-        holds_while(&mut world, seed, None, |world| {
+        check_bound_during(&mut world, seed, None, |world| {
             for _ in 0..3 {
                 world.stop(first);
                 world.run(2_500);
-                world.thaw(first);
+                world.resume(first);
                 world.run(2_500);
             }
         });
@@ -85,7 +90,7 @@
 fn nodes_that_are_restarted_in_turn_keep_the_bound() {
     for seed in 0..SEEDS {
         let mut world = limited(NODES, seed);
-        holds_while(&mut world, seed, None, |world| {
+        check_bound_during(&mut world, seed, None, |world| {
             for node in 0..NODES {
                 world.stop(node);
                 world.run(500);
@@ -98,11 +103,11 @@
 }
 
 #[test]
-fn a_third_of_the_datagrams_may_be_lost() {
+fn the_bound_holds_when_one_third_of_the_datagrams_is_lost() {
     for seed in 0..SEEDS {
         let mut world = limited(NODES, seed);
         world.loss = 1.0 / 3.0;
-        holds_while(&mut world, seed, None, |world| {
+        check_bound_during(&mut world, seed, None, |world| {
             let used = used(world, 20);
             println!("a third lost, seed {seed}: used {used:.2}");
             assert!(used >= 0.6, "seed {seed}: used {used:.2}");
@@ -111,7 +116,7 @@
 }
 
 #[test]
-fn limits_are_heard_of_though_a_third_of_the_datagrams_is_lost() {
+fn limits_reach_all_nodes_when_one_third_of_the_datagrams_is_lost() {
     for seed in 0..SEEDS {
         let mut world = World::new(NODES, ENGINES, DEMAND, seed);
         world.loss = 1.0 / 3.0;
@@ -123,28 +128,28 @@
 }
 
 #[test]
-fn each_side_of_a_cut_keeps_the_bound_by_itself() {
+fn each_side_of_a_partition_keeps_the_bound() {
     let mut most = 0;
     for seed in 0..SEEDS {
-        for first_beyond in [1, 4, 6] {
+        for first_on_other_side in [1, 4, 6] {
             let mut world = limited(NODES, seed);
             world.run(2_000);
-            world.cut_from(first_beyond);
+            world.cut_from(first_on_other_side);
             let from = world.now;
             for side in [0, 1] {
-                holds_while(&mut world, seed, Some(side), |world| world.run(10_000));
+                check_bound_during(&mut world, seed, Some(side), |world| world.run(10_000));
             }
             most = most.max(world.worst_window(0, from, world.now, None));
             world.heal();
             world.run(3_000);
-            holds_while(&mut world, seed, None, |world| world.run(8_000));
+            check_bound_during(&mut world, seed, None, |world| world.run(8_000));
         }
     }
     println!("all nodes of a divided fleet together: {most} in a window");
 }
 
 #[test]
-fn nodes_agree_on_one_holder_after_a_cut() {
+fn nodes_agree_on_one_holder_after_a_partition() {
     for seed in 0..SEEDS {
         let mut world = limited(NODES, seed);
         world.cut_from(3);
--- a/crates/enginelimit/tests/fleets/observations.rs
+++ b/crates/enginelimit/tests/fleets/observations.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_lower_limit_counts_at_once_though_its_answer_crossed_another() {
+fn a_lower_limit_applies_at_once_even_when_answers_are_reordered() {
     assert_eq!(after(Some(1.0), 9_000, OBSERVED_AT - 50), Some(1.0));
     assert_eq!(after(Some(0.0), 9_000, OBSERVED_AT + 50), Some(0.0));
     // This one is older for certain.
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_higher_limit_or_none_counts_once_it_is_certain_to_be_newer() {
+fn a_higher_limit_or_none_applies_once_it_is_certainly_newer() {
     for higher in [Some(8.0), None] {
         // The request was sent after the newest answer was read.
         assert_eq!(after(higher, OBSERVED_AT, OBSERVED_AT + 10), higher);
--- a/crates/enginelimit/tests/fleets/tokens.rs
+++ b/crates/enginelimit/tests/fleets/tokens.rs
@@ -27,7 +27,7 @@
     limits
 }
 
-fn ask(limits: &mut EngineLimits, number: u64, at_ms: u64) -> bool {
+fn request_token(limits: &mut EngineLimits, number: u64, at_ms: u64) -> bool {
     let request = TokenRequest {
         sender: PeerId(2),
         number,
@@ -40,30 +40,30 @@
 }
 
 #[test]
-fn a_question_that_comes_twice_takes_one_token() {
+fn a_retransmitted_request_takes_one_token() {
     let mut limits = holder();
-    assert!(ask(&mut limits, 7, 1_000));
-    assert!(ask(&mut limits, 7, 1_040));
-    assert!(!ask(&mut limits, 8, 1_050));
+    assert!(request_token(&mut limits, 7, 1_000));
+    assert!(request_token(&mut limits, 7, 1_040));
+    assert!(!request_token(&mut limits, 8, 1_050));
     // It had taken one alone: the next one is there a second later.
-    assert!(ask(&mut limits, 9, 2_000));
+    assert!(request_token(&mut limits, 9, 2_000));
 }
 
 /// A node that starts anew may number its questions as its earlier life did. The answer to
 /// an old question was handed out again, and no token was taken.
 #[test]
-fn an_old_answer_is_not_given_to_a_new_question() {
+fn a_reused_request_number_does_not_get_the_old_answer() {
     let mut limits = holder();
-    assert!(ask(&mut limits, 7, 1_000));
-    assert!(ask(&mut limits, 8, 2_000));
-    assert!(ask(&mut limits, 7, 3_000));
-    assert!(!ask(&mut limits, 9, 3_010));
+    assert!(request_token(&mut limits, 7, 1_000));
+    assert!(request_token(&mut limits, 8, 2_000));
+    assert!(request_token(&mut limits, 7, 3_000));
+    assert!(!request_token(&mut limits, 9, 3_010));
 }
 
 /// Each question to a holder that is silent waits; a request that asked for one engine after
 /// another waited four times before it was rejected.
 #[test]
-fn no_engine_of_a_group_is_asked_for_whose_holder_has_just_not_answered() {
+fn no_tokens_are_requested_right_after_the_holder_did_not_answer() {
     let mut limits = EngineLimits::new(NodeAddress {
         node: PeerId(3),
         ..NodeAddress::UNREACHABLE
--- a/crates/enginelimit/tests/fleets/world.rs
+++ b/crates/enginelimit/tests/fleets/world.rs
@@ -21,13 +21,13 @@
 /// Time between two tellings of what has not changed, in milliseconds.
 const PERIOD_MS: u64 = 1_000;
 /// Time between two looks at what is to be told, in milliseconds.
-const LOOK_MS: u64 = 5;
+const BROADCAST_CHECK_MS: u64 = 5;
 /// Longest wait for the answer to a question, in milliseconds.
-const ANSWER_MS: u64 = 60;
+const ANSWER_TIMEOUT_MS: u64 = 60;
 /// Engines that a request asks for one by one; then it asks for any.
-const DENIALS_BEFORE_ANY: u32 = 3;
+const MAX_DENIALS: u32 = 3;
 /// Time for which an engine works before it answers, in milliseconds.
-const WORK_MS: u64 = 30;
+const SERVICE_MS: u64 = 30;
 
 /// A node.
 struct Node {
@@ -36,13 +36,13 @@
     is_up: bool,
     /// Nodes of other sides are neither heard nor reached.
     side: u8,
-    told_at: u64,
-    next_question: u64,
+    last_period_at: u64,
+    next_request_number: u64,
 }
 
 /// A request that waits for a token.
 #[derive(Clone)]
-struct Question {
+struct PendingRequest {
     request: TokenRequest,
     tries: u32,
     denials: u32,
@@ -52,14 +52,14 @@
     Arrive {
         node: usize,
     },
-    Tell {
+    Broadcast {
         node: usize,
     },
-    Hear {
+    ReceiveUpdate {
         node: usize,
         news: GroupUpdate,
     },
-    Ask {
+    RequestToken {
         to: usize,
         from: usize,
         request: TokenRequest,
@@ -69,11 +69,11 @@
         request: TokenRequest,
         answer: TokenAnswer,
     },
-    GiveUp {
+    TimeOut {
         node: usize,
         number: u64,
     },
-    Observe {
+    ReceiveObservation {
         node: usize,
         seen: Observation,
         group: GroupTag,
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     pub messages: u64,
-    pub asks: u64,
+    pub token_requests: u64,
     pub rejected: u64,
     pub served: u64,
 }
@@ -107,7 +107,7 @@
     pub loss: f64,
     /// Requests a second, of all nodes.
     pub demand: f64,
-    questions: HashMap<(usize, u64), Question>,
+    pending_requests: HashMap<(usize, u64), PendingRequest>,
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
     random: fastrand::Rng,
@@ -124,7 +124,7 @@
             counts: Counts::default(),
             loss: 0.0,
             demand,
-            questions: HashMap::new(),
+            pending_requests: HashMap::new(),
             events: BTreeMap::new(),
             next_event: 0,
             random: fastrand::Rng::with_seed(seed),
@@ -136,12 +136,12 @@
                 rooms: EngineRooms::default(),
                 is_up: true,
                 side: 0,
-                told_at: 0,
-                next_question: 0,
+                last_period_at: 0,
+                next_request_number: 0,
             });
             let first = world.random.u64(0..1_000);
             world.at(first, Event::Arrive { node });
-            world.at(node as u64 % LOOK_MS, Event::Tell { node });
+            world.at(node as u64 % BROADCAST_CHECK_MS, Event::Broadcast { node });
         }
         world
     }
@@ -156,7 +156,7 @@
         {
             self.now = entry.key().0;
             let event = entry.remove();
-            self.play(event);
+            self.handle(event);
         }
         self.now = end;
     }
@@ -167,7 +167,7 @@
     }
 
     /// A node that stood still goes on with what it knew.
-    pub fn thaw(&mut self, node: usize) {
+    pub fn resume(&mut self, node: usize) {
         self.nodes[node].is_up = true;
     }
 
@@ -253,7 +253,7 @@
         }
     }
 
-    fn hop_ms(&mut self) -> u64 {
+    fn network_delay_ms(&mut self) -> u64 {
         self.random.u64(1..=3)
     }
 
@@ -261,7 +261,7 @@
         group_of(&self.service, tag(engine), self.limits.len())
     }
 
-    fn play(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive { node } => {
                 let mean_ms = 1_000.0 * self.nodes.len() as f64 / self.demand;
@@ -271,24 +271,24 @@
                     self.choose(node, 0);
                 }
             }
-            Event::Tell { node } => self.tell(node),
-            Event::Hear { node, news } => {
+            Event::Broadcast { node } => self.broadcast(node),
+            Event::ReceiveUpdate { node, news } => {
                 let now = self.millis();
                 let node = &mut self.nodes[node];
                 if node.is_up {
                     node.limits.apply_update(&news, false, &mut node.rooms, now);
                 }
             }
-            Event::Ask { to, from, request } => {
+            Event::RequestToken { to, from, request } => {
                 if self.nodes[to].is_up {
                     let now = self.millis();
                     let answer = self.nodes[to].limits.answer(&request, now);
                     let redirect = self.nodes[to].limits.holder_update(request.group);
                     if let (TokenAnswer::NotHolder, Some(news)) = (answer, redirect) {
-                        let delay = self.hop_ms();
-                        self.send(to, from, delay, Event::Hear { node: from, news });
+                        let delay = self.network_delay_ms();
+                        self.send(to, from, delay, Event::ReceiveUpdate { node: from, news });
                     }
-                    let delay = self.hop_ms();
+                    let delay = self.network_delay_ms();
                     self.send(
                         to,
                         from,
@@ -306,13 +306,13 @@
                 request,
                 answer,
             } => {
-                let open = self.questions.remove(&(node, request.number));
-                if let Some(question) = open.filter(|_| self.nodes[node].is_up) {
-                    self.take_answer(node, &request, answer, question.denials);
+                let open = self.pending_requests.remove(&(node, request.number));
+                if let Some(pending) = open.filter(|_| self.nodes[node].is_up) {
+                    self.take_answer(node, &request, answer, pending.denials);
                 }
             }
-            Event::GiveUp { node, number } => self.give_up(node, number),
-            Event::Observe { node, seen, group } => {
+            Event::TimeOut { node, number } => self.time_out(node, number),
+            Event::ReceiveObservation { node, seen, group } => {
                 let now = self.millis();
                 let node = &mut self.nodes[node];
                 if node.is_up {
@@ -337,20 +337,20 @@
         let known = &self.nodes[node];
         let mut order = (0..engines.min(64)).map(|step| (first + step) % engines);
         let has_room = |engine: &usize| known.rooms.has_room(tag(*engine), now);
-        let is_idle = |engine: &usize| known.limits.limit_of(tag(*engine)).is_some();
-        let idle = order
+        let is_limited = |engine: &usize| known.limits.limit_of(tag(*engine)).is_some();
+        let limited = order
             .clone()
-            .find(|engine| is_idle(engine) && has_room(engine));
-        let open = idle.or_else(|| order.clone().find(has_room));
+            .find(|engine| is_limited(engine) && has_room(engine));
+        let open = limited.or_else(|| order.clone().find(has_room));
         let is_unlimited = |engine: &usize| known.limits.limit_of(tag(*engine)).is_none();
-        let open = match denials < DENIALS_BEFORE_ANY {
+        let open = match denials < MAX_DENIALS {
             true => open,
             false => order.find(|engine| is_unlimited(engine) && has_room(engine)),
         };
         let Some(engine) = open else {
             let group = self.group(first);
             if self.nodes[node].limits.may_have_token(group, now) {
-                self.ask(node, group, Wanted::AnyBut(Vec::new()), denials);
+                self.request_token(node, group, Wanted::AnyBut(Vec::new()), denials);
             } else {
                 self.reject();
             }
@@ -361,13 +361,13 @@
         }
         let group = self.nodes[node].limits.group_of(tag(engine));
         let group = group.expect("a limited engine has a group");
-        self.ask(node, group, Wanted::Engine(tag(engine)), denials);
+        self.request_token(node, group, Wanted::Engine(tag(engine)), denials);
     }
 
-    fn ask(&mut self, node: usize, group: GroupTag, wanted: Wanted, denials: u32) {
-        self.counts.asks += 1;
-        let number = self.nodes[node].next_question;
-        self.nodes[node].next_question += 1;
+    fn request_token(&mut self, node: usize, group: GroupTag, wanted: Wanted, denials: u32) {
+        self.counts.token_requests += 1;
+        let number = self.nodes[node].next_request_number;
+        self.nodes[node].next_request_number += 1;
         let request = TokenRequest {
             sender: address_of(node).node,
             number,
@@ -382,43 +382,47 @@
                 self.take_answer(node, &request, answer, denials);
             }
             Granter::At(holder) => {
-                let question = Question {
+                let pending = PendingRequest {
                     request,
                     tries: 1,
                     denials,
                 };
-                self.questions.insert((node, number), question.clone());
-                self.send_question(node, index_of(holder), question.request);
+                self.pending_requests
+                    .insert((node, number), pending.clone());
+                self.send_request(node, index_of(holder), pending.request);
             }
             Granter::Nobody => self.reject(),
         }
     }
 
-    fn send_question(&mut self, node: usize, holder: usize, request: TokenRequest) {
+    fn send_request(&mut self, node: usize, holder: usize, request: TokenRequest) {
         let number = request.number;
-        let delay = self.hop_ms();
-        let ask = Event::Ask {
+        let delay = self.network_delay_ms();
+        let ask = Event::RequestToken {
             to: holder,
             from: node,
             request,
         };
         self.send(node, holder, delay, ask);
-        self.at(self.now + ANSWER_MS, Event::GiveUp { node, number });
+        self.at(
+            self.now + ANSWER_TIMEOUT_MS,
+            Event::TimeOut { node, number },
+        );
     }
 
-    fn give_up(&mut self, node: usize, number: u64) {
-        let Some(question) = self.questions.get_mut(&(node, number)) else {
+    fn time_out(&mut self, node: usize, number: u64) {
+        let Some(pending) = self.pending_requests.get_mut(&(node, number)) else {
             return;
         };
-        if question.tries == 1 {
-            question.tries = 2;
-            let request = question.request.clone();
+        if pending.tries == 1 {
+            pending.tries = 2;
+            let request = pending.request.clone();
             if let Granter::At(holder) = self.nodes[node].limits.granter(request.group) {
-                return self.send_question(node, index_of(holder), request);
+                return self.send_request(node, index_of(holder), request);
             }
         }
-        let question = self.questions.remove(&(node, number));
-        let request = question.expect("an open question").request;
+        let pending = self.pending_requests.remove(&(node, number));
+        let request = pending.expect("an open request").request;
         let now = self.millis();
         let known = &mut self.nodes[node];
         known
@@ -463,7 +467,7 @@
             engine,
             sent_at: self.now,
         };
-        self.at(self.now + WORK_MS, answered);
+        self.at(self.now + SERVICE_MS, answered);
     }
 
     fn observe(&mut self, node: usize, engine: usize, sent_at: u64) {
@@ -482,8 +486,8 @@
         let heard = known.limits.observe(&seen, group, &mut known.rooms, now);
         if let ObservationOutcome::ForwardToHolder(holder) = heard {
             let holder = index_of(holder);
-            let delay = self.hop_ms();
-            let told = Event::Observe {
+            let delay = self.network_delay_ms();
+            let told = Event::ReceiveObservation {
                 node: holder,
                 seen,
                 group,
@@ -492,31 +496,31 @@
         }
     }
 
-    fn tell(&mut self, node: usize) {
+    fn broadcast(&mut self, node: usize) {
         // A large fleet looks less often here, so that the test stays short.
-        let look_ms = match self.nodes.len() <= MESH_NODES {
-            true => LOOK_MS,
-            false => 10 * LOOK_MS,
+        let check_ms = match self.nodes.len() <= MESH_NODES {
+            true => BROADCAST_CHECK_MS,
+            false => 10 * BROADCAST_CHECK_MS,
         };
-        self.at(self.now + look_ms, Event::Tell { node });
+        self.at(self.now + check_ms, Event::Broadcast { node });
         let now = self.millis();
         let known = &mut self.nodes[node];
         if !known.is_up || known.limits.is_empty() {
             return;
         }
-        let is_period = self.now - known.told_at >= PERIOD_MS;
+        let is_period = self.now - known.last_period_at >= PERIOD_MS;
         if is_period {
-            known.told_at = self.now;
+            known.last_period_at = self.now;
         }
         for news in known.limits.updates_due(is_period, now) {
             for other in 0..self.nodes.len() {
                 if other != node {
                     // Relays tell within some tens of milliseconds.
                     let delay = match self.nodes.len() <= MESH_NODES {
-                        true => self.hop_ms(),
+                        true => self.network_delay_ms(),
                         false => self.random.u64(5..=60),
                     };
-                    let heard = Event::Hear {
+                    let heard = Event::ReceiveUpdate {
                         node: other,
                         news: news.clone(),
                     };
