--- a/crates/enginelimit/src/account.rs
+++ b/crates/enginelimit/src/account.rs
@@ -1,16 +1,16 @@
-//! The tokens of one engine, at the node that counts for it.
+//! The token account of one engine, kept by the holder of its group.
 
 use ploverlift_balancing::engine_rooms::GrantedRate;
 use ploverlift_policy::ids::Millis;
 use ploverlift_ratelimit::bucket::Bucket;
 use ploverlift_routing::rate_limit::{LimitUnit, RateLimit};
 
-/// Tokens that are left for more urgent requests.
+/// Tokens reserved for urgent requests.
 const URGENT_RESERVE: f64 = 0.5;
-/// Milliseconds in a second, as a factor of rates.
+/// Milliseconds in a second.
 const MS_PER_SECOND: f64 = 1_000.0;
 
-/// Tokens of one engine.
+/// A token account of one engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Account {
     rate: RateLimit,
@@ -18,7 +18,8 @@
 }
 
 impl Account {
-    /// An account that begins now, and empty: what was granted before is not known.
+    /// Opens an account with an empty bucket, because the tokens granted earlier are
+    /// unknown.
     pub fn beginning_at(limit: f64, now: Millis) -> Self {
         Self {
             rate: rate(limit),
@@ -26,25 +27,25 @@
         }
     }
 
-    /// Counts by another limit from now on.
+    /// Changes the limit from `now` on.
     pub fn set_limit(&mut self, limit: f64, now: Millis) {
         self.bucket.refill(&self.rate, now);
         self.rate = rate(limit);
     }
 
-    /// Requests a second that it grants.
+    /// The granted rate, in requests a second.
     pub fn per_second(&self) -> f64 {
         self.rate.per_second
     }
 
-    /// Tokens that are left.
+    /// The number of available tokens.
     pub fn level(&self, now: Millis) -> f64 {
         let mut bucket = self.bucket;
         bucket.refill(&self.rate, now);
         bucket.level()
     }
 
-    /// Takes a token, if there is one for a request of this urgency.
+    /// Takes a token if one is available for this urgency.
     pub fn take(&mut self, is_urgent: bool, now: Millis) -> bool {
         self.bucket.refill(&self.rate, now);
         let has_token = self.bucket.level() >= self.needed(is_urgent);
@@ -54,15 +55,15 @@
         has_token
     }
 
-    /// A token was not used.
+    /// Returns an unused token.
     pub fn return_token(&mut self, now: Millis) {
         self.bucket.refill(&self.rate, now);
         self.bucket.take(-1.0);
-        // No more than a full bucket.
+        // Caps the level at a full bucket.
         self.bucket.refill(&self.rate, now);
     }
 
-    /// Time until there is a token, in milliseconds.
+    /// Time until a token is available, in milliseconds.
     pub fn wait_ms(&self, is_urgent: bool, now: Millis) -> u64 {
         let missing = self.needed(is_urgent) - self.level(now);
         (missing.max(0.0) / self.rate.per_second * MS_PER_SECOND).ceil() as u64
--- a/crates/enginelimit/src/exchange.rs
+++ b/crates/enginelimit/src/exchange.rs
@@ -1,4 +1,4 @@
-//! What a node tells the others of limits, and what it takes in from them.
+//! Updates about limits that a node sends to and receives from other nodes.
 
 use crate::group::GroupTag;
 use crate::limits::{EngineLimits, Group, KnownLimit};
@@ -11,8 +11,8 @@
 use std::collections::BTreeMap;
 
 impl EngineLimits {
-    /// What is told now: changes that are due, and in each period some of the limits that
-    /// this node counts for, in turn.
+    /// The updates to send now: due changes and, once in each period, a rotating subset of
+    /// the limits that this node holds.
     pub fn updates_due(&mut self, is_period: bool, now: Millis) -> Vec<GroupUpdate> {
         let mut told: BTreeMap<GroupTag, Vec<EngineTag>> = BTreeMap::new();
         for (tag, group) in &mut self.groups {
@@ -39,7 +39,7 @@
         self.split_into_updates(&told, now)
     }
 
-    /// All that is known, for a node that knows nothing yet.
+    /// The full state, for a node that knows nothing yet.
     pub fn all_updates(&self, now: Millis) -> Vec<GroupUpdate> {
         let groups = self.groups.keys();
         let mut told: BTreeMap<GroupTag, Vec<EngineTag>> =
@@ -50,7 +50,8 @@
         self.split_into_updates(&told, now)
     }
 
-    /// Who holds a group, for a node that took this one for its holder.
+    /// An update that names the holder of a group, for a node that mistook this one for the
+    /// holder.
     pub fn holder_update(&self, group: GroupTag) -> Option<GroupUpdate> {
         let known = self.groups.get(&group).filter(|known| !known.is_held)?;
         Some(GroupUpdate {
@@ -60,7 +61,7 @@
         })
     }
 
-    /// Limits that this node counts for, those that were not told for longest.
+    /// The next limits in rotation among those that this node holds.
     fn next_in_turn(&mut self) -> Vec<EngineTag> {
         let known = self.known.iter();
         let held = known.filter(|(_, known)| known.account.is_some());
@@ -100,7 +101,7 @@
         news
     }
 
-    /// Only what the holder has counted is told on.
+    /// The update of one limit. Limits that the holder has not announced are left out.
     fn limit_update(&self, engine: EngineTag, now: Millis) -> Option<UpdatedLimit> {
         let known = self.known.get(&engine)?;
         (known.sequence > 0).then(|| UpdatedLimit {
@@ -111,8 +112,8 @@
         })
     }
 
-    /// Takes in what another node tells; tells whether it was news. A relay `passes_on` what
-    /// is; others leave it to the holder.
+    /// Applies an update from another node. Returns whether it changed anything. A relay
+    /// sets `passes_on` and forwards changes; other nodes leave that to the holder.
     pub fn apply_update(
         &mut self,
         news: &GroupUpdate,
@@ -128,7 +129,7 @@
         let is_new_holder = match known {
             Some(group) if group.holder == news.holder => false,
             Some(group) if !news.holder.supersedes(&group.holder, news.group) => {
-                // Whoever told it has not heard of the later term.
+                // The sender does not know of the later term yet.
                 if group.is_held || passes_on {
                     group.telling = Telling::begin(now);
                 }
@@ -141,7 +142,8 @@
         }
         let is_held = self.groups[&news.group].is_held;
         if news.holder.at.node == self.own.node && !is_held {
-            // An earlier life of this node held it. What that one granted is not known.
+            // This node held the group before a restart. The tokens that it granted then
+            // are unknown.
             self.apply_limits(news, telling, rooms, now);
             self.take_over(news.group, now);
             return true;
@@ -150,7 +152,7 @@
         is_new_holder || is_changed
     }
 
-    /// Another node holds the group from now on.
+    /// Records that another node holds the group.
     fn follow_holder(&mut self, news: &GroupUpdate, telling: Telling, now: Millis) {
         let followed = Group {
             telling,
--- a/crates/enginelimit/src/group.rs
+++ b/crates/enginelimit/src/group.rs
@@ -1,33 +1,33 @@
-//! Groups of engines, and the node that holds each.
+//! Groups of engines and their holders.
 
 use ploverlift_balancing::names::{EngineTag, PeerId};
 use ploverlift_routing::configuration::ServiceName;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Engines of a service that make up one group, about: what one node can count for while all
-/// of them are limited. Small services have one group, whose holder then finds the engine
-/// that has room wherever that is.
+/// Approximate number of engines in a group: as many as one node can account for when all
+/// of them are limited. A small service has one group, so its holder can grant a token of
+/// any engine with free capacity.
 const ENGINES_PER_GROUP: usize = 256;
 
-/// A group of engines, the same on all nodes.
+/// The identifier of a group of engines, the same on all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupTag(pub u32);
 
-/// Groups of a service with so many engines. It doubles, so that few engines change groups
-/// while a service grows.
+/// The number of groups of a service. It is a power of two, so that few engines change
+/// groups while a service grows.
 fn group_count(engines: usize) -> u32 {
     let groups = engines / ENGINES_PER_GROUP;
     groups.max(1).next_power_of_two() as u32
 }
 
-/// The group of an engine, in a service with so many.
+/// The group of an engine in a service with `engines` engines.
 pub fn group_of(service: &ServiceName, engine: EngineTag, engines: usize) -> GroupTag {
     let groups = group_count(engines);
     group(service, groups, engine.0 % groups)
 }
 
-/// All groups of a service with so many engines.
+/// All groups of a service with `engines` engines.
 pub fn groups_of(service: &ServiceName, engines: usize) -> impl Iterator<Item = GroupTag> + '_ {
     let groups = group_count(engines);
     (0..groups).map(move |number| group(service, groups, number))
@@ -38,35 +38,35 @@
     GroupTag(xxh3_64_with_seed(service.0.as_bytes(), seed) as u32)
 }
 
-/// A node and where it is asked.
+/// A node and its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeAddress {
     /// The node.
     pub node: PeerId,
-    /// Where it receives messages.
+    /// The address at which it receives messages.
     pub address: SocketAddr,
 }
 
 impl NodeAddress {
-    /// A node that no other node can ask.
+    /// A placeholder for a node that other nodes cannot reach.
     pub const UNREACHABLE: Self = Self {
         node: PeerId(0),
         address: SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0),
     };
 }
 
-/// Who holds a group.
+/// The holder of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holder {
     /// The node.
     pub at: NodeAddress,
-    /// Rises each time that a node takes the group over.
+    /// Increases with each takeover of the group.
     pub term: u64,
 }
 
 impl Holder {
-    /// Whether this one holds the group where both say that they do: the later term, or of
-    /// two in one term the node that the group's name prefers.
+    /// Whether this holder wins when both claim the group: the later term wins, and in the
+    /// same term the node preferred by a hash of group and node.
     pub fn supersedes(&self, other: &Holder, group: GroupTag) -> bool {
         let rank = |holder: &Holder| (holder.term, preference(group, holder.at.node));
         rank(self) > rank(other)
--- a/crates/enginelimit/src/lib.rs
+++ b/crates/enginelimit/src/lib.rs
@@ -1,29 +1,30 @@
-//! Rate limits that engines advertise, kept by the whole fleet.
+//! Rate limits that engines advertise, enforced across the whole fleet.
 //!
 //! Pure: no I/O, no clock, no randomness. The engines of a service belong to groups, and one
-//! node holds a group: it alone counts what the engines of the group get, and grants tokens,
-//! one for each request that goes on the wire. All other nodes ask it. Holding needs no
-//! store: whoever hears an engine advertise first holds the group, and whoever finds the
-//! holder silent takes the group over in a later term. A holder begins with empty buckets, so
-//! what an earlier one granted does not add up.
+//! node holds each group: only the holder accounts for the requests that the engines of the
+//! group get. It grants tokens, one for each request that is sent; all other nodes request
+//! tokens from it. Holding a group needs no store: the first node that sees an engine
+//! advertise a limit becomes the holder, and a node that finds the holder unresponsive takes
+//! the group over in a later term. A new holder starts with empty buckets, so that its grants
+//! do not add up with those of its predecessor.
 //!
 //! ```text
-//! answer ─▶ Observation ─▶ holder ── GroupUpdate ──▶ all nodes: who holds, which limits
+//! answer ─▶ Observation ─▶ holder ── GroupUpdate ──▶ all nodes: holder and limits
 //!                            ▲  │
-//!            TokenRequest ───┘  └──▶ TokenAnswer: granted, or when to ask again
+//!            TokenRequest ───┘  └──▶ TokenAnswer: granted, or when to retry
 //! ```
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | [`group`] | which engines one node counts for, and which node of two holds |
-//! | [`observation`] | what an answer said of a limit, and which of two is the newer |
-//! | [`account`] | tokens of one engine, at the holder |
-//! | [`backoff`] | how many nodes ask, and how long each backs off |
-//! | [`tokens`] | asking for tokens and granting them |
-//! | [`node_messages`] | what the nodes tell each other |
+//! | [`group`] | groups of engines, and which of two claimants holds one |
+//! | [`observation`] | the limit in an answer, and which of two answers is newer |
+//! | [`account`] | the tokens of one engine, at the holder |
+//! | [`backoff`] | how many nodes request tokens, and how long each backs off |
+//! | [`tokens`] | requesting and granting tokens |
+//! | [`node_messages`] | messages that nodes exchange |
 //! | [`limits`] | what one node knows of all limits |
-//! | [`exchange`] | what it tells, and what it takes in |
-//! | [`retry_schedule`] | when callers that were rejected may come back |
+//! | [`exchange`] | sending and applying updates |
+//! | [`retry_schedule`] | when rejected callers may retry |
 
 pub mod account;
 pub mod backoff;
--- a/crates/enginelimit/src/limits.rs
+++ b/crates/enginelimit/src/limits.rs
@@ -1,4 +1,4 @@
-//! What one node knows of all advertised limits.
+//! The state that one node keeps about all advertised limits.
 
 use crate::account::Account;
 use crate::backoff::RequestingNodes;
@@ -12,48 +12,52 @@
 use ploverlift_policy::telling::Telling;
 use std::collections::{BTreeMap, HashMap};
 
-/// Silence of a holder after which another node takes its group over, in milliseconds: a
-/// node with a small share of a core stands still for a tenth of a second at times.
+/// Time without an answer from the holder after which another node takes the group over, in
+/// milliseconds. A node with a small share of a core can stall for a tenth of a second.
 const HOLDER_TIMEOUT_MS: u64 = 400;
-/// Questions that must have gone unanswered by then.
+/// Token requests that must also have gone unanswered before a takeover.
 const UNANSWERED_REQUESTS: u32 = 4;
-/// Time for which a holder is not asked that has not answered, in milliseconds.
+/// Time for which no tokens are requested from a holder that did not answer, in
+/// milliseconds.
 const UNANSWERED_BACKOFF_MS: u64 = 100;
-/// Time within which nodes send to an engine again whose limit has ended, each from a moment
-/// of its own, in milliseconds: all at once would fill it before they hear of each other.
+/// Time over which the nodes resume sending to an engine whose limit has ended, in
+/// milliseconds, each after its own delay. If all resumed at once, they would overload the
+/// engine before they learn of each other's requests.
 const LIFT_SPREAD_MS: u64 = 500;
-/// Time for which the end of a limit is remembered, in milliseconds: what was told before
-/// may come late.
+/// Time for which the end of a limit is remembered, in milliseconds, because older updates
+/// may arrive late.
 const ENDED_LIMIT_RETENTION_MS: u64 = 60_000;
 
-/// One engine's limit.
+/// The limit of one engine.
 #[derive(Clone, Debug)]
 pub(crate) struct KnownLimit {
     pub(crate) group: GroupTag,
     pub(crate) standing: StandingLimit,
-    /// Of the holder's change that told it; 0 where this node saw it by itself.
+    /// Sequence number of the holder's change that announced the limit; 0 if this node
+    /// observed it itself.
     pub(crate) sequence: u64,
     pub(crate) telling: Telling,
-    /// At the holder.
+    /// The token account; only at the holder.
     pub(crate) account: Option<Account>,
 }
 
-/// One group.
+/// A group of engines.
 #[derive(Clone, Debug)]
 pub(crate) struct Group {
     pub(crate) holder: Holder,
-    /// Whether this life of this node holds it.
+    /// Whether this node holds the group, since its current start.
     pub(crate) is_held: bool,
     pub(crate) sequence: u64,
     pub(crate) telling: Telling,
     pub(crate) requesting_nodes: RequestingNodes,
-    /// Answers that were given lately, for questions that come twice.
+    /// Recent answers, kept for retransmitted requests.
     pub(crate) answered: HashMap<(PeerId, u64), (Millis, TokenAnswer)>,
-    /// Since when the holder has not answered this node, and how many questions.
+    /// Time of the first token request that the holder left unanswered, and the number of
+    /// such requests.
     pub(crate) unanswered: Option<(Millis, u32)>,
-    /// Before this moment no engine of the group has a token for this node.
+    /// Until this time, no engine of the group has a token for this node.
     pub(crate) no_tokens_before: Millis,
-    /// Time in which one token comes for each node that asks, in milliseconds.
+    /// Time in which each requesting node gets one token, in milliseconds.
     pub(crate) turn_ms: u64,
     pub(crate) retries: RetrySchedule,
 }
@@ -75,18 +79,18 @@
     }
 }
 
-/// What an answer changed.
+/// The effect of an observation on this node's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObservationOutcome {
-    /// Nothing.
+    /// No change.
     Unchanged,
-    /// Something that the other nodes should hear of.
+    /// A limit changed; the other nodes should be notified.
     Changed,
-    /// Whoever holds the engine's group should hear of it.
+    /// The observation should be forwarded to the holder of the engine's group.
     ForwardToHolder(NodeAddress),
 }
 
-/// All limits, as one node knows them.
+/// All advertised limits known to one node.
 #[derive(Clone, Debug)]
 pub struct EngineLimits {
     pub(crate) own: NodeAddress,
@@ -102,7 +106,7 @@
 }
 
 impl EngineLimits {
-    /// A node that knows of no limit yet.
+    /// Creates the state of a node that knows no limits.
     pub fn new(own: NodeAddress) -> Self {
         Self {
             own,
@@ -112,7 +116,7 @@
         }
     }
 
-    /// Whether no engine has a limit, and none had one lately.
+    /// Whether no engine has a limit or had one recently.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
@@ -127,7 +131,7 @@
         self.known.get(&engine).map(|known| known.group)
     }
 
-    /// Who holds a group.
+    /// The holder of a group.
     pub fn holder(&self, group: GroupTag) -> Option<Holder> {
         self.groups.get(&group).map(|known| known.holder)
     }
@@ -138,12 +142,13 @@
         known.filter_map(|(engine, known)| Some((*engine, known.standing.limit?, known.group)))
     }
 
-    /// Where this node receives messages, once that is known.
+    /// Sets the address at which this node receives messages.
     pub fn set_own(&mut self, own: NodeAddress) {
         self.own = own;
     }
 
-    /// Takes in what an answer said of its engine, which belongs to this group.
+    /// Applies the limit that an engine advertised in an answer to this node. `group` is
+    /// the group of the engine.
     pub fn observe(
         &mut self,
         seen: &Observation,
@@ -168,15 +173,16 @@
         }
         let holder = known.holder.at;
         if limit_before.is_none() {
-            // The holder is asked from now on, whenever it learns of the limit.
+            // From now on tokens are requested from the holder, even if it has yet to learn
+            // of the limit.
             self.record_limit(seen, group);
             self.apply_limit(seen.engine, rooms, now);
         }
         ObservationOutcome::ForwardToHolder(holder)
     }
 
-    /// Takes in an answer that another node has seen; tells whether another limit is in
-    /// force. Whoever does not hold the group leaves it to the holder.
+    /// Applies an observation that another node forwarded. Returns whether the limit
+    /// changed; a node that does not hold the group ignores the observation.
     pub fn apply_observation(
         &mut self,
         seen: &Observation,
@@ -188,7 +194,8 @@
         is_held && self.apply_as_holder(seen, group, rooms, now)
     }
 
-    /// Takes in an answer as the holder; tells whether another limit is in force.
+    /// Applies an observation as the holder of the group. Returns whether the limit
+    /// changed.
     fn apply_as_holder(
         &mut self,
         seen: &Observation,
@@ -226,7 +233,7 @@
         self.known.insert(seen.engine, known);
     }
 
-    /// Has the choice of engines follow a limit that has changed.
+    /// Applies a changed limit to engine selection and to the token account.
     pub(crate) fn apply_limit(&mut self, engine: EngineTag, rooms: &mut EngineRooms, now: Millis) {
         let lift_delay_ms = (self.own.node.0 ^ u64::from(engine.0)) % LIFT_SPREAD_MS;
         let Some(known) = self.known.get_mut(&engine) else {
@@ -263,7 +270,7 @@
         }
     }
 
-    /// Holds a group from now on, in a term of its own.
+    /// Takes the group over in a new term.
     pub(crate) fn take_over(&mut self, group: GroupTag, now: Millis) {
         let term = self.groups.get(&group).map_or(0, |known| known.holder.term);
         let holder = Holder {
@@ -288,8 +295,9 @@
         }
     }
 
-    /// The holder of a group has not answered a question; tells whether this node has taken
-    /// the group over. Nothing waits for that holder meanwhile.
+    /// Records that the holder of a group did not answer a token request. Returns whether
+    /// this node has taken the group over. Until the backoff ends, no request waits for
+    /// that holder.
     pub fn note_unanswered(
         &mut self,
         group: GroupTag,
@@ -308,14 +316,15 @@
         known.no_tokens_before = retry_at;
         let (since, unanswered_count) = known.unanswered.get_or_insert((now, 0));
         *unanswered_count += 1;
-        let is_silent = *unanswered_count >= UNANSWERED_REQUESTS && now.since(*since) >= HOLDER_TIMEOUT_MS;
+        let is_silent =
+            *unanswered_count >= UNANSWERED_REQUESTS && now.since(*since) >= HOLDER_TIMEOUT_MS;
         if is_silent {
             self.take_over(group, now);
         }
         is_silent
     }
 
-    /// Forgets engines that are gone, and limits that ended long ago.
+    /// Removes engines that no longer exist and limits that ended long ago.
     pub fn expire(
         &mut self,
         is_known: impl Fn(EngineTag) -> bool,
--- a/crates/enginelimit/src/node_messages.rs
+++ b/crates/enginelimit/src/node_messages.rs
@@ -1,81 +1,81 @@
-//! What nodes tell each other of limits.
+//! Messages that nodes exchange about limits.
 
 use crate::group::{GroupTag, Holder};
 use ploverlift_balancing::names::{EngineTag, PeerId};
 
-/// Limits of one group in one message: with them it stays within one datagram.
+/// Most limits of a group in one message, so that it fits into one datagram.
 pub const MAX_LIMITS_PER_UPDATE: usize = 32;
 
-/// The limit of one engine, as its holder has found it.
+/// The limit of one engine, as its holder knows it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UpdatedLimit {
     /// The engine.
     pub engine: EngineTag,
-    /// The rate, in requests a second; nothing once the engine names none any more.
+    /// The rate, in requests a second; `None` once the engine no longer advertises one.
     pub limit: Option<f64>,
-    /// Rises with each change within a term.
+    /// Increases with each change within a term.
     pub sequence: u64,
-    /// Time since the answer that it rests on, in milliseconds.
+    /// Time since the answer that carried the limit, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What is told of one group: limits that have changed, or some of all in turn.
+/// An update about one group: changed limits, or a rotating subset of all limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupUpdate {
     /// The group.
     pub group: GroupTag,
-    /// Who holds it.
+    /// Its holder.
     pub holder: Holder,
     /// Limits of its engines.
     pub limits: Vec<UpdatedLimit>,
 }
 
-/// What a token is asked for.
+/// The engines for which a token is requested.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Wanted {
     /// This engine.
     Engine(EngineTag),
-    /// Any engine of the group but these.
+    /// Any engine of the group except these.
     AnyBut(Vec<EngineTag>),
 }
 
-/// A question for a token. It may come twice: it is answered alike then.
+/// A token request. A retransmission gets the same answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TokenRequest {
-    /// Who asks.
+    /// The requesting node.
     pub sender: PeerId,
-    /// Number of the question, within the sender's life.
+    /// Number of the request since the start of the sender.
     pub number: u64,
     /// The group.
     pub group: GroupTag,
-    /// What is wanted.
+    /// The requested engines.
     pub wanted: Wanted,
-    /// Whether the request goes before others.
+    /// Whether the request has priority over others.
     pub is_urgent: bool,
 }
 
-/// When to ask again.
+/// When to request a token again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Denial {
-    /// Time until a token comes, in milliseconds.
+    /// Time until a token is available, in milliseconds.
     pub wait_ms: u64,
-    /// Time beyond it within which to ask, at a random moment, in milliseconds.
+    /// Range of the random delay that is added to `wait_ms`, in milliseconds.
     pub spread_ms: u64,
-    /// Time in which one token comes for each node that asks, in milliseconds.
+    /// Time in which each requesting node gets one token, in milliseconds.
     pub turn_ms: u64,
 }
 
-/// The answer to a question for a token.
+/// The answer to a token request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TokenAnswer {
     /// One request may be sent to this engine.
     Granted {
         /// The engine.
         engine: EngineTag,
-        /// Tokens that are left there.
+        /// Tokens that the engine has left.
         left: f64,
     },
-    /// There is none.
+    /// No token is available.
     Denied(Denial),
     /// The engine has no limit, as far as the holder knows.
     Unlimited,
--- a/crates/enginelimit/src/observation.rs
+++ b/crates/enginelimit/src/observation.rs
@@ -1,38 +1,39 @@
-//! What an answer said of its engine's limit, and which of two answers is the newer one.
+//! Limits observed in answers of engines, and which of two observations is newer.
 
 use ploverlift_balancing::names::EngineTag;
 use ploverlift_policy::ids::Millis;
 
-/// Time by which two heads of answers may cross on their way, in milliseconds: from the
-/// engine to two nodes, one of which is busy, and from there to the holder.
+/// Longest time by which two answer heads may be reordered in transit, in milliseconds:
+/// from the engine to two nodes, one of which is busy, and from there to the holder.
 const MAX_REORDERING_MS: u64 = 200;
 
-/// What one answer said.
+/// The limit that one answer advertised.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Observation {
     /// The engine.
     pub engine: EngineTag,
-    /// The rate that it takes, in requests a second; nothing where it named none.
+    /// The advertised rate, in requests a second; `None` if the answer named no limit.
     pub limit: Option<f64>,
-    /// When the request was sent: the engine began to answer later.
+    /// When the request was sent. The engine began to answer later.
     pub sent_at: Millis,
-    /// When the head of the answer was read: the engine began to answer earlier.
+    /// When the head of the answer was read. The engine began to answer earlier.
     pub head_at: Millis,
 }
 
-/// The limit in force, and the newest answer that it rests on.
+/// The limit in force and the time of the newest answer that supports it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StandingLimit {
-    /// The rate, in requests a second; nothing once the engine names none any more.
+    /// The rate, in requests a second; `None` once the engine no longer advertises one.
     pub limit: Option<f64>,
     /// When the head of that answer was read.
     pub observed_at: Millis,
 }
 
 impl StandingLimit {
-    /// Takes in an answer; tells whether another limit is in force now. A lower one counts
-    /// unless it is older; a higher one, or none, once it is certain to be the newer: else
-    /// an answer that was overtaken would open an engine that needs rest.
+    /// Applies an observation. Returns whether the limit changed. A lower limit applies
+    /// unless it is certainly older. A higher limit, or none, applies only once it is
+    /// certainly newer: otherwise a reordered answer would lift the limit of an engine that
+    /// still needs it.
     pub fn take(&mut self, seen: &Observation) -> bool {
         if seen.limit == self.limit {
             self.observed_at = self.observed_at.max(seen.head_at);
--- a/crates/enginelimit/src/retry_schedule.rs
+++ b/crates/enginelimit/src/retry_schedule.rs
@@ -1,25 +1,26 @@
-//! When callers that were rejected may come back: one after another, as fast as tokens come,
-//! and not all at the next one.
+//! Schedules the retries of rejected callers one after another at the rate of the tokens,
+//! instead of all of them for the next token.
 
 use ploverlift_policy::ids::Millis;
 
-/// Longest time until a caller may come back, in milliseconds. Limits mostly end before.
+/// Longest time until a caller may retry, in milliseconds. Most limits end sooner.
 const MAX_RETRY_MS: u64 = 5_000;
 
-/// The moments at which a node's rejected callers may come back.
+/// The retry times that a node gives to rejected callers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RetrySchedule {
     last: Millis,
 }
 
 impl RetrySchedule {
-    /// The time until the next caller may come back, in milliseconds, where the next token
-    /// comes after `token_ms`, and this node's turn each `turn_ms`.
+    /// Time until the next caller may retry, in milliseconds. The next token is available
+    /// after `token_ms`, and this node gets one every `turn_ms`.
     pub fn next_ms(&mut self, token_ms: u64, turn_ms: u64, now: Millis) -> u64 {
         let earliest = now.plus(token_ms);
         let latest = now.plus(MAX_RETRY_MS);
         let turn = self.last.plus(turn_ms);
-        // Beyond the longest time turns begin anew, or all would come at its end.
+        // Beyond the longest time the schedule starts over; otherwise all further callers
+        // would retry at its end.
         self.last = match turn > latest {
             true => earliest,
             false => turn.max(earliest),
--- a/crates/enginelimit/src/tokens.rs
+++ b/crates/enginelimit/src/tokens.rs
@@ -1,4 +1,4 @@
-//! Asking for tokens, and granting them.
+//! Requesting and granting tokens.
 
 use crate::account::Account;
 use crate::group::{GroupTag, NodeAddress};
@@ -8,29 +8,29 @@
 use ploverlift_balancing::names::EngineTag;
 use ploverlift_policy::ids::Millis;
 
-/// Time for which an answer is remembered for a question that comes twice, in milliseconds.
+/// Time for which an answer is kept for a retransmitted request, in milliseconds.
 const ANSWER_RETENTION_MS: u64 = 1_000;
-/// Answers beyond which those that are older are forgotten.
+/// Number of kept answers from which expired ones are removed.
 const MAX_ANSWERS: usize = 256;
-/// Nodes that may ask for any engine of a group whenever a token may have come: with them
-/// no token waits while requests are rejected.
+/// Number of nodes that may request a token for any engine of a group without a random
+/// delay, so that no token stays unused while requests are rejected.
 const UNDELAYED_NODES: usize = 16;
-/// Milliseconds in a second, as a factor of rates.
+/// Milliseconds in a second.
 const MS_PER_SECOND: f64 = 1_000.0;
 
-/// Where a token is asked for.
+/// The node that grants the tokens of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Granter {
-    /// At this node.
+    /// This node.
     Here,
-    /// At another one.
+    /// Another node.
     At(NodeAddress),
-    /// Nobody counts for the group.
+    /// The group has no holder.
     Nobody,
 }
 
 impl EngineLimits {
-    /// Who grants tokens of a group.
+    /// The node that grants the tokens of a group.
     pub fn granter(&self, group: GroupTag) -> Granter {
         match self.groups.get(&group) {
             Some(known) if known.is_held => Granter::Here,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Answers a question for a token.
+    /// Answers a token request. A retransmitted request gets the same answer.
     pub fn answer(&mut self, request: &TokenRequest, now: Millis) -> TokenAnswer {
         let group = self.groups.get_mut(&request.group);
         let Some(group) = group.filter(|group| group.is_held) else {
@@ -80,7 +80,7 @@
         self.denial(request, wait_ms, per_second, 1)
     }
 
-    /// The fullest of the group's buckets.
+    /// Grants a token from the fullest bucket of the group.
     fn grant_any(
         &mut self,
         request: &TokenRequest,
@@ -126,7 +126,7 @@
         })
     }
 
-    /// A token that was granted here was not used.
+    /// Returns an unused token that this node granted.
     pub fn return_token(&mut self, engine: EngineTag, now: Millis) {
         let known = self.known.get_mut(&engine);
         if let Some(account) = known.and_then(|known| known.account.as_mut()) {
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Takes in the answer to a question of this node; tells which engine a request may be
-    /// sent to. `draw`, in 0 to 1, is a random moment of the backoff.
+    /// Applies the answer to a token request of this node. Returns the engine to which the
+    /// request may be sent. `draw`, from 0 to 1, selects the random part of the backoff.
     pub fn take_answer(
         &mut self,
         request: &TokenRequest,
@@ -163,8 +163,9 @@
                 None
             }
             TokenAnswer::NotHolder => {
-                // News of another holder is on its way here or there. Who took the group over
-                // at once would do so again and again in a large fleet.
+                // An update that names another holder is on its way to this node or to the
+                // other one. Taking the group over at once would cause repeated takeovers
+                // in a large fleet.
                 self.note_unanswered(request.group, rooms, now);
                 None
             }
@@ -190,7 +191,8 @@
         }
     }
 
-    /// The holder knows of no limit where this node does: it has heard of its end.
+    /// Removes the requested limits. The holder no longer knows them, because it has
+    /// learned of their end.
     fn forget_requested(&mut self, request: &TokenRequest, rooms: &mut EngineRooms, now: Millis) {
         let group = request.group;
         self.known.retain(|engine, known| {
@@ -205,14 +207,14 @@
         });
     }
 
-    /// Whether any engine of a group may have a token for this node now.
+    /// Whether any engine of the group may have a token for this node.
     pub fn may_have_token(&self, group: GroupTag, now: Millis) -> bool {
         let group = self.groups.get(&group);
         group.is_some_and(|group| group.no_tokens_before <= now)
     }
 
-    /// When a caller that is rejected for want of tokens of a group may come back, in
-    /// milliseconds from now.
+    /// Time after which a caller that was rejected for lack of tokens may retry, in
+    /// milliseconds.
     pub fn retry_after_ms(&mut self, group: GroupTag, now: Millis) -> Option<u64> {
         let group = self.groups.get_mut(&group)?;
         let token_ms = group.no_tokens_before.since(now);
--- a/crates/enginelimit/tests/fleets/bounds.rs
+++ b/crates/enginelimit/tests/fleets/bounds.rs
@@ -1,18 +1,19 @@
-//! One limited engine, a third of them, and all, in fleets of any size.
+//! Bounds with one limited engine, one third of the engines and all of them, in fleets of
+//! several sizes.
 
 use crate::world::{World, KNOWN_AFTER_MS, WINDOW_MS};
 
-/// The rate that engines name, in requests a second.
+/// The rate that engines advertise, in requests a second.
 const LIMIT: f64 = 1.7;
-/// Time for which the fleet is watched, in milliseconds.
+/// Time for which the fleet is observed, in milliseconds.
 const WATCHED_MS: u64 = 20_000;
 
-/// Requests that an engine may get in one window.
+/// Most requests that an engine may get in one window.
 pub fn most_in_window(limit: f64) -> usize {
     (1.5 * WINDOW_MS as f64 / 1_000.0 * limit + 5.0) as usize
 }
 
-/// The bounds on the engines that are limited, in a fleet with this demand a second.
+/// Checks the upper and lower bounds on the limited engines, at `demand` requests a second.
 fn check_bounds(nodes: usize, engines: usize, limited: usize, demand: f64) -> World {
     let mut world = World::new(nodes, engines, demand, 7);
     world.run(2_000);
@@ -37,7 +38,7 @@
     let served = world.counts.served - before.served;
     println!(
         "{nodes} nodes, {engines} engines, {limited} limited: at most {most} in a window, \
-         used {lowest:.2} at least, {messages:.0} messages and {token_requests:.0} questions a second, {served} served, {rejected} rejected"
+         used {lowest:.2} at least, {messages:.0} messages and {token_requests:.0} token requests a second, {served} served, {rejected} rejected"
     );
     assert!(most <= most_in_window(LIMIT), "{most} in a window");
     assert!(lowest >= 0.8, "used {lowest:.2}");
@@ -70,7 +71,7 @@
     for (nodes, demand) in [(7, 100.0), (69, 400.0), (985, 1_000.0)] {
         for seed in 0..5 {
             let mut world = World::new(nodes, 60, demand, seed);
-            // Relays pass on what they hear; some of it is lost.
+            // Updates are relayed and some are lost.
             world.loss = 0.05;
             world.run(1_000);
             world.limits[0] = Some(LIMIT);
--- a/crates/enginelimit/tests/fleets/changes.rs
+++ b/crates/enginelimit/tests/fleets/changes.rs
@@ -1,14 +1,14 @@
-//! Limits that are lowered, raised, ended, zero, or change each second.
+//! Limits that are lowered, raised, lifted, zero, or change each second.
 
 use crate::bounds::most_in_window;
 use crate::world::{World, KNOWN_AFTER_MS, WINDOW_MS};
 
-/// Nodes, engines and requests a second of the fleets here.
+/// Nodes, engines and requests a second of these fleets.
 const NODES: usize = 7;
 const ENGINES: usize = 18;
 const DEMAND: f64 = 180.0;
 
-/// A fleet in which one engine names this limit, some seconds after it began to.
+/// A fleet in which one engine advertises this limit, after all nodes have learned of it.
 fn limited(limit: f64, seed: u64) -> World {
     let mut world = World::new(NODES, ENGINES, DEMAND, seed);
     world.run(1_000);
@@ -17,7 +17,7 @@
     world
 }
 
-/// Requests a second that the engine got from then on, over so long.
+/// Requests a second that the engine gets in the next `for_ms` milliseconds.
 fn rate_after(world: &mut World, for_ms: u64) -> f64 {
     let from = world.now;
     world.run(for_ms);
@@ -28,7 +28,7 @@
 fn any_rate_is_enforced_and_used() {
     for (seed, limit) in [(1, 1.0), (2, 1.7), (3, 4.0), (4, 8.0)] {
         let mut world = limited(limit, seed);
-        // More than the engine takes, whoever draws it.
+        // Every engine would be offered more than the limit allows.
         world.demand = 3.0 * limit * ENGINES as f64;
         let from = world.now;
         world.run(20_000);
@@ -47,14 +47,14 @@
         world.run(20_000);
         let worst = world.worst_window(0, from, world.now, None);
         assert!(worst <= most_in_window(limit), "{worst} under {limit}");
-        // It says so in its next answer, and all nodes know it a moment later.
+        // The next answer no longer names a limit, and all nodes learn of it shortly after.
         world.limits[0] = None;
         let ended_at = world.now;
         while world.nodes_that_know(0, None) < NODES {
             world.run(10);
         }
         let known_after = world.now - ended_at;
-        println!("limit of {limit}: its end is known everywhere after {known_after} ms");
+        println!("limit of {limit}: all nodes know its end after {known_after} ms");
         assert!(known_after <= 2_000, "{known_after} ms");
     }
 }
--- a/crates/enginelimit/tests/fleets/faults.rs
+++ b/crates/enginelimit/tests/fleets/faults.rs
@@ -1,18 +1,18 @@
-//! Holders that end, stand still or are cut off; nodes that start; lost datagrams.
+//! Holders that stop, stall or are partitioned; nodes that start; lost datagrams.
 
 use crate::bounds::most_in_window;
 use crate::world::{World, KNOWN_AFTER_MS};
 
-/// The rate that engines name, in requests a second.
+/// The rate that engines advertise, in requests a second.
 const LIMIT: f64 = 1.7;
-/// Nodes, engines and requests a second of the fleets here.
+/// Nodes, engines and requests a second of these fleets.
 const NODES: usize = 7;
 const ENGINES: usize = 18;
 const DEMAND: f64 = 180.0;
-/// Runs of each fault, with other luck.
+/// Runs of each fault, each with its own random seed.
 const SEEDS: u64 = 20;
 
-/// A fleet in which a third of the engines names the limit.
+/// A fleet in which one third of the engines advertises the limit.
 fn limited(nodes: usize, seed: u64) -> World {
     let mut world = World::new(nodes, ENGINES, DEMAND, seed);
     world.run(1_000);
@@ -23,7 +23,7 @@
     world
 }
 
-/// The bound on all limited engines over what is played, from now until it is done.
+/// Checks the bound on all limited engines from now until `play` returns.
 fn check_bound_during(
     world: &mut World,
     seed: u64,
@@ -43,7 +43,7 @@
     world.holder_seen_by(seen_by, 0).expect("a holder")
 }
 
-/// Requests that the first engine gets in the next seconds.
+/// Share of the first engine's limit that is used in the next seconds.
 fn used(world: &mut World, seconds: u64) -> f64 {
     let from = world.now;
     world.run(seconds * 1_000);
@@ -109,7 +109,7 @@
         world.loss = 1.0 / 3.0;
         check_bound_during(&mut world, seed, None, |world| {
             let used = used(world, 20);
-            println!("a third lost, seed {seed}: used {used:.2}");
+            println!("one third lost, seed {seed}: used {used:.2}");
             assert!(used >= 0.6, "seed {seed}: used {used:.2}");
         });
     }
@@ -145,7 +145,7 @@
             check_bound_during(&mut world, seed, None, |world| world.run(8_000));
         }
     }
-    println!("all nodes of a divided fleet together: {most} in a window");
+    println!("both sides of a partitioned fleet together: {most} in a window");
 }
 
 #[test]
--- a/crates/enginelimit/tests/fleets/main.rs
+++ b/crates/enginelimit/tests/fleets/main.rs
@@ -1,5 +1,6 @@
-//! Fleets of nodes and limited engines in virtual time: the code of the nodes, a network that
-//! delays and loses, and an oracle that counts by itself what each engine gets.
+//! Simulated fleets of nodes and limited engines in virtual time: they run the code of the
+//! nodes over a network that delays and loses messages, and count independently what each
+//! engine gets.
 
 mod bounds;
 mod changes;
--- a/crates/enginelimit/tests/fleets/tokens.rs
+++ b/crates/enginelimit/tests/fleets/tokens.rs
@@ -1,4 +1,4 @@
-//! Questions for tokens that come twice.
+//! Retransmitted token requests, and holders that do not answer.
 
 use ploverlift_balancing::engine_rooms::EngineRooms;
 use ploverlift_balancing::names::{EngineTag, PeerId};
@@ -11,7 +11,7 @@
 const GROUP: GroupTag = GroupTag(1);
 const ENGINE: EngineTag = EngineTag(2);
 
-/// The holder of an engine that names one request a second, since a second.
+/// The holder of an engine that has advertised one request a second since time 0.
 fn holder() -> EngineLimits {
     let mut limits = EngineLimits::new(NodeAddress {
         node: PeerId(1),
@@ -45,12 +45,12 @@
     assert!(request_token(&mut limits, 7, 1_000));
     assert!(request_token(&mut limits, 7, 1_040));
     assert!(!request_token(&mut limits, 8, 1_050));
-    // It had taken one alone: the next one is there a second later.
+    // Only one token was taken: the next one is available a second later.
     assert!(request_token(&mut limits, 9, 2_000));
 }
 
-/// A node that starts anew may number its questions as its earlier life did. The answer to
-/// an old question was handed out again, and no token was taken.
+/// A restarted node may reuse request numbers of its previous run. The holder used to
+/// repeat the answer to the old request, so that no token was taken for the new one.
 #[test]
 fn a_reused_request_number_does_not_get_the_old_answer() {
     let mut limits = holder();
@@ -60,8 +60,8 @@
     assert!(!request_token(&mut limits, 9, 3_010));
 }
 
-/// Each question to a holder that is silent waits; a request that asked for one engine after
-/// another waited four times before it was rejected.
+/// Each token request to a silent holder waits for its time-out. A request that tried one
+/// engine after another used to wait four times before it was rejected.
 #[test]
 fn no_tokens_are_requested_right_after_the_holder_did_not_answer() {
     let mut limits = EngineLimits::new(NodeAddress {
--- a/crates/enginelimit/tests/fleets/world.rs
+++ b/crates/enginelimit/tests/fleets/world.rs
@@ -1,4 +1,5 @@
-//! The fleet: its nodes, the network between them, the engines and what they got.
+//! The simulated fleet: nodes, the network between them, engines and the requests that they
+//! got.
 
 use ploverlift_balancing::engine_rooms::EngineRooms;
 use ploverlift_balancing::names::{EngineTag, PeerId};
@@ -12,21 +13,21 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// The span over which arrivals are summed, in milliseconds.
+/// The window over which arrivals are counted, in milliseconds.
 pub const WINDOW_MS: u64 = 4_000;
-/// Time from the first naming after which the bound holds, in milliseconds.
+/// Time from the first advertisement after which the bound holds, in milliseconds.
 pub const KNOWN_AFTER_MS: u64 = 3_000;
-/// Nodes up to which each tells all others; in larger fleets relays pass on.
+/// Largest fleet in which each node sends to all others; larger fleets use relays.
 const MESH_NODES: usize = 20;
-/// Time between two tellings of what has not changed, in milliseconds.
+/// Time between two repeated broadcasts of unchanged state, in milliseconds.
 const PERIOD_MS: u64 = 1_000;
-/// Time between two looks at what is to be told, in milliseconds.
+/// Time between two checks for updates that are due, in milliseconds.
 const BROADCAST_CHECK_MS: u64 = 5;
-/// Longest wait for the answer to a question, in milliseconds.
+/// Time-out of a token request, in milliseconds.
 const ANSWER_TIMEOUT_MS: u64 = 60;
-/// Engines that a request asks for one by one; then it asks for any.
+/// Denials for single engines after which a request asks for any engine of the group.
 const MAX_DENIALS: u32 = 3;
-/// Time for which an engine works before it answers, in milliseconds.
+/// Time that an engine takes to answer, in milliseconds.
 const SERVICE_MS: u64 = 30;
 
 /// A node.
@@ -34,13 +35,13 @@
     limits: EngineLimits,
     rooms: EngineRooms,
     is_up: bool,
-    /// Nodes of other sides are neither heard nor reached.
+    /// The side of a partition. Nodes on different sides cannot exchange messages.
     side: u8,
     last_period_at: u64,
     next_request_number: u64,
 }
 
-/// A request that waits for a token.
+/// A token request that waits for its answer.
 #[derive(Clone)]
 struct PendingRequest {
     request: TokenRequest,
@@ -85,7 +86,7 @@
     },
 }
 
-/// What the fleet did.
+/// What the fleet did, as counts of events.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     pub messages: u64,
@@ -98,14 +99,14 @@
 pub struct World {
     pub now: u64,
     nodes: Vec<Node>,
-    /// The rate that each engine names; nothing for an engine without need.
+    /// The rate that each engine advertises, if it is limited.
     pub limits: Vec<Option<f64>>,
-    /// When and from which side each engine got its requests.
+    /// For each engine, the time and the side of the partition of each request that it got.
     pub arrivals: Vec<Vec<(u64, u8)>>,
     pub counts: Counts,
     /// Share of messages that are lost.
     pub loss: f64,
-    /// Requests a second, of all nodes.
+    /// Requests a second, over all nodes.
     pub demand: f64,
     pending_requests: HashMap<(usize, u64), PendingRequest>,
     events: BTreeMap<(u64, u64), Event>,
@@ -146,7 +147,7 @@
         world
     }
 
-    /// Plays on for so long.
+    /// Advances the simulation by `for_ms`.
     pub fn run(&mut self, for_ms: u64) {
         let end = self.now + for_ms;
         while let Some(entry) = self
@@ -161,17 +162,17 @@
         self.now = end;
     }
 
-    /// A node stands still, or is gone.
+    /// Stops a node; it stays stopped until it is resumed or restarted.
     pub fn stop(&mut self, node: usize) {
         self.nodes[node].is_up = false;
     }
 
-    /// A node that stood still goes on with what it knew.
+    /// Resumes a stopped node with its state.
     pub fn resume(&mut self, node: usize) {
         self.nodes[node].is_up = true;
     }
 
-    /// A node starts anew, and is told what another one knows.
+    /// Restarts a node without its state and sends it the state of another node.
     pub fn restart(&mut self, node: usize) {
         let other = (node + 1) % self.nodes.len();
         let told = self.nodes[other].limits.all_updates(self.millis());
@@ -187,7 +188,7 @@
         started.is_up = true;
     }
 
-    /// Nodes from this one on are cut off from those before.
+    /// Partitions the fleet: nodes from `first` on are separated from those before.
     pub fn cut_from(&mut self, first: usize) {
         for (number, node) in self.nodes.iter_mut().enumerate() {
             node.side = u8::from(number >= first);
@@ -200,14 +201,14 @@
         }
     }
 
-    /// The node that holds the group of an engine, as this node knows.
+    /// The holder of the group of an engine, as known to this node.
     pub fn holder_seen_by(&self, node: usize, engine: usize) -> Option<usize> {
         let limits = &self.nodes[node].limits;
         let group = limits.group_of(tag(engine))?;
         Some(index_of(limits.holder(group)?.at))
     }
 
-    /// Nodes that know this limit of an engine.
+    /// The number of nodes that know this limit of an engine.
     pub fn nodes_that_know(&self, engine: usize, limit: Option<f64>) -> usize {
         let nodes = self.nodes.iter();
         nodes
@@ -215,7 +216,7 @@
             .count()
     }
 
-    /// The most requests of one side that an engine got in any window within a span.
+    /// The most requests that an engine got from one side in any window of the interval.
     pub fn worst_window(&self, engine: usize, from: u64, until: u64, side: Option<u8>) -> usize {
         let times: Vec<u64> = self.arrivals[engine]
             .iter()
@@ -229,7 +230,7 @@
         counts.max().unwrap_or(0)
     }
 
-    /// Requests that an engine got within a span.
+    /// Requests that an engine got in an interval.
     pub fn arrivals_in(&self, engine: usize, from: u64, until: u64) -> usize {
         let times = self.arrivals[engine].iter();
         times.filter(|(at, _)| *at >= from && *at < until).count()
@@ -244,7 +245,7 @@
         self.events.insert((when, self.next_event), event);
     }
 
-    /// Sends a message, which takes its time, may be lost, and does not cross a cut.
+    /// Sends a message with a delay. It may be lost, and does not cross a partition.
     fn send(&mut self, from: usize, to: usize, delay_ms: u64, event: Event) {
         self.counts.messages += 1;
         let is_cut = self.nodes[from].side != self.nodes[to].side;
@@ -328,8 +329,9 @@
         }
     }
 
-    /// A caller's request: an engine that gets little, as one with a limit does, before any
-    /// other with room; else whichever the holder names.
+    /// Selects an engine for a caller's request: a limited engine with free capacity if
+    /// there is one, as it gets little load; otherwise any engine with free capacity;
+    /// otherwise one that the holder grants.
     fn choose(&mut self, node: usize, denials: u32) {
         let now = self.millis();
         let engines = self.limits.len();
@@ -497,7 +499,7 @@
     }
 
     fn broadcast(&mut self, node: usize) {
-        // A large fleet looks less often here, so that the test stays short.
+        // A large fleet checks less often, to keep the test short.
         let check_ms = match self.nodes.len() <= MESH_NODES {
             true => BROADCAST_CHECK_MS,
             false => 10 * BROADCAST_CHECK_MS,
@@ -515,7 +517,7 @@
         for news in known.limits.updates_due(is_period, now) {
             for other in 0..self.nodes.len() {
                 if other != node {
-                    // Relays tell within some tens of milliseconds.
+                    // Relays forward within some tens of milliseconds.
                     let delay = match self.nodes.len() <= MESH_NODES {
                         true => self.network_delay_ms(),
                         false => self.random.u64(5..=60),
