--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -7,7 +7,7 @@
 use ploverlift_balancing::peer_loads::{PeerId, ZoneTag};
 use ploverlift_policy::ids::Millis;
 use ploverlift_ratelimit::limiter::Membership;
-use ploverlift_ratelimit::own_use::ToldUse;
+use ploverlift_ratelimit::own_use::ReportedUse;
 use ploverlift_ratelimit::reports::{LevelReport, PartId, TenantUse, UseReport};
 use ploverlift_routing::rate_limit::TenantTag;
 use ploverlift_wire::peers::peer_message::Body;
@@ -22,7 +22,7 @@
 /// Reports of use to one set of receivers.
 #[derive(Debug, Default)]
 pub struct UseStream {
-    told: ToldUse,
+    told: ReportedUse,
 }
 
 impl UseStream {
@@ -126,7 +126,7 @@
     };
     let (levels, accounts_age_ms) = {
         let limiter = &mut gateway.beliefs().limiter;
-        (limiter.levels_to_tell(now), limiter.accounts_age_ms(now))
+        (limiter.next_levels(now), limiter.accounts_age_ms(now))
     };
     if levels.is_empty() && period % PERIODS_PER_LEVELS != 0 {
         return;
@@ -146,7 +146,7 @@
             let limiter = &gateway.beliefs().limiter;
             let receivers = receivers.iter();
             receivers
-                .map(|(_, receiver)| limiter.counted_of(*receiver, &tenants))
+                .map(|(_, receiver)| limiter.counted_use(*receiver, &tenants))
                 .collect()
         };
         for ((address, _), counted) in receivers.iter().zip(counted) {
@@ -188,11 +188,14 @@
         Some(zone) => PartId::Zone(zone),
         None => PartId::Node(report.sender),
     };
-    gateway.beliefs().limiter.take_use(part, report, now);
+    gateway
+        .beliefs()
+        .limiter
+        .apply_use_report(part, report, now);
 }
 
 /// Takes in levels that a relay tells.
 pub fn take_levels(gateway: &Gateway, report: &LevelReport) {
     let now = gateway.clock.now();
-    gateway.beliefs().limiter.take_levels(report, now);
+    gateway.beliefs().limiter.apply_level_report(report, now);
 }
--- a/crates/ratelimit/src/accounts.rs
+++ b/crates/ratelimit/src/accounts.rs
@@ -20,24 +20,24 @@
 pub const HOLD_MS: u64 = 6_000;
 /// Silence after which a part is forgotten, in milliseconds. What was held for it by
 /// then stays taken.
-const FORGET_MS: u64 = 60_000;
+const PART_RETENTION_MS: u64 = 60_000;
 /// Age from which accounts are not replaced by older ones, in milliseconds: buckets of
 /// the usual burst have refilled by then.
 pub const SETTLED_MS: u64 = 10_000;
 /// Difference in age from which accounts are better than others, in milliseconds.
-pub const OLDER_MS: u64 = 1_000;
+pub const MIN_AGE_ADVANTAGE_MS: u64 = 1_000;
 /// Part of a limit that is divided evenly over the nodes where a fleet is divided; the
 /// rest goes by the last known use.
 const EVEN_SHARE: f64 = 0.1;
 /// Time without a look at the accounts after which this process was paused, in
 /// milliseconds: six of a relay's periods, twelve of a node's in a small fleet.
-const PAUSE_MS: u64 = 600;
+const PAUSE_THRESHOLD_MS: u64 = 600;
 /// Time after a pause within which the reports that came meanwhile have been read, in
 /// milliseconds.
 const QUEUED_REPORTS_MS: u64 = 100;
 /// Time that a report travels and waits to be sent on, in milliseconds: half of a
 /// node's and of a relay's report period, twice between zones.
-pub const UNSEEN_MS: u64 = 150;
+pub const UNREPORTED_MS: u64 = 150;
 
 /// A tenant's account.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -99,7 +99,7 @@
     /// Whether accounts of an age know clearly more than these, which are new.
     pub fn is_younger_than(&self, age_ms: u64, now: Millis) -> bool {
         let own_ms = self.age_ms(now);
-        own_ms < SETTLED_MS && age_ms > own_ms + OLDER_MS
+        own_ms < SETTLED_MS && age_ms > own_ms + MIN_AGE_ADVANTAGE_MS
     }
 
     /// Goes on from levels that were told, by accounts of an age.
@@ -117,14 +117,16 @@
 
     /// A part was heard. What is held for it is settled tenant by tenant, as it tells
     /// what it has truly admitted.
-    fn hear(&mut self, part: PartId, now: Millis) {
+    fn note_heard(&mut self, part: PartId, now: Millis) {
         let part = self.part(part, now);
         part.heard_at = now;
-        part.held_to = now;
+        part.held_until = now;
     }
 
     fn part(&mut self, part: PartId, now: Millis) -> &mut Part {
-        self.parts.entry(part).or_insert_with(|| Part::heard(now))
+        self.parts
+            .entry(part)
+            .or_insert_with(|| Part::first_heard(now))
     }
 
     /// Takes in a report of a part's use; one that was overtaken is left out.
@@ -140,7 +142,7 @@
             return;
         }
         let known = self.parts.get(&part_id);
-        let known = known.and_then(|part| part.newest_of(report.sender));
+        let known = known.and_then(|part| part.last_position(report.sender));
         let follows = ReportPosition::follow(known, report.life, report.sequence, now);
         let Some(NewReport { position, life }) = follows else {
             return;
@@ -149,26 +151,26 @@
         // admitted before it is heard is not counted.
         let is_later_life = life == LifeChange::Later;
         if life != LifeChange::Same {
-            self.part(part_id, now).begin_life(report.sender);
+            self.part(part_id, now).restart_reporter(report.sender);
         }
-        self.hear(part_id, now);
+        self.note_heard(part_id, now);
         let is_node = matches!(part_id, PartId::Node(_));
         let is_known_from_start = is_node && (is_later_life || self.since.is_none());
         let part = self.part(part_id, now);
         part.note_report(report, position, is_known_from_start);
         for used in &report.uses {
             let part = self.part(part_id, now);
-            let more = part.count(report.sender, *used, now);
+            let increase = part.count(report.sender, *used, now);
             if let Some(limit) = limits.get(&used.tenant) {
-                self.charge(used.tenant, limit, more, now);
+                self.charge(used.tenant, limit, increase, now);
             }
         }
     }
 
     /// What a reporter had admitted in the last report that is counted.
-    pub fn counted_of(&self, sender: PeerId, tenant: TenantTag) -> u64 {
+    pub fn counted_use(&self, sender: PeerId, tenant: TenantTag) -> u64 {
         let part = self.parts.get(&PartId::Node(sender));
-        part.map_or(0, |part| part.told_by(sender, tenant))
+        part.map_or(0, |part| part.last_admitted(sender, tenant))
     }
 
     /// Brings all accounts up to date: refills, and what is held for silent parts.
@@ -180,10 +182,10 @@
         now: Millis,
     ) {
         self.resume_after_pause(now);
-        let tenants: Vec<TenantTag> = self.parts_tenants(limits);
+        let tenants: Vec<TenantTag> = self.limited_tenants(limits);
         for tenant in tenants {
             if let Some(limit) = limits.get(&tenant) {
-                self.open(tenant, limit, now).refill(limit, now);
+                self.open_bucket(tenant, limit, now).refill(limit, now);
             }
         }
         let is_minority = self.is_minority(size, now);
@@ -192,11 +194,11 @@
         let held = silent.filter(|(_, part)| is_minority || now.since(part.heard_at) < HOLD_MS);
         let held: Vec<PartId> = held.map(|(id, _)| *id).collect();
         for id in held {
-            self.hold(id, limits, &own_rate, size, now);
+            self.hold_share(id, limits, &own_rate, size, now);
         }
-        self.hold_for_unheard(limits, size, now);
+        self.hold_for_unheard_nodes(limits, size, now);
         self.parts
-            .retain(|_, part| is_minority || now.since(part.heard_at) < FORGET_MS);
+            .retain(|_, part| is_minority || now.since(part.heard_at) < PART_RETENTION_MS);
         self.advanced_to = now;
     }
 
@@ -212,7 +214,7 @@
     /// meanwhile is told in one sum, and how much was refilled at which time is lost.
     /// A node that hears no other one misses nothing by a pause.
     pub fn resume_after_pause(&mut self, now: Millis) {
-        let was_paused = now.since(self.advanced_to) >= PAUSE_MS;
+        let was_paused = now.since(self.advanced_to) >= PAUSE_THRESHOLD_MS;
         if was_paused && self.advanced_to > Millis(0) && !self.parts.is_empty() {
             *self = Self::beginning_at(now);
             self.ignores_reports_until = now.plus(QUEUED_REPORTS_MS);
@@ -225,7 +227,7 @@
     }
 
     /// Tenants that any part has used and that have a limit.
-    fn parts_tenants(&self, limits: &HashMap<TenantTag, RateLimit>) -> Vec<TenantTag> {
+    fn limited_tenants(&self, limits: &HashMap<TenantTag, RateLimit>) -> Vec<TenantTag> {
         let used = self.parts.values().flat_map(|part| part.uses.keys());
         let mut tenants: Vec<TenantTag> = used.chain(self.buckets.keys()).copied().collect();
         tenants.retain(|tenant| limits.contains_key(tenant));
@@ -234,7 +236,7 @@
         tenants
     }
 
-    fn hold(
+    fn hold_share(
         &mut self,
         id: PartId,
         limits: &HashMap<TenantTag, RateLimit>,
@@ -245,9 +247,9 @@
         let Some(part) = self.parts.get_mut(&id) else {
             return;
         };
-        let elapsed_ms = now.since(part.held_to);
-        let is_newly_silent = part.held_to == part.heard_at;
-        part.held_to = now;
+        let elapsed_ms = now.since(part.held_until);
+        let is_newly_silent = part.held_until == part.heard_at;
+        part.held_until = now;
         let tenants: Vec<TenantTag> = self.buckets.keys().copied().collect();
         for tenant in tenants {
             let Some(limit) = limits.get(&tenant) else {
@@ -294,7 +296,7 @@
 
     /// Nodes that were not heard since the accounts began may be alive behind a cut: an
     /// even share is held for each.
-    fn hold_for_unheard(
+    fn hold_for_unheard_nodes(
         &mut self,
         limits: &HashMap<TenantTag, RateLimit>,
         size: FleetSize,
@@ -317,7 +319,7 @@
 
     /// The bucket of a tenant. One that was not used before has refilled for as long
     /// as the accounts run.
-    fn open(&mut self, tenant: TenantTag, limit: &RateLimit, now: Millis) -> &mut Bucket {
+    fn open_bucket(&mut self, tenant: TenantTag, limit: &RateLimit, now: Millis) -> &mut Bucket {
         let refilled = match self.since {
             None => limit.burst,
             Some(since) => granted_in(limit, now.since(since)).min(limit.burst),
@@ -328,7 +330,7 @@
 
     /// Takes admitted tokens out of a tenant's bucket; negative ones are given back.
     pub fn charge(&mut self, tenant: TenantTag, limit: &RateLimit, tokens: f64, now: Millis) {
-        let bucket = self.open(tenant, limit, now);
+        let bucket = self.open_bucket(tenant, limit, now);
         bucket.refill(limit, now);
         bucket.take(tokens);
     }
@@ -340,7 +342,7 @@
         limit: &RateLimit,
         now: Millis,
     ) -> AccountStanding {
-        let bucket = self.open(tenant, limit, now);
+        let bucket = self.open_bucket(tenant, limit, now);
         bucket.refill(limit, now);
         let level = bucket.level();
         let heard = self.parts.values().filter(|part| !part.is_silent(now));
--- a/crates/ratelimit/src/lib.rs
+++ b/crates/ratelimit/src/lib.rs
@@ -3,12 +3,12 @@
 //! Pure: no I/O, no clock, no randomness. Each tenant has one token bucket for the
 //! fleet. Nodes count what they admit and report it; whoever hears all parts of the
 //! fleet ([`accounts`]: a node of a small fleet, or a relay) keeps the buckets, and
-//! relays tell the others their levels ([`told`]). Every node admits by itself:
+//! relays tell the others their levels ([`tenant_levels`]). Every node admits by itself:
 //!
 //! ```text
 //! admitted here ──▶ UseReport ──▶ accounts of relays ──▶ LevelReport ──▶ told levels
 //!       ▲                                                                    │
-//!       └──────────── limiter: level − what others admit unseen ◀───────────┘
+//!       └──────────── limiter: level − what others admit unreported ◀───────────┘
 //! ```
 //!
 //! A part of the fleet that is not heard may go on admitting its share of the limit,
@@ -22,7 +22,7 @@
 //! | [`own_use`] | what this node has admitted |
 //! | [`parts`] | parts of the fleet, and one count of what they report |
 //! | [`accounts`] | the buckets, where all parts are heard |
-//! | [`told`] | levels that relays tell |
+//! | [`tenant_levels`] | levels that relays tell |
 //! | [`limiter`] | the decision |
 //! | [`standing`] | what it was made by, and when to come back |
 //! | [`reports`] | what nodes tell each other |
@@ -35,4 +35,4 @@
 pub mod recent_rate;
 pub mod reports;
 pub mod standing;
-pub mod told;
+pub mod tenant_levels;
--- a/crates/ratelimit/src/limiter.rs
+++ b/crates/ratelimit/src/limiter.rs
@@ -1,10 +1,10 @@
 //! Whether a request of a tenant may be sent.
 
-use crate::accounts::{Accounts, FleetSize, UNSEEN_MS};
+use crate::accounts::{Accounts, FleetSize, UNREPORTED_MS};
 use crate::own_use::OwnUse;
-use crate::reports::{is_refreshed, LevelReport, PartId, TenantLevel, TenantUse, UseReport};
-use crate::standing::{Basis, Standing, SPENT_WITHIN_MS};
-use crate::told::{Allowance, ToldLevels};
+use crate::reports::{is_refresh_due, LevelReport, PartId, TenantLevel, TenantUse, UseReport};
+use crate::standing::{Basis, Standing, PROPAGATION_MS};
+use crate::tenant_levels::{Allowance, RelayLevels};
 use ploverlift_balancing::peer_loads::PeerId;
 use ploverlift_policy::ids::Millis;
 use ploverlift_routing::rate_limit::{RateLimit, TenantTag};
@@ -30,11 +30,11 @@
     limits: HashMap<TenantTag, RateLimit>,
     own: OwnUse,
     accounts: Option<Accounts>,
-    told: ToldLevels,
+    reported: RelayLevels,
     level_reports: u64,
     /// What the share of admitted requests of each tenant and size has left over, in
     /// tokens.
-    turns: HashMap<(TenantTag, SizeClass), f64>,
+    share_credits: HashMap<(TenantTag, SizeClass), f64>,
 }
 
 /// What a zone has admitted, as its relay counts it.
@@ -88,10 +88,10 @@
         membership: &Membership,
         now: Millis,
     ) -> Standing {
-        self.own.ask(tenant, cost, now);
+        self.own.record_demand(tenant, cost, now);
         let mut standing = self.standing(tenant, cost, limit, membership, now);
         if standing.basis != Basis::OwnShare {
-            standing.is_admitted = self.has_turn(tenant, cost, standing.admitted_share);
+            standing.is_admitted = self.is_admitted_by_share(tenant, cost, standing.admitted_share);
         }
         if standing.is_admitted {
             self.charge(tenant, cost, now);
@@ -111,12 +111,12 @@
         let (basis, allowance) = self.allowance(tenant, limit, membership, now);
         let own_demand = self.own.demand(tenant).per_second(now);
         let others_demand = (allowance.fleet_demand - own_demand).max(0.0);
-        let asked_unseen = others_demand * SPENT_WITHIN_MS / 1_000.0;
+        let unreported_demand = others_demand * PROPAGATION_MS / 1_000.0;
         let admitted_share = match basis {
             Basis::OwnShare if allowance.available >= cost as f64 => 1.0,
             Basis::OwnShare => 0.0,
             _ if allowance.available <= 0.0 => 0.0,
-            _ => (allowance.available / asked_unseen.max(1.0)).min(1.0),
+            _ => (allowance.available / unreported_demand.max(1.0)).min(1.0),
         };
         Standing {
             basis,
@@ -132,20 +132,20 @@
     /// adds its share to what was left over, and an admitted one takes its cost.
     /// Requests take turns with those of their size: otherwise a large one would leave
     /// a debt that many small ones had to wait for.
-    fn has_turn(&mut self, tenant: TenantTag, cost: u64, share: f64) -> bool {
-        let turn = (tenant, SizeClass::of(cost));
+    fn is_admitted_by_share(&mut self, tenant: TenantTag, cost: u64, share: f64) -> bool {
+        let key = (tenant, SizeClass::of(cost));
         if share >= 1.0 {
-            self.turns.remove(&turn);
+            self.share_credits.remove(&key);
             return true;
         }
         let cost = cost as f64;
-        let left = self.turns.entry(turn).or_insert(0.0);
+        let left = self.share_credits.entry(key).or_insert(0.0);
         *left = (*left + cost * share).min(cost);
-        let has_turn = *left > 0.0 && share > 0.0;
-        if has_turn {
+        let is_admitted_by_share = *left > 0.0 && share > 0.0;
+        if is_admitted_by_share {
             *left -= cost;
         }
-        has_turn
+        is_admitted_by_share
     }
 
     fn allowance(
@@ -155,14 +155,14 @@
         membership: &Membership,
         now: Millis,
     ) -> (Basis, Allowance) {
-        self.take_part(membership, now);
+        self.update_accounts(membership, now);
         if let Some(accounts) = &mut self.accounts {
             accounts.resume_after_pause(now);
             let standing = accounts.standing(tenant, limit, now);
-            let unseen = standing.others_per_second * UNSEEN_MS as f64 / 1_000.0;
+            let unreported = standing.others_per_second * UNREPORTED_MS as f64 / 1_000.0;
             let own_demand = self.own.demand(tenant).per_second(now);
             let allowance = Allowance {
-                available: standing.level - unseen,
+                available: standing.level - unreported,
                 refill_per_second: limit.per_second,
                 others_per_second: standing.others_per_second,
                 fleet_demand: standing.others_demand + own_demand,
@@ -170,26 +170,26 @@
             };
             return (Basis::Accounts, allowance);
         }
-        if let Some(allowance) = self.told.allowance(tenant, limit, &self.own, now) {
+        if let Some(allowance) = self.reported.allowance(tenant, limit, &self.own, now) {
             return (Basis::Relays, allowance);
         }
         let started_at = membership.size.started_at;
-        let told = &mut self.told;
-        let allowance = told.own_share(tenant, limit, started_at, now);
+        let reported = &mut self.reported;
+        let allowance = reported.own_share(tenant, limit, started_at, now);
         (Basis::OwnShare, allowance)
     }
 
     /// Keeps accounts from now on, or no longer.
-    fn take_part(&mut self, membership: &Membership, now: Millis) {
+    fn update_accounts(&mut self, membership: &Membership, now: Millis) {
         match (membership.keeps_accounts, &self.accounts) {
-            (true, None) => self.accounts = Some(self.first_accounts(membership, now)),
+            (true, None) => self.accounts = Some(self.new_accounts(membership, now)),
             (false, Some(_)) => self.accounts = None,
             _ => {}
         }
     }
 
-    fn first_accounts(&self, membership: &Membership, now: Millis) -> Accounts {
-        if let Some((levels, age_ms)) = self.told.handover(now) {
+    fn new_accounts(&self, membership: &Membership, now: Millis) -> Accounts {
+        if let Some((levels, age_ms)) = self.reported.handover(now) {
             let mut accounts = Accounts::beginning_at(now);
             accounts.take_over(levels.into_iter(), age_ms, now);
             return accounts;
@@ -203,27 +203,27 @@
     /// Counts tokens as admitted.
     pub fn charge(&mut self, tenant: TenantTag, tokens: u64, now: Millis) {
         self.own.charge(tenant, tokens, now);
-        self.take_out(tenant, tokens as f64, now);
+        self.charge_bucket(tenant, tokens as f64, now);
     }
 
     /// Tokens that were counted did not run.
     pub fn refund(&mut self, tenant: TenantTag, tokens: u64, now: Millis) {
         self.own.refund(tenant, tokens, now);
-        self.take_out(tenant, -(tokens as f64), now);
+        self.charge_bucket(tenant, -(tokens as f64), now);
     }
 
-    fn take_out(&mut self, tenant: TenantTag, tokens: f64, now: Millis) {
+    fn charge_bucket(&mut self, tenant: TenantTag, tokens: f64, now: Millis) {
         let Some(limit) = self.limit(tenant) else {
             return;
         };
         match &mut self.accounts {
             Some(accounts) => accounts.charge(tenant, &limit, tokens, now),
-            None => self.told.charge_share(tenant, tokens),
+            None => self.reported.charge_share(tenant, tokens),
         }
     }
 
     /// Takes in what a part of the fleet has admitted.
-    pub fn take_use(&mut self, part: PartId, report: &UseReport, now: Millis) {
+    pub fn apply_use_report(&mut self, part: PartId, report: &UseReport, now: Millis) {
         if let Some(accounts) = &mut self.accounts {
             accounts.apply(part, report, &self.limits, now);
         }
@@ -231,15 +231,15 @@
 
     /// Takes in levels that a relay tells. A node that keeps accounts itself, and for
     /// a shorter time, goes on from them.
-    pub fn take_levels(&mut self, report: &LevelReport, now: Millis) {
-        self.told.apply(report, &self.own, now);
+    pub fn apply_level_report(&mut self, report: &LevelReport, now: Millis) {
+        self.reported.apply(report, &self.own, now);
         let Some(accounts) = &mut self.accounts else {
             return;
         };
         let ignores_reports = accounts.ignores_reports(now);
         if !ignores_reports && accounts.is_younger_than(report.accounts_age_ms, now) {
             let levels = report.levels.iter();
-            let levels = levels.map(|told| (told.tenant, told.level as f64));
+            let levels = levels.map(|reported| (reported.tenant, reported.level as f64));
             accounts.take_over(levels, report.accounts_age_ms, now);
         }
     }
@@ -261,7 +261,7 @@
 
     /// Brings the accounts up to date; each period of a node that keeps some.
     pub fn advance(&mut self, membership: &Membership, now: Millis) {
-        self.take_part(membership, now);
+        self.update_accounts(membership, now);
         let own = &self.own;
         if let Some(accounts) = &mut self.accounts {
             let own_rate = |tenant| own.rate(tenant).per_second(now);
@@ -270,7 +270,7 @@
     }
 
     /// The levels that a relay tells next, with 0 as what each receiver has reported.
-    pub fn levels_to_tell(&mut self, now: Millis) -> Vec<TenantLevel> {
+    pub fn next_levels(&mut self, now: Millis) -> Vec<TenantLevel> {
         self.level_reports += 1;
         let Some(accounts) = &mut self.accounts else {
             return Vec::new();
@@ -283,7 +283,7 @@
             };
             let standing = accounts.standing(tenant, limit, now);
             let is_near = standing.level < limit.burst * NEAR_LIMIT_SHARE;
-            if is_near || is_refreshed(tenant, self.level_reports) {
+            if is_near || is_refresh_due(tenant, self.level_reports) {
                 let own_rate = self.own.rate(tenant).per_second(now);
                 let own_demand = self.own.demand(tenant).per_second(now);
                 levels.push(TenantLevel {
@@ -299,10 +299,10 @@
     }
 
     /// What a reporter had admitted of each tenant in the last report that is counted.
-    pub fn counted_of(&self, sender: PeerId, tenants: &[TenantTag]) -> Vec<u64> {
+    pub fn counted_use(&self, sender: PeerId, tenants: &[TenantTag]) -> Vec<u64> {
         let accounts = self.accounts.as_ref();
         let counted = |tenant: &TenantTag| {
-            accounts.map_or(0, |accounts| accounts.counted_of(sender, *tenant))
+            accounts.map_or(0, |accounts| accounts.counted_use(sender, *tenant))
         };
         tenants.iter().map(counted).collect()
     }
--- a/crates/ratelimit/src/own_use.rs
+++ b/crates/ratelimit/src/own_use.rs
@@ -2,7 +2,7 @@
 
 use crate::parts::HEARTBEAT_MS;
 use crate::recent_rate::RecentRate;
-use crate::reports::{is_refreshed, TenantUse};
+use crate::reports::{is_refresh_due, TenantUse};
 use ploverlift_policy::ids::Millis;
 use ploverlift_routing::rate_limit::TenantTag;
 use std::collections::HashMap;
@@ -23,7 +23,7 @@
 
 impl OwnUse {
     /// Tokens were asked for.
-    pub fn ask(&mut self, tenant: TenantTag, tokens: u64, now: Millis) {
+    pub fn record_demand(&mut self, tenant: TenantTag, tokens: u64, now: Millis) {
         let totals = self.tenants.entry(tenant).or_default();
         totals.asked += tokens;
         totals.demand.note(tokens as f64, now);
@@ -75,13 +75,13 @@
 
 /// What a stream of reports has told already.
 #[derive(Clone, Debug, Default)]
-pub struct ToldUse {
-    told: HashMap<TenantTag, (u64, u64)>,
+pub struct ReportedUse {
+    reported: HashMap<TenantTag, (u64, u64)>,
     reports: u64,
-    told_at: Option<Millis>,
+    reported_at: Option<Millis>,
 }
 
-impl ToldUse {
+impl ReportedUse {
     /// The uses to tell next: those that changed, and some others in turn. Nothing
     /// where nothing changed and the last report is recent.
     pub fn next(
@@ -91,18 +91,19 @@
     ) -> Option<Vec<TenantUse>> {
         self.reports += 1;
         let is_due = |used: &TenantUse| {
-            is_refreshed(used.tenant, self.reports)
-                || self.told.get(&used.tenant) != Some(&(used.admitted, used.asked))
+            is_refresh_due(used.tenant, self.reports)
+                || self.reported.get(&used.tenant) != Some(&(used.admitted, used.asked))
         };
         let due: Vec<TenantUse> = uses.filter(is_due).collect();
         for used in &due {
-            self.told.insert(used.tenant, (used.admitted, used.asked));
+            self.reported
+                .insert(used.tenant, (used.admitted, used.asked));
         }
         let rested = |at| now.since(at) >= HEARTBEAT_MS;
-        if due.is_empty() && !self.told_at.is_none_or(rested) {
+        if due.is_empty() && !self.reported_at.is_none_or(rested) {
             return None;
         }
-        self.told_at = Some(now);
+        self.reported_at = Some(now);
         Some(due)
     }
 }
--- a/crates/ratelimit/src/parts.rs
+++ b/crates/ratelimit/src/parts.rs
@@ -57,32 +57,32 @@
     pub(crate) nodes: u32,
     pub(crate) heard_at: Millis,
     /// Up to when its share is held; it begins where the part was last heard.
-    pub(crate) held_to: Millis,
+    pub(crate) held_until: Millis,
     streams: BTreeMap<PeerId, Stream>,
     pub(crate) uses: HashMap<TenantTag, PartUse>,
 }
 
 impl Part {
     /// A part that is heard for the first time.
-    pub(crate) fn heard(now: Millis) -> Self {
+    pub(crate) fn first_heard(now: Millis) -> Self {
         Self {
             nodes: 1,
             heard_at: now,
-            held_to: now,
+            held_until: now,
             streams: BTreeMap::new(),
             uses: HashMap::new(),
         }
     }
 
     /// The last report of a reporter.
-    pub(crate) fn newest_of(&self, sender: PeerId) -> Option<ReportPosition> {
+    pub(crate) fn last_position(&self, sender: PeerId) -> Option<ReportPosition> {
         let stream = self.streams.get(&sender);
         stream.map(|stream| stream.position)
     }
 
     /// A reporter runs in another life: it does not tell what the one before admitted
     /// unheard, so what is held for that stays taken.
-    pub(crate) fn begin_life(&mut self, sender: PeerId) {
+    pub(crate) fn restart_reporter(&mut self, sender: PeerId) {
         self.streams.remove(&sender);
         for used in self.uses.values_mut() {
             used.held = 0.0;
@@ -113,7 +113,7 @@
     }
 
     /// What a reporter told last of a tenant.
-    pub(crate) fn told_by(&self, sender: PeerId, tenant: TenantTag) -> u64 {
+    pub(crate) fn last_admitted(&self, sender: PeerId, tenant: TenantTag) -> u64 {
         let stream = self.streams.get(&sender);
         let counter = stream.and_then(|stream| stream.counters.get(&tenant));
         counter.map_or(0, |counter| counter.admitted.max(0) as u64)
@@ -130,53 +130,53 @@
 
     /// Takes in what a reporter told of a tenant; tells how much more the part has
     /// admitted than was taken out of the bucket, or less where that is negative.
-    pub(crate) fn count(&mut self, sender: PeerId, told: TenantUse, now: Millis) -> f64 {
+    pub(crate) fn count(&mut self, sender: PeerId, reported: TenantUse, now: Millis) -> f64 {
         let streams = self.streams.values();
-        let mut others = streams.filter(|stream| stream.counters.contains_key(&told.tenant));
-        let is_told_by_another = others.next().is_some();
-        let used = self.uses.entry(told.tenant).or_default();
+        let mut others = streams.filter(|stream| stream.counters.contains_key(&reported.tenant));
+        let has_other_reporter = others.next().is_some();
+        let used = self.uses.entry(reported.tenant).or_default();
         let Some(stream) = self.streams.get_mut(&sender) else {
             return 0.0;
         };
-        let admitted = told.admitted as i64;
+        let admitted = reported.admitted as i64;
         let has_baseline = stream.is_known_from_start || now.since(stream.joined_at) >= BASELINE_MS;
-        let first_offset = match has_baseline && !is_told_by_another {
+        let first_offset = match has_baseline && !has_other_reporter {
             true => used.counted,
             false => used.counted - admitted,
         };
-        let counter = stream.counters.entry(told.tenant).or_insert(Counter {
+        let counter = stream.counters.entry(reported.tenant).or_insert(Counter {
             admitted,
             offset: first_offset,
-            asked: told.asked,
+            asked: reported.asked,
         });
         let is_refund = admitted < counter.admitted;
         counter.admitted = admitted;
-        let more_asked = told.asked.saturating_sub(counter.asked);
-        counter.asked = told.asked;
+        let demand_increase = reported.asked.saturating_sub(counter.asked);
+        counter.asked = reported.asked;
         // Several relays sum up the same zone: the one that is ahead counts.
         let fresh = self.streams.values();
         let fresh = fresh.filter(|stream| now.since(stream.position.heard_at()) < SUM_SILENT_MS);
         let leader = fresh.clone().map(|stream| stream.joined_at).min();
         let is_leading = leader == self.streams.get(&sender).map(|stream| stream.joined_at);
-        let counters = fresh.filter_map(|stream| stream.counters.get(&told.tenant));
+        let counters = fresh.filter_map(|stream| stream.counters.get(&reported.tenant));
         let counted = counters.map(|counter| counter.admitted + counter.offset);
         let counted = counted.max().unwrap_or(used.counted);
         if counted < used.counted && !is_refund {
             // The relay that was ahead is silent: this one goes on from there.
             let behind = used.counted - counted;
-            self.realign(sender, told.tenant, behind);
+            self.realign(sender, reported.tenant, behind);
             return 0.0;
         }
-        let more = (counted - used.counted) as f64;
+        let increase = (counted - used.counted) as f64;
         used.counted = counted;
         used.share = None;
-        used.rate.note(more, now);
-        if more_asked > 0 && is_leading {
-            used.asked += more_asked;
-            used.demand.note(more_asked as f64, now);
+        used.rate.note(increase, now);
+        if demand_increase > 0 && is_leading {
+            used.asked += demand_increase;
+            used.demand.note(demand_increase as f64, now);
         }
         // What was held since it fell silent is taken out already.
-        more - std::mem::take(&mut used.held)
+        increase - std::mem::take(&mut used.held)
     }
 
     /// What the part uses, or used when it fell silent.
--- a/crates/ratelimit/src/reports.rs
+++ b/crates/ratelimit/src/reports.rs
@@ -16,7 +16,7 @@
 const REPORTS_PER_REFRESH: u64 = 8;
 
 /// Whether a tenant is named in the report with this number though nothing changed.
-pub(crate) fn is_refreshed(tenant: TenantTag, report: u64) -> bool {
+pub(crate) fn is_refresh_due(tenant: TenantTag, report: u64) -> bool {
     tenant.0 % REPORTS_PER_REFRESH == report % REPORTS_PER_REFRESH
 }
 
--- a/crates/ratelimit/src/standing.rs
+++ b/crates/ratelimit/src/standing.rs
@@ -1,22 +1,22 @@
 //! What was known of a tenant when a request was decided on, and when its caller may
 //! come back.
 
-use crate::told::Allowance;
+use crate::tenant_levels::Allowance;
 use ploverlift_routing::rate_limit::RateLimit;
 
 /// Time within which levels show what all nodes admit, in milliseconds: a node's report
 /// (80), those of its relay (100) and of another zone's (100), and the way. What is
 /// left is divided over what other nodes are asked for in that time, so that nodes
 /// which see the same level do not all spend it.
-pub(crate) const SPENT_WITHIN_MS: f64 = 400.0;
+pub(crate) const PROPAGATION_MS: f64 = 400.0;
 /// Shortest time to come back that a caller is told, in milliseconds: what a few
 /// requests that are under way admit meanwhile is not known.
-const SHORTEST_RETRY_MS: f64 = 50.0;
+const MIN_RETRY_MS: f64 = 50.0;
 /// Longest time to come back to a tenant of whose requests a share is admitted, in
 /// milliseconds: what it asks for by then is not known.
-const LONGEST_TURN_MS: f64 = 2_000.0;
+const MAX_SHARE_WAIT_MS: f64 = 2_000.0;
 /// Longest time to come back that a caller is told, in milliseconds.
-const LONGEST_RETRY_MS: f64 = 60_000.0;
+const MAX_RETRY_MS: f64 = 60_000.0;
 
 /// By what this node admits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -68,9 +68,7 @@
             share if share > 0.0 => 1.0 / share - 1.0,
             _ => 0.0,
         };
-        let turn_ms = (SPENT_WITHIN_MS * waiting).min(LONGEST_TURN_MS);
-        wait_ms
-            .max(turn_ms)
-            .clamp(SHORTEST_RETRY_MS, LONGEST_RETRY_MS) as u64
+        let turn_ms = (PROPAGATION_MS * waiting).min(MAX_SHARE_WAIT_MS);
+        wait_ms.max(turn_ms).clamp(MIN_RETRY_MS, MAX_RETRY_MS) as u64
     }
 }
--- a/crates/ratelimit/src/told.rs
+++ b/crates/ratelimit/src/tenant_levels.rs
@@ -1,6 +1,6 @@
 //! Levels that relays tell, and the share of a node that hears none.
 
-use crate::accounts::{share_of, HOLD_MS, OLDER_MS, SETTLED_MS, UNSEEN_MS};
+use crate::accounts::{share_of, HOLD_MS, MIN_AGE_ADVANTAGE_MS, SETTLED_MS, UNREPORTED_MS};
 use crate::bucket::{granted_in, Bucket};
 use crate::own_use::OwnUse;
 use crate::reports::{LevelReport, TenantLevel};
@@ -13,24 +13,24 @@
 /// Silence after which a relay's levels are no longer relied on, in milliseconds: two
 /// of the reports that it sends at least, and some jitter. Where two relays report,
 /// that takes four lost datagrams in a row.
-const RELIED_ON_MS: u64 = 450;
+const RELAY_TIMEOUT_MS: u64 = 450;
 
 #[derive(Clone, Copy, Debug)]
-struct ToldLevel {
+struct ReportedLevel {
     level: f64,
     fleet_rate: f64,
     fleet_demand: f64,
     counted: u64,
-    told_at: Millis,
+    reported_at: Millis,
     /// What this node used a second then.
     own_rate: f64,
 }
 
 #[derive(Clone, Debug)]
-struct ToldBy {
+struct RelayReports {
     position: ReportPosition,
     accounts_age_ms: u64,
-    levels: HashMap<TenantTag, ToldLevel>,
+    levels: HashMap<TenantTag, ReportedLevel>,
 }
 
 /// This node's part of a limit while it hears no relay.
@@ -42,8 +42,8 @@
 
 /// What relays told of all tenants.
 #[derive(Clone, Debug, Default)]
-pub struct ToldLevels {
-    relays: BTreeMap<PeerId, ToldBy>,
+pub struct RelayLevels {
+    relays: BTreeMap<PeerId, RelayReports>,
     nodes: u32,
     heard_at: Option<Millis>,
     shares: HashMap<TenantTag, OwnShare>,
@@ -64,7 +64,7 @@
     pub age_ms: Option<u64>,
 }
 
-impl ToldLevels {
+impl RelayLevels {
     /// Takes in a relay's report; one that was overtaken is left out.
     pub fn apply(&mut self, report: &LevelReport, own: &OwnUse, now: Millis) {
         let known = self.relays.get(&report.sender);
@@ -76,17 +76,20 @@
         if life != LifeChange::Same {
             self.relays.remove(&report.sender);
         }
-        let relay = self.relays.entry(report.sender).or_insert_with(|| ToldBy {
-            position,
-            accounts_age_ms: 0,
-            levels: HashMap::new(),
-        });
+        let relay = self
+            .relays
+            .entry(report.sender)
+            .or_insert_with(|| RelayReports {
+                position,
+                accounts_age_ms: 0,
+                levels: HashMap::new(),
+            });
         relay.position = position;
         relay.accounts_age_ms = report.accounts_age_ms;
-        for told in &report.levels {
-            let own_rate = own.rate(told.tenant).per_second(now);
-            let level = ToldLevel::of(told, own_rate, now);
-            relay.levels.insert(told.tenant, level);
+        for reported in &report.levels {
+            let own_rate = own.rate(reported.tenant).per_second(now);
+            let level = ReportedLevel::of(reported, own_rate, now);
+            relay.levels.insert(reported.tenant, level);
         }
         self.nodes = report.nodes;
         self.heard_at = Some(now);
@@ -97,12 +100,12 @@
 
     /// The relay that is relied on: the one whose accounts have run longest, or was
     /// heard last.
-    fn relied_on(&self, now: Millis) -> Option<&ToldBy> {
+    fn preferred_relay(&self, now: Millis) -> Option<&RelayReports> {
         let relays = self.relays.values();
-        let heard = relays.filter(|relay| now.since(relay.position.heard_at()) < RELIED_ON_MS);
+        let heard = relays.filter(|relay| now.since(relay.position.heard_at()) < RELAY_TIMEOUT_MS);
         heard.max_by_key(|relay| {
             let age_ms = relay.accounts_age_ms.min(SETTLED_MS);
-            (age_ms / OLDER_MS, relay.position.heard_at())
+            (age_ms / MIN_AGE_ADVANTAGE_MS, relay.position.heard_at())
         })
     }
 
@@ -114,9 +117,9 @@
         own: &OwnUse,
         now: Millis,
     ) -> Option<Allowance> {
-        let relay = self.relied_on(now)?;
+        let relay = self.preferred_relay(now)?;
         let own_rate = own.rate(tenant).per_second(now);
-        let Some(told) = relay.levels.get(&tenant) else {
+        let Some(reported) = relay.levels.get(&tenant) else {
             // The relay knows of no use, or of none but this node's last requests.
             let refilled = granted_in(limit, relay.accounts_age_ms).min(limit.burst);
             return Some(Allowance {
@@ -127,16 +130,18 @@
                 age_ms: Some(now.since(relay.position.heard_at())),
             });
         };
-        let age_ms = now.since(told.told_at);
-        let others = (told.fleet_rate - own_rate).max(0.0);
-        let unseen = others * (age_ms + UNSEEN_MS) as f64 / 1_000.0;
-        let own_unseen = own.admitted(tenant).saturating_sub(told.counted);
-        let refilled = (told.level + granted_in(limit, age_ms)).min(limit.burst);
+        let age_ms = now.since(reported.reported_at);
+        let others = (reported.fleet_rate - own_rate).max(0.0);
+        let unreported = others * (age_ms + UNREPORTED_MS) as f64 / 1_000.0;
+        let own_unreported = own.admitted(tenant).saturating_sub(reported.counted);
+        let refilled = (reported.level + granted_in(limit, age_ms)).min(limit.burst);
         Some(Allowance {
-            available: refilled - unseen - own_unseen as f64,
+            available: refilled - unreported - own_unreported as f64,
             refill_per_second: limit.per_second,
             others_per_second: others,
-            fleet_demand: told.fleet_demand.max(own.demand(tenant).per_second(now)),
+            fleet_demand: reported
+                .fleet_demand
+                .max(own.demand(tenant).per_second(now)),
             age_ms: Some(age_ms),
         })
     }
@@ -157,12 +162,12 @@
             .values()
             .max_by_key(|relay| relay.position.heard_at());
         let last = last.and_then(|relay| relay.levels.get(&tenant));
-        let own_rate = last.map_or(0.0, |told| told.own_rate);
-        let fleet_rate = last.map_or(0.0, |told| told.fleet_rate.max(own_rate));
+        let own_rate = last.map_or(0.0, |reported| reported.own_rate);
+        let fleet_rate = last.map_or(0.0, |reported| reported.fleet_rate.max(own_rate));
         let share = share_of(limit, own_rate, 1.0, fleet_rate, nodes);
         let even = 1.0 / f64::from(nodes);
         let known = self.shares.entry(tenant).or_insert_with(|| {
-            let level = last.map_or(0.0, |told| told.level.clamp(0.0, limit.burst));
+            let level = last.map_or(0.0, |reported| reported.level.clamp(0.0, limit.burst));
             OwnShare {
                 share,
                 bucket: Bucket::with_level(level * share, now),
@@ -196,21 +201,21 @@
     /// The levels of the relay that is relied on, and the age of its accounts; for a
     /// node that keeps accounts itself from now on.
     pub fn handover(&self, now: Millis) -> Option<(Vec<(TenantTag, f64)>, u64)> {
-        let relay = self.relied_on(now)?;
+        let relay = self.preferred_relay(now)?;
         let levels = relay.levels.iter();
-        let levels = levels.map(|(tenant, told)| (*tenant, told.level));
+        let levels = levels.map(|(tenant, reported)| (*tenant, reported.level));
         Some((levels.collect(), relay.accounts_age_ms))
     }
 }
 
-impl ToldLevel {
-    fn of(told: &TenantLevel, own_rate: f64, now: Millis) -> Self {
+impl ReportedLevel {
+    fn of(reported: &TenantLevel, own_rate: f64, now: Millis) -> Self {
         Self {
-            level: told.level as f64,
-            fleet_rate: told.fleet_rate as f64,
-            fleet_demand: told.fleet_demand as f64,
-            counted: told.counted,
-            told_at: now,
+            level: reported.level as f64,
+            fleet_rate: reported.fleet_rate as f64,
+            fleet_demand: reported.fleet_demand as f64,
+            counted: reported.counted,
+            reported_at: now,
             own_rate,
         }
     }
--- a/crates/ratelimit/tests/clock_steps.rs
+++ b/crates/ratelimit/tests/clock_steps.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_node_that_restarts_with_its_clock_set_back_is_counted_and_late_reports_are_not() {
+fn a_node_that_restarts_with_its_clock_set_back_is_counted_and_late_reports_are_ignored() {
     let limit = RateLimit {
         per_second: 1_000.0,
         burst: 10_000.0,
--- a/crates/ratelimit/tests/limits.rs
+++ b/crates/ratelimit/tests/limits.rs
@@ -19,7 +19,7 @@
 
 /// Requests of one tenant: `per_second` units in pieces of `cost`, at nodes by turns
 /// that a generator picks, while time passes.
-fn press(fleet: &mut Fleet, per_second: f64, cost: u64, ms: u64, nodes: &[usize], seed: u64) {
+fn apply_load(fleet: &mut Fleet, per_second: f64, cost: u64, ms: u64, nodes: &[usize], seed: u64) {
     let mut random = fastrand::Rng::with_seed(seed);
     let chance = per_second / cost as f64 / 100.0;
     for _ in 0..ms / 10 {
@@ -46,32 +46,32 @@
 };
 
 #[test]
-fn a_tenant_within_its_limit_is_never_refused_wherever_it_asks() {
+fn a_tenant_within_its_limit_is_admitted_at_any_node() {
     for has_relays in [false, true] {
         let mut fleet = Fleet::new(&[6, 6, 6], has_relays, LARGE, 1);
         let nodes = all(&fleet);
-        press(&mut fleet, 400_000.0, 9_200, 20_000, &nodes, 2);
+        apply_load(&mut fleet, 400_000.0, 9_200, 20_000, &nodes, 2);
         assert_eq!(fleet.refused, 0, "relays: {has_relays}");
         // The whole limit at one node.
         let mut fleet = Fleet::new(&[6, 6, 6], has_relays, LARGE, 1);
-        press(&mut fleet, 560_000.0, 9_200, 20_000, &[17], 2);
+        apply_load(&mut fleet, 560_000.0, 9_200, 20_000, &[17], 2);
         assert!(fleet.refused * 50 < fleet.granted, "{}", fleet.refused);
     }
 }
 
 #[test]
-fn a_small_tenant_is_served_whole_by_whichever_node_it_asks() {
+fn a_small_tenant_gets_its_limit_from_any_node() {
     let small = limit(29_000.0, 29_000.0);
     for has_relays in [false, true] {
         let mut fleet = Fleet::new(&[10, 10, 10], has_relays, small, 1);
         let nodes = all(&fleet);
-        press(&mut fleet, 15_000.0, 9_200, 30_000, &nodes, 3);
+        apply_load(&mut fleet, 15_000.0, 9_200, 30_000, &nodes, 3);
         assert!(fleet.refused * 20 <= fleet.granted, "{}", fleet.refused);
     }
 }
 
 #[test]
-fn a_tenant_that_asks_for_eight_times_its_limit_gets_the_limit() {
+fn a_tenant_that_requests_eight_times_its_limit_gets_the_limit() {
     for (has_relays, limit) in [
         (false, LARGE),
         (true, LARGE),
@@ -80,8 +80,8 @@
     ] {
         let mut fleet = Fleet::new(&[10, 10, 10], has_relays, limit, 1);
         let nodes = all(&fleet);
-        press(&mut fleet, limit.per_second * 0.5, 9_200, 5_000, &nodes, 3);
-        press(&mut fleet, limit.per_second * 8.0, 9_200, 20_000, &nodes, 4);
+        apply_load(&mut fleet, limit.per_second * 0.5, 9_200, 5_000, &nodes, 3);
+        apply_load(&mut fleet, limit.per_second * 8.0, 9_200, 20_000, &nodes, 4);
         assert!((fleet.worst_window as f64) < bound(&limit), "{has_relays}");
         let granted = fleet.granted as f64 / (limit.per_second * 22.5);
         assert!(granted > 0.9, "{granted} with relays {has_relays}");
@@ -90,14 +90,14 @@
 
 /// Nodes that see the same level together must not each spend it.
 #[test]
-fn a_tenant_over_its_limit_is_admitted_evenly_and_not_in_waves() {
+fn a_tenant_over_its_limit_is_admitted_at_an_even_rate() {
     let mut fleet = Fleet::new(&[10, 10, 10], true, LARGE, 1);
     let nodes = all(&fleet);
-    press(&mut fleet, 4_800_000.0, 9_200, 5_000, &nodes, 4);
+    apply_load(&mut fleet, 4_800_000.0, 9_200, 5_000, &nodes, 4);
     let mut most = 0;
     for round in 0..40 {
         let before = fleet.granted;
-        press(&mut fleet, 4_800_000.0, 9_200, 250, &nodes, 5 + round);
+        apply_load(&mut fleet, 4_800_000.0, 9_200, 250, &nodes, 5 + round);
         most = most.max(fleet.granted - before);
     }
     // A quarter of a second grants 150,000.
@@ -108,7 +108,7 @@
 fn requests_of_all_sizes_get_the_same_share_of_a_limit() {
     let mut fleet = Fleet::new(&[10, 10, 10], true, LARGE, 1);
     let nodes = all(&fleet);
-    press(&mut fleet, 2_400_000.0, 9_200, 3_000, &nodes, 3);
+    apply_load(&mut fleet, 2_400_000.0, 9_200, 3_000, &nodes, 3);
     let mut random = fastrand::Rng::with_seed(7);
     let mut asked = [0_u32; 2];
     let mut admitted = [0_u32; 2];
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_refused_caller_is_told_when_the_bucket_holds_its_request() {
+fn retry_after_is_when_the_bucket_covers_the_request() {
     let limit = limit(1_000.0, 1_000.0);
     let mut fleet = Fleet::new(&[3], false, limit, 1);
     assert!(fleet.request(0, 800));
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn requests_count_as_requests_where_the_limit_says_so() {
+fn the_cost_of_a_request_follows_the_unit_of_the_limit() {
     let mut limit = limit(2.0, 3.0);
     limit.unit = ploverlift_routing::rate_limit::LimitUnit::Requests;
     assert_eq!(limit.cost(Some(9_000)), 1);
@@ -156,15 +156,15 @@
 }
 
 #[test]
-fn a_node_that_hears_nobody_admits_its_share_and_the_others_the_rest() {
+fn an_isolated_node_admits_its_share_and_the_others_the_rest() {
     for has_relays in [false, true] {
         let mut fleet = Fleet::new(&[6, 6, 6], has_relays, LARGE, 1);
         let nodes = all(&fleet);
-        press(&mut fleet, 500_000.0, 9_200, 6_000, &nodes, 3);
+        apply_load(&mut fleet, 500_000.0, 9_200, 6_000, &nodes, 3);
         for node in [5, 11, 17] {
             fleet.set_cut(node, true);
         }
-        press(&mut fleet, 3_000_000.0, 9_200, 5_500, &nodes, 4);
+        apply_load(&mut fleet, 3_000_000.0, 9_200, 5_500, &nodes, 4);
         let expected = match has_relays {
             true => Basis::OwnShare,
             false => Basis::Accounts,
@@ -173,7 +173,7 @@
         for node in [5, 11, 17] {
             fleet.set_cut(node, false);
         }
-        press(&mut fleet, 3_000_000.0, 9_200, 6_000, &nodes, 5);
+        apply_load(&mut fleet, 3_000_000.0, 9_200, 6_000, &nodes, 5);
         assert!(
             (fleet.worst_window as f64) < bound(&LARGE),
             "{}",
@@ -183,10 +183,10 @@
 }
 
 #[test]
-fn after_all_nodes_have_restarted_there_is_no_burst() {
+fn a_restart_of_all_nodes_causes_no_burst() {
     let mut fleet = Fleet::new(&[6, 6, 6], true, LARGE, 1);
     let nodes = all(&fleet);
-    press(&mut fleet, 3_000_000.0, 9_200, 6_000, &nodes, 3);
+    apply_load(&mut fleet, 3_000_000.0, 9_200, 6_000, &nodes, 3);
     for node in &nodes {
         fleet.set_down(*node, true);
     }
@@ -195,12 +195,12 @@
         fleet.set_down(*node, false);
     }
     let before = fleet.granted;
-    press(&mut fleet, 3_000_000.0, 9_200, 300, &nodes, 3);
+    apply_load(&mut fleet, 3_000_000.0, 9_200, 300, &nodes, 3);
     // With full buckets all of the 900,000 pass. What others are asked for is not known
     // in the first moment, so more than the 180,000 of the limit do.
     let at_first = fleet.granted - before;
     assert!(at_first < 650_000, "{at_first}");
-    press(&mut fleet, 3_000_000.0, 9_200, 6_000, &nodes, 3);
+    apply_load(&mut fleet, 3_000_000.0, 9_200, 6_000, &nodes, 3);
     assert!(
         (fleet.worst_window as f64) < bound(&LARGE),
         "{}",
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn relays_that_are_lost_together_take_no_use_with_them() {
+fn recorded_use_survives_the_loss_of_all_relays_of_a_zone() {
     let mut fleet = Fleet::new(&[8, 8, 8], true, LARGE, 1);
     let nodes = all(&fleet);
     let followers: Vec<usize> = nodes
@@ -217,15 +217,15 @@
         .copied()
         .filter(|node| !fleet.is_relay(*node))
         .collect();
-    press(&mut fleet, 3_000_000.0, 9_200, 6_000, &followers, 3);
+    apply_load(&mut fleet, 3_000_000.0, 9_200, 6_000, &followers, 3);
     for node in [0, 1] {
         fleet.set_down(node, true);
     }
-    press(&mut fleet, 3_000_000.0, 9_200, 2_000, &followers, 4);
+    apply_load(&mut fleet, 3_000_000.0, 9_200, 2_000, &followers, 4);
     for node in [0, 1] {
         fleet.set_down(node, false);
     }
-    press(&mut fleet, 3_000_000.0, 9_200, 8_000, &followers, 5);
+    apply_load(&mut fleet, 3_000_000.0, 9_200, 8_000, &followers, 5);
     assert!(
         (fleet.worst_window as f64) < bound(&LARGE),
         "{}",
@@ -234,13 +234,13 @@
 }
 
 #[test]
-fn a_relay_that_was_paused_does_not_refuse_for_what_was_refilled_meanwhile() {
+fn a_relay_that_resumes_after_a_pause_does_not_refuse_refilled_tokens() {
     let mut fleet = Fleet::new(&[8, 8, 8], true, LARGE, 1);
     let nodes = all(&fleet);
-    press(&mut fleet, 450_000.0, 9_200, 6_000, &nodes, 3);
+    apply_load(&mut fleet, 450_000.0, 9_200, 6_000, &nodes, 3);
     let before = fleet.refused;
     fleet.pause(0, 3_500);
-    press(&mut fleet, 450_000.0, 9_200, 10_000, &nodes, 4);
+    apply_load(&mut fleet, 450_000.0, 9_200, 10_000, &nodes, 4);
     let refused = fleet.refused - before;
     assert!(
         refused * 50 < fleet.granted,
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn what_did_not_run_is_given_back() {
+fn tokens_of_requests_that_did_not_run_are_refunded() {
     let limit = limit(100.0, 1_000.0);
     let mut limiter = ploverlift_ratelimit::limiter::RateLimiter::default();
     limiter.set_limits([(support::TENANT, limit)].into());
@@ -275,16 +275,16 @@
 }
 
 #[test]
-fn a_lower_limit_binds_within_its_window() {
+fn a_lowered_limit_is_enforced_within_one_window() {
     let mut fleet = Fleet::new(&[6, 6, 6], true, LARGE, 1);
     let nodes = all(&fleet);
-    press(&mut fleet, 900_000.0, 9_200, 10_000, &nodes, 3);
+    apply_load(&mut fleet, 900_000.0, 9_200, 10_000, &nodes, 3);
     let lower = limit(100_000.0, 100_000.0);
     fleet.set_limit(lower);
     // The window before it counts by the earlier limit.
     fleet.run_idle(WINDOW_MS);
     fleet.worst_window = 0;
-    press(&mut fleet, 900_000.0, 9_200, 16_000, &nodes, 4);
+    apply_load(&mut fleet, 900_000.0, 9_200, 16_000, &nodes, 4);
     assert!(
         (fleet.worst_window as f64) < bound(&lower),
         "{}",
@@ -294,38 +294,38 @@
 
 /// What befalls a fleet.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
+enum Fault {
     Cut(usize),
     Heal,
     Pause(usize, u64),
     Kill(usize),
     Restart,
     Loss(u8),
-    Pressure(f64),
+    Load(f64),
 }
 
-fn trouble() -> impl Strategy<Value = Trouble> {
+fn fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
-        (0_usize..18).prop_map(Trouble::Cut),
-        Just(Trouble::Heal),
-        (0_usize..18, 500_u64..4_000).prop_map(|(node, ms)| Trouble::Pause(node, ms)),
-        (0_usize..18).prop_map(Trouble::Kill),
-        Just(Trouble::Restart),
-        (0_u8..30).prop_map(Trouble::Loss),
-        (0.3_f64..4.5).prop_map(Trouble::Pressure),
+        (0_usize..18).prop_map(Fault::Cut),
+        Just(Fault::Heal),
+        (0_usize..18, 500_u64..4_000).prop_map(|(node, ms)| Fault::Pause(node, ms)),
+        (0_usize..18).prop_map(Fault::Kill),
+        Just(Fault::Restart),
+        (0_u8..30).prop_map(Fault::Loss),
+        (0.3_f64..4.5).prop_map(Fault::Load),
     ]
 }
 
-fn befall(fleet: &mut Fleet, trouble: Trouble) {
+fn inject(fleet: &mut Fleet, fault: Fault) {
     let count = fleet.len();
-    match trouble {
-        Trouble::Cut(node) => fleet.set_cut(node % count, true),
-        Trouble::Heal => (0..count).for_each(|node| fleet.set_cut(node, false)),
-        Trouble::Pause(node, ms) => fleet.pause(node % count, ms),
-        Trouble::Kill(node) => fleet.set_down(node % count, true),
-        Trouble::Restart => (0..count).for_each(|node| fleet.set_down(node, false)),
-        Trouble::Loss(percent) => fleet.set_loss(f64::from(percent) / 100.0),
-        Trouble::Pressure(_) => {}
+    match fault {
+        Fault::Cut(node) => fleet.set_cut(node % count, true),
+        Fault::Heal => (0..count).for_each(|node| fleet.set_cut(node, false)),
+        Fault::Pause(node, ms) => fleet.pause(node % count, ms),
+        Fault::Kill(node) => fleet.set_down(node % count, true),
+        Fault::Restart => (0..count).for_each(|node| fleet.set_down(node, false)),
+        Fault::Loss(percent) => fleet.set_loss(f64::from(percent) / 100.0),
+        Fault::Load(_) => {}
     }
 }
 
@@ -337,7 +337,7 @@
     /// little over half of the limit.
     #[test]
     fn no_interleaving_lets_a_window_exceed_the_bound(
-        troubles in prop::collection::vec((trouble(), 200_u64..1_500), 1..16),
+        faults in prop::collection::vec((fault(), 200_u64..1_500), 1..16),
         is_large in any::<bool>(),
         has_relays in any::<bool>(),
         seed in any::<u64>(),
@@ -345,16 +345,16 @@
         let limit = if is_large { LARGE } else { limit(29_000.0, 29_000.0) };
         let mut fleet = Fleet::new(&[6, 6, 6], has_relays, limit, seed);
         let nodes = all(&fleet);
-        let mut pressure = 0.55;
-        press(&mut fleet, limit.per_second * 0.55, 9_200, 3_000, &nodes, seed);
-        for (index, (trouble, ms)) in troubles.iter().enumerate() {
-            befall(&mut fleet, *trouble);
-            if let Trouble::Pressure(changed) = trouble {
-                pressure = *changed;
+        let mut load = 0.55;
+        apply_load(&mut fleet, limit.per_second * 0.55, 9_200, 3_000, &nodes, seed);
+        for (index, (fault, ms)) in faults.iter().enumerate() {
+            inject(&mut fleet, *fault);
+            if let Fault::Load(changed) = fault {
+                load = *changed;
             }
-            let per_second = limit.per_second * pressure;
+            let per_second = limit.per_second * load;
             let seed = seed.wrapping_add(index as u64);
-            press(&mut fleet, per_second, 9_200, *ms, &nodes, seed);
+            apply_load(&mut fleet, per_second, 9_200, *ms, &nodes, seed);
         }
         prop_assert!(
             (fleet.worst_window as f64) < bound(&limit),
--- a/crates/ratelimit/tests/support/mod.rs
+++ b/crates/ratelimit/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use ploverlift_policy::ids::Millis;
 use ploverlift_ratelimit::accounts::FleetSize;
 use ploverlift_ratelimit::limiter::{Membership, RateLimiter};
-use ploverlift_ratelimit::own_use::ToldUse;
+use ploverlift_ratelimit::own_use::ReportedUse;
 use ploverlift_ratelimit::reports::{LevelReport, PartId, UseReport};
 use ploverlift_ratelimit::standing::Standing;
 use ploverlift_routing::rate_limit::{LimitUnit, RateLimit, TenantTag};
@@ -48,8 +48,8 @@
     life: u64,
     sequence: u64,
     started_at: Millis,
-    uses: ToldUse,
-    zone_uses: ToldUse,
+    uses: ReportedUse,
+    zone_uses: ReportedUse,
     is_cut: bool,
     paused_until: Millis,
     is_down: bool,
@@ -62,7 +62,7 @@
     has_relays: bool,
     limit: RateLimit,
     pub now: Millis,
-    on_the_way: Vec<Envelope>,
+    in_flight: Vec<Envelope>,
     random: fastrand::Rng,
     loss: f64,
     admitted: VecDeque<(Millis, u64)>,
@@ -86,8 +86,8 @@
                     life: 1,
                     sequence: 0,
                     started_at: Millis(0),
-                    uses: ToldUse::default(),
-                    zone_uses: ToldUse::default(),
+                    uses: ReportedUse::default(),
+                    zone_uses: ReportedUse::default(),
                     is_cut: false,
                     paused_until: Millis(0),
                     is_down: false,
@@ -100,7 +100,7 @@
             has_relays,
             limit,
             now: Millis(0),
-            on_the_way: Vec::new(),
+            in_flight: Vec::new(),
             random: fastrand::Rng::with_seed(seed),
             loss: 0.0,
             admitted: VecDeque::new(),
@@ -141,8 +141,8 @@
             node.limiter = limiter(limit);
             node.life += 1_000_000;
             node.started_at = now;
-            node.uses = ToldUse::default();
-            node.zone_uses = ToldUse::default();
+            node.uses = ReportedUse::default();
+            node.zone_uses = ReportedUse::default();
             node.has_restarted = true;
         }
         node.is_down = is_down;
@@ -231,18 +231,18 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (due, later): (Vec<Envelope>, Vec<Envelope>) = std::mem::take(&mut self.on_the_way)
+        let (due, later): (Vec<Envelope>, Vec<Envelope>) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(|envelope| envelope.due <= now && self.is_running(envelope.to));
-        self.on_the_way = later;
+        self.in_flight = later;
         for envelope in due {
             if self.nodes[envelope.from].is_cut || self.nodes[envelope.to].is_cut {
                 continue;
             }
             let limiter = &mut self.nodes[envelope.to].limiter;
             match envelope.message {
-                Message::Use(part, report) => limiter.take_use(part, &report, now),
-                Message::Levels(report) => limiter.take_levels(&report, now),
+                Message::Use(part, report) => limiter.apply_use_report(part, &report, now),
+                Message::Levels(report) => limiter.apply_level_report(&report, now),
             }
         }
     }
@@ -252,7 +252,7 @@
             return;
         }
         let delay_ms = self.random.u64(1..20);
-        self.on_the_way.push(Envelope {
+        self.in_flight.push(Envelope {
             due: self.now.plus(delay_ms),
             from,
             to,
@@ -266,8 +266,8 @@
     }
 
     fn report(&mut self, node: usize) {
-        let listeners: Vec<usize> = (0..self.nodes.len())
-            .filter(|other| *other != node && self.listens_to(*other, node))
+        let receivers: Vec<usize> = (0..self.nodes.len())
+            .filter(|other| *other != node && self.receives_from(*other, node))
             .collect();
         let part = PartId::Node(PeerId(node as u64));
         if self.is_time(node, NODE_PERIOD_MS) {
@@ -275,7 +275,7 @@
             let now = self.now;
             if let Some(uses) = known.uses.next(known.limiter.own_uses(), now) {
                 let report = self.use_report(node, 1, uses);
-                for to in &listeners {
+                for to in &receivers {
                     self.send(node, *to, Message::Use(part, report.clone()));
                 }
             }
@@ -290,9 +290,9 @@
         }
     }
 
-    fn listens_to(&self, listener: usize, speaker: usize) -> bool {
-        let (listener, speaker) = (&self.nodes[listener], &self.nodes[speaker]);
-        !self.has_relays || (listener.is_relay && listener.zone == speaker.zone)
+    fn receives_from(&self, receiver: usize, reporter: usize) -> bool {
+        let (receiver, reporter) = (&self.nodes[receiver], &self.nodes[reporter]);
+        !self.has_relays || (receiver.is_relay && receiver.zone == reporter.zone)
     }
 
     fn use_report(
@@ -315,7 +315,7 @@
     fn relay(&mut self, node: usize) {
         let now = self.now;
         let zone = self.nodes[node].zone;
-        let levels = self.nodes[node].limiter.levels_to_tell(now);
+        let levels = self.nodes[node].limiter.next_levels(now);
         let accounts_age_ms = self.nodes[node].limiter.accounts_age_ms(now);
         self.nodes[node].sequence += 1;
         let followers: Vec<usize> = (0..self.nodes.len())
@@ -324,7 +324,7 @@
         for to in followers {
             let counted = self.nodes[node]
                 .limiter
-                .counted_of(PeerId(to as u64), &[TENANT]);
+                .counted_use(PeerId(to as u64), &[TENANT]);
             let mut levels = levels.clone();
             for level in &mut levels {
                 level.counted = counted[0];
