--- a/crates/ratelimit/src/accounts.rs
+++ b/crates/ratelimit/src/accounts.rs
@@ -1,10 +1,10 @@
-//! The buckets of all tenants, where all parts of the fleet are heard: on each node
-//! of a small fleet, and on relays.
+//! The token buckets of all tenants, on nodes that receive the reports of all parts of the
+//! fleet: each node of a small fleet, and relays.
 //!
 //! A part that falls silent (cut off, paused, dead) may still admit its share of each
-//! limit. That share is held, that is taken out of the bucket, for as long as the
-//! part may go on; once the part is heard again the hold is replaced by what it has
-//! truly admitted. After a pause of this process itself, the accounts begin anew.
+//! limit. That share is held, which means that it is charged to the bucket, for as long as
+//! the part may go on. Once the part reports again, the hold is replaced by what it has
+//! actually admitted. After a pause of this process itself, the accounts start over.
 
 use crate::bucket::{granted_in, Bucket};
 use crate::parts::{Part, SILENT_MS};
@@ -15,45 +15,45 @@
 use ploverlift_routing::rate_limit::{RateLimit, TenantTag};
 use std::collections::{BTreeMap, HashMap};
 
-/// Time for which a silent part may admit its share, in milliseconds: a node that
-/// hears nobody is in the same span refused its keys, or goes over to an even share.
+/// Time for which a silent part may admit its share, in milliseconds. Within the same time,
+/// a node that receives no reports either is denied its keys or falls back to an even
+/// share.
 pub const HOLD_MS: u64 = 6_000;
-/// Silence after which a part is forgotten, in milliseconds. What was held for it by
-/// then stays taken.
+/// Silence after which a part is removed, in milliseconds. What was held for it by then
+/// stays charged.
 const PART_RETENTION_MS: u64 = 60_000;
-/// Age from which accounts are not replaced by older ones, in milliseconds: buckets of
+/// Age from which accounts are not replaced by older ones, in milliseconds: buckets with
 /// the usual burst have refilled by then.
 pub const SETTLED_MS: u64 = 10_000;
-/// Difference in age from which accounts are better than others, in milliseconds.
+/// Smallest difference in age that makes accounts preferable to others, in milliseconds.
 pub const MIN_AGE_ADVANTAGE_MS: u64 = 1_000;
-/// Part of a limit that is divided evenly over the nodes where a fleet is divided; the
-/// rest goes by the last known use.
+/// Share of a limit that is divided evenly over the nodes of a partitioned fleet. The rest
+/// is divided by the last known use.
 const EVEN_SHARE: f64 = 0.1;
-/// Time without a look at the accounts after which this process was paused, in
-/// milliseconds: six of a relay's periods, twelve of a node's in a small fleet.
+/// Time without an update of the accounts after which this process counts as paused, in
+/// milliseconds: six periods of a relay, or twelve of a node in a small fleet.
 const PAUSE_THRESHOLD_MS: u64 = 600;
-/// Time after a pause within which the reports that came meanwhile have been read, in
-/// milliseconds.
+/// Time after a pause within which queued reports have been read, in milliseconds.
 const QUEUED_REPORTS_MS: u64 = 100;
-/// Time that a report travels and waits to be sent on, in milliseconds: half of a
-/// node's and of a relay's report period, twice between zones.
+/// Delay of a report in transit and in queues, in milliseconds: half of a node's and of a
+/// relay's report period, twice between zones.
 pub const UNREPORTED_MS: u64 = 150;
 
-/// A tenant's account.
+/// The state of a tenant's account.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AccountStanding {
-    /// Tokens in the bucket; negative ones are owed.
+    /// Tokens in the bucket. A negative level is a debt.
     pub level: f64,
     /// Tokens a second that other parts admit.
     pub others_per_second: f64,
-    /// Tokens a second that other parts are asked for.
+    /// Tokens a second that are requested from other parts, admitted or not.
     pub others_demand: f64,
 }
 
-/// How large the fleet is, and since when this node hears it.
+/// The size of the fleet, and the start time of this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
-    /// Nodes that are listed, this one included.
+    /// Number of listed nodes, including this one.
     pub nodes: u32,
     /// When this node started.
     pub started_at: Millis,
@@ -64,18 +64,18 @@
 pub struct Accounts {
     parts: BTreeMap<PartId, Part>,
     buckets: HashMap<TenantTag, Bucket>,
-    /// Since when they run; nothing where the fleet itself has just begun.
+    /// Start time of the accounts; `None` if the fleet itself has just started.
     since: Option<Millis>,
-    /// When this process began them, whoever kept them before.
+    /// When this process began to keep them, even if it continued from another node's
+    /// levels.
     begun_at: Millis,
     advanced_to: Millis,
-    /// Until when reports are left out, as they may have waited through a pause.
+    /// Reports are ignored until this time, as they may have been queued during a pause.
     ignores_reports_until: Millis,
 }
 
 impl Accounts {
-    /// Accounts that begin now with empty buckets: what was admitted before is not
-    /// known.
+    /// Creates accounts with empty buckets, because earlier admissions are unknown.
     pub fn beginning_at(now: Millis) -> Self {
         Self {
             since: Some(now),
@@ -90,19 +90,19 @@
         self.begun_at
     }
 
-    /// Time for which they have run, in milliseconds.
+    /// Age of the accounts, in milliseconds.
     pub fn age_ms(&self, now: Millis) -> u64 {
         self.since
             .map_or(u64::from(u32::MAX), |since| now.since(since))
     }
 
-    /// Whether accounts of an age know clearly more than these, which are new.
+    /// Whether accounts of the given age are preferable to these, which are new.
     pub fn is_younger_than(&self, age_ms: u64, now: Millis) -> bool {
         let own_ms = self.age_ms(now);
         own_ms < SETTLED_MS && age_ms > own_ms + MIN_AGE_ADVANTAGE_MS
     }
 
-    /// Goes on from levels that were told, by accounts of an age.
+    /// Continues from the levels of accounts of the given age.
     pub fn take_over(
         &mut self,
         levels: impl Iterator<Item = (TenantTag, f64)>,
@@ -115,8 +115,8 @@
         }
     }
 
-    /// A part was heard. What is held for it is settled tenant by tenant, as it tells
-    /// what it has truly admitted.
+    /// Records that a part reported. Its holds are settled tenant by tenant, as it reports
+    /// what it has actually admitted.
     fn note_heard(&mut self, part: PartId, now: Millis) {
         let part = self.part(part, now);
         part.heard_at = now;
@@ -129,7 +129,7 @@
             .or_insert_with(|| Part::first_heard(now))
     }
 
-    /// Takes in a report of a part's use; one that was overtaken is left out.
+    /// Applies a use report of a part. A report that arrives out of order is ignored.
     pub fn apply(
         &mut self,
         part_id: PartId,
@@ -147,8 +147,8 @@
         let Some(NewReport { position, life }) = follows else {
             return;
         };
-        // A lower life may be an earlier one after all, held up for long: what it had
-        // admitted before it is heard is not counted.
+        // A lower life may be a delayed report of an earlier life after all: what it had
+        // admitted before its first report is not counted.
         let is_later_life = life == LifeChange::Later;
         if life != LifeChange::Same {
             self.part(part_id, now).restart_reporter(report.sender);
@@ -167,13 +167,14 @@
         }
     }
 
-    /// What a reporter had admitted in the last report that is counted.
+    /// The admitted total of a tenant in the last counted report of a reporter.
     pub fn counted_use(&self, sender: PeerId, tenant: TenantTag) -> u64 {
         let part = self.parts.get(&PartId::Node(sender));
         part.map_or(0, |part| part.last_admitted(sender, tenant))
     }
 
-    /// Brings all accounts up to date: refills, and what is held for silent parts.
+    /// Brings all accounts up to date: refills the buckets and charges the holds of silent
+    /// parts.
     pub fn advance(
         &mut self,
         limits: &HashMap<TenantTag, RateLimit>,
@@ -202,17 +203,18 @@
         self.advanced_to = now;
     }
 
-    /// Whether this node hears less than half of the fleet. Then the others may be alive
-    /// and together, and what is held for them stays held however long it lasts.
+    /// Whether this node receives reports from less than half of the fleet. The others may
+    /// then be alive and connected to each other, so their holds continue without a time
+    /// limit.
     fn is_minority(&self, size: FleetSize, now: Millis) -> bool {
         let heard = self.parts.values().filter(|part| !part.is_silent(now));
         let heard: u32 = heard.map(|part| part.nodes).sum();
         (heard + 1) * 2 < size.nodes
     }
 
-    /// After a pause of this process the accounts begin anew: what the others admitted
-    /// meanwhile is told in one sum, and how much was refilled at which time is lost.
-    /// A node that hears no other one misses nothing by a pause.
+    /// Starts the accounts over after a pause of this process: the others report what they
+    /// admitted meanwhile in one sum, and the times of the refills are lost. A node that
+    /// receives no reports misses nothing during a pause.
     pub fn resume_after_pause(&mut self, now: Millis) {
         let was_paused = now.since(self.advanced_to) >= PAUSE_THRESHOLD_MS;
         if was_paused && self.advanced_to > Millis(0) && !self.parts.is_empty() {
@@ -221,12 +223,12 @@
         }
     }
 
-    /// Whether reports may have waited through a pause of this process.
+    /// Whether reports may have been queued during a pause of this process.
     pub fn ignores_reports(&self, now: Millis) -> bool {
         now < self.ignores_reports_until
     }
 
-    /// Tenants that any part has used and that have a limit.
+    /// Tenants that have a limit and any recorded use.
     fn limited_tenants(&self, limits: &HashMap<TenantTag, RateLimit>) -> Vec<TenantTag> {
         let used = self.parts.values().flat_map(|part| part.uses.keys());
         let mut tenants: Vec<TenantTag> = used.chain(self.buckets.keys()).copied().collect();
@@ -262,7 +264,7 @@
             let mut held = granted_in(limit, elapsed_ms) * share;
             if let Some(bucket) = self.buckets.get_mut(&tenant) {
                 if is_newly_silent {
-                    // Of what was left when it was last heard, it may use its share.
+                    // The part may also use its share of the level at its last report.
                     held += bucket.level().max(0.0) * share;
                 }
                 bucket.take(held);
@@ -275,7 +277,7 @@
         }
     }
 
-    /// The part of a limit that a silent part may use.
+    /// The share of a limit that a silent part may use.
     fn share(
         &self,
         id: PartId,
@@ -294,8 +296,8 @@
         share_of(limit, part.rate(tenant, now), nodes, fleet_rate, size.nodes)
     }
 
-    /// Nodes that were not heard since the accounts began may be alive behind a cut: an
-    /// even share is held for each.
+    /// Holds an even share for each node that has not reported since the accounts began, as
+    /// it may be alive behind a network partition.
     fn hold_for_unheard_nodes(
         &mut self,
         limits: &HashMap<TenantTag, RateLimit>,
@@ -317,8 +319,8 @@
         }
     }
 
-    /// The bucket of a tenant. One that was not used before has refilled for as long
-    /// as the accounts run.
+    /// The bucket of a tenant. A new bucket starts with the refill since the accounts
+    /// began.
     fn open_bucket(&mut self, tenant: TenantTag, limit: &RateLimit, now: Millis) -> &mut Bucket {
         let refilled = match self.since {
             None => limit.burst,
@@ -328,14 +330,14 @@
         bucket.or_insert_with(|| Bucket::with_level(refilled, now))
     }
 
-    /// Takes admitted tokens out of a tenant's bucket; negative ones are given back.
+    /// Charges admitted tokens to a tenant's bucket; a negative number is a refund.
     pub fn charge(&mut self, tenant: TenantTag, limit: &RateLimit, tokens: f64, now: Millis) {
         let bucket = self.open_bucket(tenant, limit, now);
         bucket.refill(limit, now);
         bucket.take(tokens);
     }
 
-    /// The bucket's level, and what the parts that are heard use and ask for.
+    /// The level of a tenant's bucket, and the use and demand of the parts that report.
     pub fn standing(
         &mut self,
         tenant: TenantTag,
@@ -359,18 +361,18 @@
         standing
     }
 
-    /// Age of the oldest report among the parts that are heard, in milliseconds.
+    /// Age of the oldest last report among the parts that are not silent, in milliseconds.
     pub fn reports_age_ms(&self, now: Millis) -> Option<u64> {
         let ages = self.parts.values().map(|part| now.since(part.heard_at));
         ages.filter(|age_ms| *age_ms < SILENT_MS).max()
     }
 
-    /// Tenants whose accounts are open.
+    /// Tenants that have a bucket.
     pub fn tenants(&self) -> impl Iterator<Item = TenantTag> + '_ {
         self.buckets.keys().copied()
     }
 
-    /// What the nodes of this node's zone have admitted, silent ones by their holds.
+    /// The use of this node's zone. Holds of silent nodes count as use.
     pub fn zone_uses(&self, own: impl Iterator<Item = TenantUse>) -> Vec<TenantUse> {
         let mut sums: BTreeMap<TenantTag, (i64, u64)> = BTreeMap::new();
         for used in own {
@@ -396,7 +398,7 @@
         .collect()
     }
 
-    /// Nodes of this node's zone that are known, itself included.
+    /// Number of known nodes in this node's zone, including itself.
     pub fn zone_nodes(&self) -> u32 {
         let nodes = self.parts.keys();
         let nodes = nodes.filter(|id| matches!(id, PartId::Node(_)));
@@ -404,8 +406,8 @@
     }
 }
 
-/// The part of a limit that a part of a divided fleet may use: mostly by its last
-/// known use, and a little evenly, so that no part is left without.
+/// The share of a limit that one part of a partitioned fleet may use: mostly by its last
+/// known use and a little evenly, so that every part gets some.
 pub fn share_of(
     limit: &RateLimit,
     part_rate: f64,
--- a/crates/ratelimit/src/bucket.rs
+++ b/crates/ratelimit/src/bucket.rs
@@ -1,13 +1,13 @@
-//! One token bucket. Its level may fall below zero: what was admitted before it was
-//! known is owed, and is paid by later refills.
+//! A token bucket. Its level may fall below zero: tokens that were admitted before this was
+//! known are a debt that later refills pay off.
 
 use ploverlift_policy::ids::Millis;
 use ploverlift_routing::rate_limit::RateLimit;
 
-/// Milliseconds in a second, as a factor of rates.
+/// Milliseconds in a second.
 const MS_PER_SECOND: f64 = 1_000.0;
 
-/// Tokens that a limit grants in a time, in milliseconds.
+/// Tokens that a limit grants in `ms` milliseconds.
 pub fn granted_in(limit: &RateLimit, ms: u64) -> f64 {
     limit.per_second * ms as f64 / MS_PER_SECOND
 }
@@ -20,7 +20,7 @@
 }
 
 impl Bucket {
-    /// A bucket with this level.
+    /// Creates a bucket with this level.
     pub fn with_level(level: f64, now: Millis) -> Self {
         Self {
             level,
@@ -35,12 +35,12 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Takes tokens out; negative ones are given back.
+    /// Removes tokens; a negative number returns them.
     pub fn take(&mut self, tokens: f64) {
         self.level -= tokens;
     }
 
-    /// Tokens that are left; negative ones are owed.
+    /// The remaining tokens. A negative level is a debt.
     pub fn level(&self) -> f64 {
         self.level
     }
--- a/crates/ratelimit/src/lib.rs
+++ b/crates/ratelimit/src/lib.rs
@@ -1,31 +1,32 @@
-//! Rate limits of tenants that hold over the whole fleet, in requests or in tokens.
+//! Rate limits of tenants, in requests or in tokens, enforced across the whole fleet.
 //!
 //! Pure: no I/O, no clock, no randomness. Each tenant has one token bucket for the
-//! fleet. Nodes count what they admit and report it; whoever hears all parts of the
-//! fleet ([`accounts`]: a node of a small fleet, or a relay) keeps the buckets, and
-//! relays tell the others their levels ([`tenant_levels`]). Every node admits by itself:
+//! fleet. Nodes count what they admit and report it. Nodes that receive the reports of
+//! all parts of the fleet keep the buckets ([`accounts`]: every node of a small fleet,
+//! or the relays of a large one), and relays report the levels to the other nodes
+//! ([`tenant_levels`]). Every node decides on its own:
 //!
 //! ```text
-//! admitted here ──▶ UseReport ──▶ accounts of relays ──▶ LevelReport ──▶ told levels
-//!       ▲                                                                    │
-//!       └──────────── limiter: level − what others admit unreported ◀───────────┘
+//! admitted here ──▶ UseReport ──▶ accounts of relays ──▶ LevelReport ──▶ relay levels
+//!       ▲                                                                     │
+//!       └─────── limiter: level − unreported admissions of other nodes ◀──────┘
 //! ```
 //!
-//! A part of the fleet that is not heard may go on admitting its share of the limit,
-//! by its last known use; the others count that share as used until they hear of it
-//! again. So a fleet that is divided divides the limit, and does not multiply it.
+//! A part of the fleet from which no reports arrive may go on admitting its share of the
+//! limit, by its last known use. The others count that share as used until they receive
+//! its reports again. A partitioned fleet thus divides the limit and does not multiply it.
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | [`bucket`] | one token bucket |
-//! | [`recent_rate`] | use a second, over the last second or so |
+//! | [`recent_rate`] | use a second, over about the last second |
 //! | [`own_use`] | what this node has admitted |
-//! | [`parts`] | parts of the fleet, and one count of what they report |
-//! | [`accounts`] | the buckets, where all parts are heard |
-//! | [`tenant_levels`] | levels that relays tell |
+//! | [`parts`] | parts of the fleet, and merging their reports into one count |
+//! | [`accounts`] | the buckets, where the reports of all parts arrive |
+//! | [`tenant_levels`] | levels reported by relays |
 //! | [`limiter`] | the decision |
-//! | [`standing`] | what it was made by, and when to come back |
-//! | [`reports`] | what nodes tell each other |
+//! | [`standing`] | the state behind a decision, and when to retry |
+//! | [`reports`] | reports that nodes exchange |
 
 pub mod accounts;
 pub mod bucket;
--- a/crates/ratelimit/src/limiter.rs
+++ b/crates/ratelimit/src/limiter.rs
@@ -1,4 +1,4 @@
-//! Whether a request of a tenant may be sent.
+//! Admission of a tenant's requests at one node.
 
 use crate::accounts::{Accounts, FleetSize, UNREPORTED_MS};
 use crate::own_use::OwnUse;
@@ -10,11 +10,11 @@
 use ploverlift_routing::rate_limit::{RateLimit, TenantTag};
 use std::collections::HashMap;
 
-/// Part of a burst under which a relay tells a tenant's level in each report; others
-/// are told in turn.
+/// Share of the burst below which a relay includes a tenant's level in each report; the
+/// levels of other tenants are included in rotation.
 const NEAR_LIMIT_SHARE: f64 = 0.75;
 
-/// Requests whose costs differ by less than a factor of four.
+/// A class of requests whose costs differ by less than a factor of four.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct SizeClass(u32);
 
@@ -32,35 +32,36 @@
     accounts: Option<Accounts>,
     reported: RelayLevels,
     level_reports: u64,
-    /// What the share of admitted requests of each tenant and size has left over, in
-    /// tokens.
+    /// Unused admission credit of each tenant and size class, in tokens.
     share_credits: HashMap<(TenantTag, SizeClass), f64>,
 }
 
-/// What a zone has admitted, as its relay counts it.
+/// The use of a zone, as summed up by one of its relays.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneSum {
-    /// By tenant.
+    /// Use by tenant.
     pub uses: Vec<TenantUse>,
-    /// Nodes that are summed up.
+    /// Number of nodes in the sum.
     pub nodes: u32,
-    /// When this process began to count. Sums of different beginnings do not compare.
+    /// When this process began to count. Sums with different start times are not
+    /// comparable.
     pub begun_at: Millis,
 }
 
-/// How a node takes part in its fleet.
+/// The role of a node in its fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Membership {
-    /// Whether it hears all parts of the fleet itself.
+    /// Whether the node receives the reports of all parts of the fleet and keeps accounts
+    /// itself.
     pub keeps_accounts: bool,
-    /// Whether the fleet itself has just begun, so that nothing ran before.
+    /// Whether the fleet itself has just started, so that nothing ran before.
     pub is_first_start: bool,
-    /// The fleet.
+    /// The size of the fleet.
     pub size: FleetSize,
 }
 
 impl RateLimiter {
-    /// Puts other limits in force.
+    /// Replaces the limits of all tenants.
     pub fn set_limits(&mut self, limits: HashMap<TenantTag, RateLimit>) {
         self.limits = limits;
     }
@@ -75,11 +76,11 @@
         self.limits.get(&tenant).copied()
     }
 
-    /// Decides on a request of a tenant with this limit that counts `cost`.
+    /// Decides on a request of a tenant with this limit that costs `cost`.
     ///
-    /// While a fleet is whole, a request may run into debt, or large ones would never
-    /// get their turn beside small ones; a node that is on its own must have the whole
-    /// of it.
+    /// While a fleet is whole, a request may overdraw the bucket; otherwise large requests
+    /// would never be admitted beside small ones. A node that is isolated from its fleet
+    /// needs the full cost in its bucket.
     pub fn decide(
         &mut self,
         tenant: TenantTag,
@@ -99,7 +100,7 @@
         standing
     }
 
-    /// What is known of a tenant before a request that counts `cost`.
+    /// The state of a tenant before a request that costs `cost`. Nothing is charged.
     pub fn standing(
         &mut self,
         tenant: TenantTag,
@@ -128,10 +129,10 @@
         }
     }
 
-    /// Whether a request is among the share of its tenant's that are admitted: each
-    /// adds its share to what was left over, and an admitted one takes its cost.
-    /// Requests take turns with those of their size: otherwise a large one would leave
-    /// a debt that many small ones had to wait for.
+    /// Whether a request is in the admitted share of its tenant's requests. Each request
+    /// adds its share of its cost to a credit, and an admitted one deducts its cost. Each
+    /// size class has its own credit: otherwise a large request would leave a debt that
+    /// many small ones had to wait for.
     fn is_admitted_by_share(&mut self, tenant: TenantTag, cost: u64, share: f64) -> bool {
         let key = (tenant, SizeClass::of(cost));
         if share >= 1.0 {
@@ -179,7 +180,7 @@
         (Basis::OwnShare, allowance)
     }
 
-    /// Keeps accounts from now on, or no longer.
+    /// Starts or stops keeping accounts according to the role of this node.
     fn update_accounts(&mut self, membership: &Membership, now: Millis) {
         match (membership.keeps_accounts, &self.accounts) {
             (true, None) => self.accounts = Some(self.new_accounts(membership, now)),
@@ -200,13 +201,13 @@
         }
     }
 
-    /// Counts tokens as admitted.
+    /// Counts tokens as admitted by this node.
     pub fn charge(&mut self, tenant: TenantTag, tokens: u64, now: Millis) {
         self.own.charge(tenant, tokens, now);
         self.charge_bucket(tenant, tokens as f64, now);
     }
 
-    /// Tokens that were counted did not run.
+    /// Returns tokens of a request that was admitted but did not run.
     pub fn refund(&mut self, tenant: TenantTag, tokens: u64, now: Millis) {
         self.own.refund(tenant, tokens, now);
         self.charge_bucket(tenant, -(tokens as f64), now);
@@ -222,15 +223,16 @@
         }
     }
 
-    /// Takes in what a part of the fleet has admitted.
+    /// Applies a report of the use of a part of the fleet. A node without accounts ignores
+    /// it.
     pub fn apply_use_report(&mut self, part: PartId, report: &UseReport, now: Millis) {
         if let Some(accounts) = &mut self.accounts {
             accounts.apply(part, report, &self.limits, now);
         }
     }
 
-    /// Takes in levels that a relay tells. A node that keeps accounts itself, and for
-    /// a shorter time, goes on from them.
+    /// Applies the levels that a relay reports. A node that has kept accounts itself for a
+    /// shorter time than the relay continues from these levels.
     pub fn apply_level_report(&mut self, report: &LevelReport, now: Millis) {
         self.reported.apply(report, &self.own, now);
         let Some(accounts) = &mut self.accounts else {
@@ -244,12 +246,12 @@
         }
     }
 
-    /// What this node has admitted.
+    /// The use that this node has admitted, by tenant.
     pub fn own_uses(&self) -> impl Iterator<Item = TenantUse> + '_ {
         self.own.iter()
     }
 
-    /// What this node's zone has admitted; nothing where it keeps no accounts.
+    /// The use of this node's zone; `None` if this node keeps no accounts.
     pub fn zone_sum(&self) -> Option<ZoneSum> {
         let accounts = self.accounts.as_ref()?;
         Some(ZoneSum {
@@ -259,7 +261,7 @@
         })
     }
 
-    /// Brings the accounts up to date; each period of a node that keeps some.
+    /// Brings the accounts up to date. A node that keeps accounts calls it in each period.
     pub fn advance(&mut self, membership: &Membership, now: Millis) {
         self.update_accounts(membership, now);
         let own = &self.own;
@@ -269,7 +271,8 @@
         }
     }
 
-    /// The levels that a relay tells next, with 0 as what each receiver has reported.
+    /// The levels for a relay's next report. `counted` is 0; the caller sets it for each
+    /// receiver.
     pub fn next_levels(&mut self, now: Millis) -> Vec<TenantLevel> {
         self.level_reports += 1;
         let Some(accounts) = &mut self.accounts else {
@@ -298,7 +301,7 @@
         levels
     }
 
-    /// What a reporter had admitted of each tenant in the last report that is counted.
+    /// The admitted total of each tenant in the last counted report of a reporter.
     pub fn counted_use(&self, sender: PeerId, tenants: &[TenantTag]) -> Vec<u64> {
         let accounts = self.accounts.as_ref();
         let counted = |tenant: &TenantTag| {
@@ -307,7 +310,7 @@
         tenants.iter().map(counted).collect()
     }
 
-    /// Time for which this node's accounts have run, in milliseconds.
+    /// Age of this node's accounts, in milliseconds; 0 if it keeps none.
     pub fn accounts_age_ms(&self, now: Millis) -> u64 {
         let accounts = self.accounts.as_ref();
         accounts.map_or(0, |accounts| accounts.age_ms(now))
--- a/crates/ratelimit/src/own_use.rs
+++ b/crates/ratelimit/src/own_use.rs
@@ -1,4 +1,4 @@
-//! What this node has admitted.
+//! The use that this node has admitted.
 
 use crate::parts::HEARTBEAT_MS;
 use crate::recent_rate::RecentRate;
@@ -15,28 +15,28 @@
     demand: RecentRate,
 }
 
-/// Tokens admitted by this node in this life.
+/// The tokens requested from and admitted by this node since its start.
 #[derive(Clone, Debug, Default)]
 pub struct OwnUse {
     tenants: HashMap<TenantTag, TenantTotals>,
 }
 
 impl OwnUse {
-    /// Tokens were asked for.
+    /// Records requested tokens.
     pub fn record_demand(&mut self, tenant: TenantTag, tokens: u64, now: Millis) {
         let totals = self.tenants.entry(tenant).or_default();
         totals.asked += tokens;
         totals.demand.note(tokens as f64, now);
     }
 
-    /// Tokens were admitted.
+    /// Records admitted tokens.
     pub fn charge(&mut self, tenant: TenantTag, tokens: u64, now: Millis) {
         let totals = self.tenants.entry(tenant).or_default();
         totals.admitted += tokens;
         totals.rate.note(tokens as f64, now);
     }
 
-    /// Tokens that were admitted did not run.
+    /// Returns admitted tokens of a request that did not run.
     pub fn refund(&mut self, tenant: TenantTag, tokens: u64, now: Millis) {
         if let Some(totals) = self.tenants.get_mut(&tenant) {
             totals.admitted = totals.admitted.saturating_sub(tokens);
@@ -44,25 +44,25 @@
         }
     }
 
-    /// Tokens that a tenant was admitted.
+    /// The admitted tokens of a tenant.
     pub fn admitted(&self, tenant: TenantTag) -> u64 {
         let totals = self.tenants.get(&tenant);
         totals.map_or(0, |totals| totals.admitted)
     }
 
-    /// What a tenant uses here.
+    /// The recent use of a tenant at this node.
     pub fn rate(&self, tenant: TenantTag) -> RecentRate {
         let totals = self.tenants.get(&tenant);
         totals.map_or_else(RecentRate::default, |totals| totals.rate)
     }
 
-    /// What a tenant asks for here.
+    /// The recent demand of a tenant at this node.
     pub fn demand(&self, tenant: TenantTag) -> RecentRate {
         let totals = self.tenants.get(&tenant);
         totals.map_or_else(RecentRate::default, |totals| totals.demand)
     }
 
-    /// All that was admitted.
+    /// The totals of all tenants.
     pub fn iter(&self) -> impl Iterator<Item = TenantUse> + '_ {
         let tenants = self.tenants.iter();
         tenants.map(|(tenant, totals)| TenantUse {
@@ -73,7 +73,7 @@
     }
 }
 
-/// What a stream of reports has told already.
+/// The use that was already sent in a stream of reports.
 #[derive(Clone, Debug, Default)]
 pub struct ReportedUse {
     reported: HashMap<TenantTag, (u64, u64)>,
@@ -82,8 +82,8 @@
 }
 
 impl ReportedUse {
-    /// The uses to tell next: those that changed, and some others in turn. Nothing
-    /// where nothing changed and the last report is recent.
+    /// The uses for the next report: those that changed, and some others in rotation.
+    /// `None` if nothing changed and the last report is recent.
     pub fn next(
         &mut self,
         uses: impl Iterator<Item = TenantUse>,
--- a/crates/ratelimit/src/parts.rs
+++ b/crates/ratelimit/src/parts.rs
@@ -1,5 +1,5 @@
-//! Parts of the fleet as they report their use: how what several reporters tell is made
-//! one count, and when a part counts as silent.
+//! Use reported by the parts of the fleet: merging the reports of several reporters into
+//! one count, and detecting silent parts.
 
 use crate::recent_rate::RecentRate;
 use crate::reports::{TenantUse, UseReport};
@@ -9,30 +9,31 @@
 use ploverlift_routing::rate_limit::TenantTag;
 use std::collections::{BTreeMap, HashMap};
 
-/// Longest time between two reports of use, in milliseconds: five a second cost a node
+/// Longest time between two use reports, in milliseconds: five reports a second cost a node
 /// about 300 bytes a second.
 pub const HEARTBEAT_MS: u64 = 200;
-/// Silence after which a part counts as cut off, in milliseconds: three reports.
+/// Time without a report after which a part counts as cut off, in milliseconds: three
+/// reports.
 pub const SILENT_MS: u64 = 3 * HEARTBEAT_MS;
-/// Silence after which a relay's sum of its zone gives way to another relay's, in
-/// milliseconds: four of its report periods.
+/// Time without a report after which a relay's sum of its zone is superseded by another
+/// relay's, in milliseconds: four report periods.
 const SUM_SILENT_MS: u64 = 400;
-/// Time within which a reporter names each tenant at least once, in milliseconds. What
-/// it had admitted before it was first heard is not known to be recent; what it names
-/// first after this time is.
+/// Time within which a reporter includes each tenant at least once, in milliseconds. A
+/// total that is first reported within this time may contain old use; a tenant that is
+/// first reported later has only recent use.
 const BASELINE_MS: u64 = 1_500;
 
-/// One reporter of a part.
+/// The reports of one reporter of a part.
 #[derive(Clone, Debug)]
 struct Stream {
     position: ReportPosition,
     joined_at: Millis,
-    /// Whether all that it admitted was admitted since its part was known.
+    /// Whether its whole total was admitted after the part became known.
     is_known_from_start: bool,
     counters: HashMap<TenantTag, Counter>,
 }
 
-/// What a reporter told last of a tenant, and what to add for the part's own count.
+/// The last reported total of a tenant, and its offset to the count of the part.
 #[derive(Clone, Copy, Debug)]
 struct Counter {
     admitted: i64,
@@ -47,8 +48,8 @@
     pub(crate) rate: RecentRate,
     pub(crate) demand: RecentRate,
     pub(crate) held: f64,
-    /// The part of the limit that it may use since it fell silent, by what all parts
-    /// used then.
+    /// The share of the limit that the part may use while it is silent, by the use of all
+    /// parts when it fell silent.
     pub(crate) share: Option<f64>,
 }
 
@@ -56,14 +57,14 @@
 pub(crate) struct Part {
     pub(crate) nodes: u32,
     pub(crate) heard_at: Millis,
-    /// Up to when its share is held; it begins where the part was last heard.
+    /// Time up to which its share is held. It starts at `heard_at`.
     pub(crate) held_until: Millis,
     streams: BTreeMap<PeerId, Stream>,
     pub(crate) uses: HashMap<TenantTag, PartUse>,
 }
 
 impl Part {
-    /// A part that is heard for the first time.
+    /// Creates a part at its first report.
     pub(crate) fn first_heard(now: Millis) -> Self {
         Self {
             nodes: 1,
@@ -74,14 +75,14 @@
         }
     }
 
-    /// The last report of a reporter.
+    /// The position of the last report of a reporter.
     pub(crate) fn last_position(&self, sender: PeerId) -> Option<ReportPosition> {
         let stream = self.streams.get(&sender);
         stream.map(|stream| stream.position)
     }
 
-    /// A reporter runs in another life: it does not tell what the one before admitted
-    /// unheard, so what is held for that stays taken.
+    /// Records that a reporter has restarted. It does not report what its previous run
+    /// admitted without reporting it, so the tokens held for that stay charged.
     pub(crate) fn restart_reporter(&mut self, sender: PeerId) {
         self.streams.remove(&sender);
         for used in self.uses.values_mut() {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// A report came that is newer than the last one.
+    /// Records a report that is newer than the last one.
     pub(crate) fn note_report(
         &mut self,
         report: &UseReport,
@@ -107,19 +108,19 @@
         stream.position = position;
     }
 
-    /// Whether it was not heard for so long that it counts as cut off.
+    /// Whether the part has been silent for so long that it counts as cut off.
     pub(crate) fn is_silent(&self, now: Millis) -> bool {
         now.since(self.heard_at) >= SILENT_MS
     }
 
-    /// What a reporter told last of a tenant.
+    /// The total of a tenant in the last report of a reporter.
     pub(crate) fn last_admitted(&self, sender: PeerId, tenant: TenantTag) -> u64 {
         let stream = self.streams.get(&sender);
         let counter = stream.and_then(|stream| stream.counters.get(&tenant));
         counter.map_or(0, |counter| counter.admitted.max(0) as u64)
     }
 
-    /// Counts what a reporter tells of a tenant from a higher total.
+    /// Raises the offset of a reporter's total of a tenant.
     fn realign(&mut self, sender: PeerId, tenant: TenantTag, by: i64) {
         let stream = self.streams.get_mut(&sender);
         let counter = stream.and_then(|stream| stream.counters.get_mut(&tenant));
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Takes in what a reporter told of a tenant; tells how much more the part has
-    /// admitted than was taken out of the bucket, or less where that is negative.
+    /// Applies the reported use of a tenant. Returns how many more tokens the part has
+    /// admitted than were charged to the bucket; negative if fewer.
     pub(crate) fn count(&mut self, sender: PeerId, reported: TenantUse, now: Millis) -> f64 {
         let streams = self.streams.values();
         let mut others = streams.filter(|stream| stream.counters.contains_key(&reported.tenant));
@@ -153,7 +154,7 @@
         counter.admitted = admitted;
         let demand_increase = reported.asked.saturating_sub(counter.asked);
         counter.asked = reported.asked;
-        // Several relays sum up the same zone: the one that is ahead counts.
+        // Several relays sum up the same zone: the highest count applies.
         let fresh = self.streams.values();
         let fresh = fresh.filter(|stream| now.since(stream.position.heard_at()) < SUM_SILENT_MS);
         let leader = fresh.clone().map(|stream| stream.joined_at).min();
@@ -162,7 +163,7 @@
         let counted = counters.map(|counter| counter.admitted + counter.offset);
         let counted = counted.max().unwrap_or(used.counted);
         if counted < used.counted && !is_refund {
-            // The relay that was ahead is silent: this one goes on from there.
+            // The relay with the higher count is silent: continue from its count.
             let behind = used.counted - counted;
             self.realign(sender, reported.tenant, behind);
             return 0.0;
@@ -175,11 +176,11 @@
             used.asked += demand_increase;
             used.demand.note(demand_increase as f64, now);
         }
-        // What was held since it fell silent is taken out already.
+        // The tokens held while the part was silent are already charged.
         increase - std::mem::take(&mut used.held)
     }
 
-    /// What the part uses, or used when it fell silent.
+    /// Use a second of the part; for a silent part, its use when it fell silent.
     pub(crate) fn rate(&self, tenant: TenantTag, now: Millis) -> f64 {
         let known_at = match self.is_silent(now) {
             true => self.heard_at,
--- a/crates/ratelimit/src/recent_rate.rs
+++ b/crates/ratelimit/src/recent_rate.rs
@@ -1,10 +1,10 @@
-//! Use of a tenant over the last second or so.
+//! Recent use of a tenant.
 
 use ploverlift_policy::decaying_sum::DecayingSum;
 
-/// Time in which past use loses weight by a factor of e, in milliseconds: a tenant of
-/// a few requests a second has some in it, and a sudden rise shows in half of it.
+/// Time constant by which past use decays, in milliseconds. The sum of a tenant with a few
+/// requests a second stays above zero, and a sudden rise shows within half of this time.
 const DECAY_MS: u64 = 1_000;
 
-/// Units that were used lately, the older the less.
+/// Exponentially decaying sum of the used units.
 pub type RecentRate = DecayingSum<DECAY_MS>;
--- a/crates/ratelimit/src/reports.rs
+++ b/crates/ratelimit/src/reports.rs
@@ -1,83 +1,84 @@
-//! What nodes tell each other of tenants' use.
+//! Reports that nodes exchange about the use of tenants.
 
 use ploverlift_balancing::peer_loads::{PeerId, ZoneTag};
 use ploverlift_routing::rate_limit::TenantTag;
 
-/// A part of the fleet whose use is reported as one.
+/// A part of the fleet whose use is reported as one total.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PartId {
     /// One node.
     Node(PeerId),
-    /// All nodes of a zone, summed up by its relays.
+    /// All nodes of a zone, as summed up by its relays.
     Zone(ZoneTag),
 }
 
-/// Reports in which each tenant is named at least once: that repairs what was lost.
+/// Number of reports in which each tenant is included at least once, to repair lost
+/// reports.
 const REPORTS_PER_REFRESH: u64 = 8;
 
-/// Whether a tenant is named in the report with this number though nothing changed.
+/// Whether the report with this number includes a tenant even if its use did not change.
 pub(crate) fn is_refresh_due(tenant: TenantTag, report: u64) -> bool {
     tenant.0 % REPORTS_PER_REFRESH == report % REPORTS_PER_REFRESH
 }
 
-/// What a tenant asked for and was admitted since the reporter's life began.
+/// The requested and the admitted use of a tenant since the start of the reporter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantUse {
     /// The tenant.
     pub tenant: TenantTag,
-    /// In the unit of its limit.
+    /// Admitted use, in the unit of the limit.
     pub admitted: u64,
-    /// The same with what was refused.
+    /// Requested use: admitted and refused.
     pub asked: u64,
 }
 
-/// A node's own use, or a relay's sum of its zone.
+/// The use of a node, or a relay's sum of the use of its zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UseReport {
-    /// Who reports.
+    /// The reporting node.
     pub sender: PeerId,
-    /// Its life, by the time of day at its start: see
+    /// The start of the sender, by its wall clock: see
     /// [`ploverlift_balancing::report_position::ReportPosition`].
     pub life: u64,
-    /// Rises with each report of a life.
+    /// Increases with each report since that start.
     pub sequence: u64,
-    /// Nodes whose use is in the report.
+    /// Number of nodes whose use is in the report.
     pub nodes: u32,
-    /// Some tenants; absolute values, so that the next report repairs a lost one.
+    /// Some of the tenants. Values are totals, so that the next report makes up for a lost
+    /// one.
     pub uses: Vec<TenantUse>,
 }
 
-/// The bucket of a tenant as a relay keeps it.
+/// The bucket of a tenant, as kept by a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantLevel {
     /// The tenant.
     pub tenant: TenantTag,
-    /// Tokens that are left; negative ones are owed.
+    /// The remaining tokens. A negative level is a debt.
     pub level: i64,
     /// Tokens a second that the whole fleet admits.
     pub fleet_rate: u64,
-    /// Tokens a second that it is asked for, admitted or not.
+    /// Tokens a second that are requested from the whole fleet, admitted or not.
     pub fleet_demand: u64,
-    /// What the receiver of the report had admitted in the last of its reports that
-    /// the level contains.
+    /// The receiver's admitted total in its last report that is included in the level.
     pub counted: u64,
 }
 
-/// What a relay tells a node of its zone.
+/// A report of a relay to a node of its zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LevelReport {
     /// The relay.
     pub sender: PeerId,
-    /// Its life, by the time of day at its start: see
+    /// The start of the sender, by its wall clock: see
     /// [`ploverlift_balancing::report_position::ReportPosition`].
     pub life: u64,
-    /// Rises with each report of a life.
+    /// Increases with each report since that start.
     pub sequence: u64,
-    /// Nodes of the fleet that the relay knows of.
+    /// Number of nodes of the fleet that the relay knows.
     pub nodes: u32,
-    /// Time for which the relay's accounts have run, in milliseconds. Tenants that it
-    /// does not name have used nothing in that time, or little.
+    /// Age of the relay's accounts, in milliseconds. Tenants that are not included have
+    /// used little or nothing in that time.
     pub accounts_age_ms: u64,
-    /// Some tenants.
+    /// Levels of some of the tenants.
     pub levels: Vec<TenantLevel>,
 }
--- a/crates/ratelimit/src/standing.rs
+++ b/crates/ratelimit/src/standing.rs
@@ -1,36 +1,36 @@
-//! What was known of a tenant when a request was decided on, and when its caller may
-//! come back.
+//! The state of a tenant on which the decision about a request is based, and the time after
+//! which its caller may retry.
 
 use crate::tenant_levels::Allowance;
 use ploverlift_routing::rate_limit::RateLimit;
 
-/// Time within which levels show what all nodes admit, in milliseconds: a node's report
-/// (80), those of its relay (100) and of another zone's (100), and the way. What is
-/// left is divided over what other nodes are asked for in that time, so that nodes
-/// which see the same level do not all spend it.
+/// Time within which levels reflect the admissions of all nodes, in milliseconds: the
+/// report periods of a node (80), of its relay (100) and of another zone's relay (100), and
+/// transit. Available tokens are divided over the demand at other nodes in that time, so
+/// that nodes that see the same level do not each spend all of it.
 pub(crate) const PROPAGATION_MS: f64 = 400.0;
-/// Shortest time to come back that a caller is told, in milliseconds: what a few
-/// requests that are under way admit meanwhile is not known.
+/// Shortest retry time given to a caller, in milliseconds, as the effect of a few requests
+/// in flight is unknown.
 const MIN_RETRY_MS: f64 = 50.0;
-/// Longest time to come back to a tenant of whose requests a share is admitted, in
-/// milliseconds: what it asks for by then is not known.
+/// Longest retry time while a share of a tenant's requests is admitted, in milliseconds, as
+/// the demand beyond that is unknown.
 const MAX_SHARE_WAIT_MS: f64 = 2_000.0;
-/// Longest time to come back that a caller is told, in milliseconds.
+/// Longest retry time given to a caller, in milliseconds.
 const MAX_RETRY_MS: f64 = 60_000.0;
 
-/// By what this node admits.
+/// The source of the levels by which this node admits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Basis {
-    /// Its own accounts: it hears all parts of the fleet.
+    /// Its own accounts: it receives the reports of all parts of the fleet.
     Accounts,
-    /// What relays tell.
+    /// Levels reported by relays.
     Relays,
-    /// Its share: it hears no relay.
+    /// Its own share of the limit: it receives no relay reports.
     OwnShare,
 }
 
 impl Basis {
-    /// Its name in logs.
+    /// The name of the source in logs.
     pub fn name(self) -> &'static str {
         match self {
             Basis::Accounts => "accounts",
@@ -40,26 +40,26 @@
     }
 }
 
-/// What was known when a request was decided on.
+/// The state on which the decision about a request is based.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Standing {
-    /// By what it was decided.
+    /// The source of the levels.
     pub basis: Basis,
     /// The tenant's limit.
     pub limit: RateLimit,
-    /// What this node may admit.
+    /// The tokens that this node may admit.
     pub allowance: Allowance,
-    /// What the request counts.
+    /// The cost of the request, in the unit of the limit.
     pub cost: u64,
-    /// The part of the tenant's requests that are admitted now, in 0 to 1.
+    /// The share of the tenant's requests that is currently admitted, from 0 to 1.
     pub admitted_share: f64,
-    /// Whether this request is among them.
+    /// Whether this request is in that share.
     pub is_admitted: bool,
 }
 
 impl Standing {
-    /// When the bucket holds what the request counts, in milliseconds from now. While
-    /// only a share is admitted, what is asked for now is served at the limit first.
+    /// Time until the bucket covers the cost of the request, in milliseconds. While only a
+    /// share is admitted, the current demand is served at the limit first.
     pub fn retry_after_ms(&self) -> u64 {
         let wanted = (self.cost as f64).min(self.limit.burst.max(1.0));
         let missing = wanted - self.allowance.available;
--- a/crates/ratelimit/src/tenant_levels.rs
+++ b/crates/ratelimit/src/tenant_levels.rs
@@ -1,4 +1,4 @@
-//! Levels that relays tell, and the share of a node that hears none.
+//! Levels reported by relays, and the share of a node that receives no relay reports.
 
 use crate::accounts::{share_of, HOLD_MS, MIN_AGE_ADVANTAGE_MS, SETTLED_MS, UNREPORTED_MS};
 use crate::bucket::{granted_in, Bucket};
@@ -10,9 +10,9 @@
 use ploverlift_routing::rate_limit::{RateLimit, TenantTag};
 use std::collections::{BTreeMap, HashMap};
 
-/// Silence after which a relay's levels are no longer relied on, in milliseconds: two
-/// of the reports that it sends at least, and some jitter. Where two relays report,
-/// that takes four lost datagrams in a row.
+/// Time without a report after which a relay's levels are no longer used, in milliseconds:
+/// two of a relay's longest report periods and some jitter. With two reporting relays, that
+/// takes four lost datagrams in a row.
 const RELAY_TIMEOUT_MS: u64 = 450;
 
 #[derive(Clone, Copy, Debug)]
@@ -22,7 +22,7 @@
     fleet_demand: f64,
     counted: u64,
     reported_at: Millis,
-    /// What this node used a second then.
+    /// The use a second of this node at that time.
     own_rate: f64,
 }
 
@@ -33,14 +33,14 @@
     levels: HashMap<TenantTag, ReportedLevel>,
 }
 
-/// This node's part of a limit while it hears no relay.
+/// This node's share of a limit while it receives no relay reports.
 #[derive(Clone, Copy, Debug)]
 struct OwnShare {
     share: f64,
     bucket: Bucket,
 }
 
-/// What relays told of all tenants.
+/// The levels of all tenants, as reported by relays.
 #[derive(Clone, Debug, Default)]
 pub struct RelayLevels {
     relays: BTreeMap<PeerId, RelayReports>,
@@ -49,23 +49,23 @@
     shares: HashMap<TenantTag, OwnShare>,
 }
 
-/// What this node may admit of a tenant.
+/// The tokens of a tenant that this node may admit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// Tokens that are left, as far as is known; negative ones are owed.
+    /// Remaining tokens, as far as known. A negative number is a debt.
     pub available: f64,
     /// Tokens a second that become available to this node.
     pub refill_per_second: f64,
     /// Tokens a second that other nodes admit.
     pub others_per_second: f64,
-    /// Tokens a second that the whole fleet is asked for, admitted or not.
+    /// Tokens a second that are requested from the whole fleet, admitted or not.
     pub fleet_demand: f64,
-    /// Age of the knowledge, in milliseconds; nothing where there is none.
+    /// Age of the underlying report, in milliseconds; `None` if there is none.
     pub age_ms: Option<u64>,
 }
 
 impl RelayLevels {
-    /// Takes in a relay's report; one that was overtaken is left out.
+    /// Applies a report of a relay. A report that arrives out of order is ignored.
     pub fn apply(&mut self, report: &LevelReport, own: &OwnUse, now: Millis) {
         let known = self.relays.get(&report.sender);
         let known = known.map(|relay| relay.position);
@@ -98,8 +98,8 @@
             .retain(|_, relay| now.since(relay.position.heard_at()) < HOLD_MS);
     }
 
-    /// The relay that is relied on: the one whose accounts have run longest, or was
-    /// heard last.
+    /// The relay whose levels are used: the one with the oldest accounts, and among those
+    /// the one with the latest report.
     fn preferred_relay(&self, now: Millis) -> Option<&RelayReports> {
         let relays = self.relays.values();
         let heard = relays.filter(|relay| now.since(relay.position.heard_at()) < RELAY_TIMEOUT_MS);
@@ -109,7 +109,8 @@
         })
     }
 
-    /// What may be admitted by what a relay tells; nothing when none is relied on.
+    /// The allowance by the levels of the preferred relay; `None` if no relay has reported
+    /// recently.
     pub fn allowance(
         &self,
         tenant: TenantTag,
@@ -120,7 +121,7 @@
         let relay = self.preferred_relay(now)?;
         let own_rate = own.rate(tenant).per_second(now);
         let Some(reported) = relay.levels.get(&tenant) else {
-            // The relay knows of no use, or of none but this node's last requests.
+            // The relay knows no use, or only the last requests of this node.
             let refilled = granted_in(limit, relay.accounts_age_ms).min(limit.burst);
             return Some(Allowance {
                 available: refilled - own.rate(tenant).value(now),
@@ -146,8 +147,8 @@
         })
     }
 
-    /// What may be admitted while no relay is relied on: this node's share by its
-    /// last known use, and an even one once the others no longer hold that for it.
+    /// The allowance while no relay has reported recently: this node's share by its last
+    /// known use, and an even share once the other nodes no longer hold the former for it.
     pub fn own_share(
         &mut self,
         tenant: TenantTag,
@@ -191,15 +192,15 @@
         }
     }
 
-    /// This node admits tokens while it hears no relay.
+    /// Charges tokens that this node admits while it receives no relay reports.
     pub fn charge_share(&mut self, tenant: TenantTag, tokens: f64) {
         if let Some(share) = self.shares.get_mut(&tenant) {
             share.bucket.take(tokens);
         }
     }
 
-    /// The levels of the relay that is relied on, and the age of its accounts; for a
-    /// node that keeps accounts itself from now on.
+    /// The levels of the preferred relay and the age of its accounts, for a node that
+    /// starts to keep accounts itself.
     pub fn handover(&self, now: Millis) -> Option<(Vec<(TenantTag, f64)>, u64)> {
         let relay = self.preferred_relay(now)?;
         let levels = relay.levels.iter();
--- a/crates/ratelimit/tests/clock_steps.rs
+++ b/crates/ratelimit/tests/clock_steps.rs
@@ -1,4 +1,5 @@
-//! A node names its life by the time of day, which may be set back before it restarts.
+//! Restarts with a clock that was set back: a node identifies its life by the wall clock at
+//! its start.
 
 use ploverlift_balancing::peer_loads::PeerId;
 use ploverlift_policy::ids::Millis;
@@ -39,10 +40,10 @@
     let part = PartId::Node(SENDER);
     let mut accounts = Accounts::beginning_at(NOW);
     let mut level = 0.0;
-    // What a report takes out of the bucket.
+    // The tokens that a report charges to the bucket.
     let mut charged = |life, sequence, admitted, after_ms: u64| {
         let now = NOW.plus(after_ms);
-        // The accounts are advanced all the time: without that it would be a pause.
+        // The accounts are advanced continuously; a gap would count as a pause.
         for step in (0..=after_ms).step_by(100) {
             accounts.advance(&limits, |_| 0.0, SIZE, NOW.plus(step));
         }
@@ -54,10 +55,10 @@
     };
     charged(9_000, 50, 300, 0);
     assert_eq!(charged(9_000, 51, 700, 100), 400.0);
-    // A report of an earlier life that was held up on its way.
+    // A delayed report of an earlier life.
     assert_eq!(charged(8_000, 70, 9_000, 599), 0.0);
-    // The process is back, its clock two seconds behind. What it admitted before it was
-    // heard cannot be told from what an earlier life had.
+    // The process has restarted with its clock about two seconds behind. What it admitted
+    // before its first report cannot be distinguished from what its earlier life admitted.
     assert_eq!(charged(7_500, 1, 40, 600), 0.0);
     assert_eq!(charged(7_500, 2, 60, 700), 20.0);
     // A report of the higher life counts as the next life again, from its own start.
--- a/crates/ratelimit/tests/limits.rs
+++ b/crates/ratelimit/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Limits of a tenant over a whole fleet: what it may have it gets wherever it asks,
-//! and no window holds more than the bound, whatever the fleet suffers.
+//! Fleet-wide limits of a tenant: it gets its limit at whichever node it requests, and no
+//! window exceeds the bound under any combination of faults.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use support::{limit, Fleet, WINDOW_MS};
 
-/// What the rule adds to a limit: a tenth, and a dozen large requests.
+/// What the bound allows beyond the limit: one tenth, and a dozen large requests.
 const OVERAGE: f64 = 0.1;
 const SLACK: f64 = 110_000.0;
 
@@ -17,8 +17,8 @@
     (limit.per_second * window_s + limit.burst) * (1.0 + OVERAGE) + SLACK
 }
 
-/// Requests of one tenant: `per_second` units in pieces of `cost`, at nodes by turns
-/// that a generator picks, while time passes.
+/// Sends requests of one tenant for `ms` milliseconds of virtual time: `per_second` units a
+/// second in requests of `cost`, each at a random one of `nodes`.
 fn apply_load(fleet: &mut Fleet, per_second: f64, cost: u64, ms: u64, nodes: &[usize], seed: u64) {
     let mut random = fastrand::Rng::with_seed(seed);
     let chance = per_second / cost as f64 / 100.0;
@@ -52,7 +52,7 @@
         let nodes = all(&fleet);
         apply_load(&mut fleet, 400_000.0, 9_200, 20_000, &nodes, 2);
         assert_eq!(fleet.refused, 0, "relays: {has_relays}");
-        // The whole limit at one node.
+        // The whole load at one node.
         let mut fleet = Fleet::new(&[6, 6, 6], has_relays, LARGE, 1);
         apply_load(&mut fleet, 560_000.0, 9_200, 20_000, &[17], 2);
         assert!(fleet.refused * 50 < fleet.granted, "{}", fleet.refused);
@@ -88,7 +88,7 @@
     }
 }
 
-/// Nodes that see the same level together must not each spend it.
+/// Nodes that see the same level must not each spend all of it.
 #[test]
 fn a_tenant_over_its_limit_is_admitted_at_an_even_rate() {
     let mut fleet = Fleet::new(&[10, 10, 10], true, LARGE, 1);
@@ -100,7 +100,7 @@
         apply_load(&mut fleet, 4_800_000.0, 9_200, 250, &nodes, 5 + round);
         most = most.max(fleet.granted - before);
     }
-    // A quarter of a second grants 150,000.
+    // The limit grants 150,000 units in a quarter of a second.
     assert!(most < 300_000, "{most}");
 }
 
@@ -112,7 +112,7 @@
     let mut random = fastrand::Rng::with_seed(7);
     let mut asked = [0_u32; 2];
     let mut admitted = [0_u32; 2];
-    // One large request for each eleven small ones: 2.4 million units a second.
+    // One large request for every eleven small ones: 2.4 million units a second.
     for _ in 0..1_000 {
         fleet.step();
         for _ in 0..14 {
@@ -138,7 +138,7 @@
     assert!(fleet.request(0, 800));
     let standing = fleet.standing(0, 800);
     assert!(!standing.is_admitted);
-    // 600 are owed and 800 are wanted.
+    // The debt is 600 and the request costs 800.
     assert_eq!(standing.retry_after_ms(), 1_400);
     fleet.run_idle(1_400);
     assert!(fleet.standing(0, 800).allowance.available >= 790.0);
@@ -196,8 +196,8 @@
     }
     let before = fleet.granted;
     apply_load(&mut fleet, 3_000_000.0, 9_200, 300, &nodes, 3);
-    // With full buckets all of the 900,000 pass. What others are asked for is not known
-    // in the first moment, so more than the 180,000 of the limit do.
+    // With full buckets, all 900,000 units would be admitted. The demand at other nodes is
+    // unknown at first, so more than the 180,000 of the limit are admitted.
     let at_first = fleet.granted - before;
     assert!(at_first < 650_000, "{at_first}");
     apply_load(&mut fleet, 3_000_000.0, 9_200, 6_000, &nodes, 3);
@@ -281,7 +281,7 @@
     apply_load(&mut fleet, 900_000.0, 9_200, 10_000, &nodes, 3);
     let lower = limit(100_000.0, 100_000.0);
     fleet.set_limit(lower);
-    // The window before it counts by the earlier limit.
+    // The window before the change counts by the earlier limit.
     fleet.run_idle(WINDOW_MS);
     fleet.worst_window = 0;
     apply_load(&mut fleet, 900_000.0, 9_200, 16_000, &nodes, 4);
@@ -292,7 +292,7 @@
     );
 }
 
-/// What befalls a fleet.
+/// A fault or a change of load in a fleet.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Cut(usize),
@@ -332,9 +332,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(128))]
 
-    /// No window holds more than the bound, in a mesh and with relays, for large and
-    /// small tenants that press with up to eight times their usual use, which is a
-    /// little over half of the limit.
+    /// No window exceeds the bound, in a mesh and with relays, for large and small tenants
+    /// whose load rises up to eight times the usual one, which is a little over half of the
+    /// limit.
     #[test]
     fn no_interleaving_lets_a_window_exceed_the_bound(
         faults in prop::collection::vec((fault(), 200_u64..1_500), 1..16),
--- a/crates/ratelimit/tests/support/mod.rs
+++ b/crates/ratelimit/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: nodes that admit, reports that are late or lost, cuts,
-//! restarts and pauses.
+//! A simulated fleet in virtual time: nodes that admit requests, late and lost reports,
+//! partitions, restarts and pauses.
 #![allow(dead_code)]
 
 use ploverlift_balancing::peer_loads::{PeerId, ZoneTag};
@@ -56,7 +56,7 @@
     has_restarted: bool,
 }
 
-/// A fleet of one tenant.
+/// A fleet that serves one tenant.
 pub struct Fleet {
     nodes: Vec<Node>,
     has_relays: bool,
@@ -66,15 +66,15 @@
     random: fastrand::Rng,
     loss: f64,
     admitted: VecDeque<(Millis, u64)>,
-    /// The most that was admitted within one window.
+    /// The most units that were admitted within one window.
     pub worst_window: u64,
     pub refused: u64,
     pub granted: u64,
 }
 
 impl Fleet {
-    /// A fleet that has just started, of zones with so many nodes each. Where it has
-    /// relays, the first two nodes of each zone relay.
+    /// Starts a fleet; `zones` gives the number of nodes of each zone. With relays, the
+    /// first two nodes of each zone are relays.
     pub fn new(zones: &[usize], has_relays: bool, limit: RateLimit, seed: u64) -> Self {
         let mut nodes = Vec::new();
         for (zone, count) in zones.iter().enumerate() {
@@ -124,7 +124,7 @@
         self.nodes[node].is_relay
     }
 
-    /// Cuts a node from all others, or heals it.
+    /// Isolates a node from all others, or reconnects it.
     pub fn set_cut(&mut self, node: usize, is_cut: bool) {
         self.nodes[node].is_cut = is_cut;
     }
@@ -171,7 +171,7 @@
         !self.nodes[node].is_down && self.nodes[node].paused_until <= self.now
     }
 
-    /// What a node knows before a request.
+    /// The state of the tenant at a node before a request.
     pub fn standing(&mut self, node: usize, cost: u64) -> Standing {
         let membership = self.membership(node);
         let now = self.now;
@@ -180,7 +180,7 @@
         limiter.standing(TENANT, cost, &limit, &membership, now)
     }
 
-    /// A request at a node; tells whether it was admitted.
+    /// Sends a request to a node. Returns whether it was admitted.
     pub fn request(&mut self, node: usize, cost: u64) -> bool {
         if !self.is_running(node) {
             return false;
@@ -211,14 +211,14 @@
         self.worst_window = self.worst_window.max(sum);
     }
 
-    /// Lets time pass without requests.
+    /// Advances the time without requests.
     pub fn run_idle(&mut self, ms: u64) {
         for _ in 0..ms / 10 {
             self.step();
         }
     }
 
-    /// Ten milliseconds.
+    /// Advances the time by ten milliseconds.
     pub fn step(&mut self) {
         self.now = self.now.plus(10);
         self.deliver();
@@ -261,7 +261,7 @@
     }
 
     fn is_time(&self, node: usize, period_ms: u64) -> bool {
-        // Nodes do not report at the same moment.
+        // The report times of the nodes are staggered.
         (self.now.0 / 10 + node as u64 * 3) % (period_ms / 10) == 0
     }
 
