--- a/crates/gateway/src/engine_ends.rs
+++ b/crates/gateway/src/engine_ends.rs
@@ -17,8 +17,8 @@
 use ploverlift_balancing::catalogue::InstanceId;
 use ploverlift_balancing::peer_loads::EngineTag;
 use ploverlift_http1::BufferedStream;
-use ploverlift_quarantine::evidence::{speaks_against, EngineEnd};
-use ploverlift_quarantine::quarantine::EndNews;
+use ploverlift_quarantine::evidence::{counts_as_evidence, EngineEnd};
+use ploverlift_quarantine::quarantine::EndOutcome;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -44,7 +44,7 @@
         let mut beliefs = gateway.beliefs();
         beliefs
             .quarantine
-            .note_cut(cut.fingerprint, cut.tenant, now);
+            .note_undetermined_outcome(cut.fingerprint, cut.tenant, now);
         beliefs.engine_ends.note(instance, cut)
     };
     if is_first {
@@ -89,8 +89,8 @@
 fn note_found(gateway: &Gateway, instance: &InstanceId, cut: &CutRequest, has_ended: bool) {
     let now = gateway.clock.now();
     let mut beliefs = gateway.beliefs();
-    beliefs.quarantine.note_found(cut.fingerprint);
-    if !has_ended || !speaks_against(cut.streamed_ms) {
+    beliefs.quarantine.note_determined_outcome(cut.fingerprint);
+    if !has_ended || !counts_as_evidence(cut.streamed_ms) {
         return;
     }
     let known = beliefs.engines.get(instance);
@@ -104,13 +104,13 @@
     let news = quarantine.note_end(cut.fingerprint, cut.tenant, end, software, now);
     drop(beliefs);
     match news {
-        EndNews::Cleared | EndNews::Known => {}
-        EndNews::Suspected { moments } => {
+        EndOutcome::Cleared | EndOutcome::Known => {}
+        EndOutcome::Suspected { moments } => {
             slog::info!(gateway.log, "request suspected";
                 "fingerprint" => cut.fingerprint.to_string(),
                 "engine" => &instance.0, "moments" => moments);
         }
-        EndNews::Refused => {
+        EndOutcome::Refused => {
             slog::warn!(gateway.log, "request refused from now on";
                 "fingerprint" => cut.fingerprint.to_string(),
                 "engine" => &instance.0, "from" => "own");
--- a/crates/gateway/src/forward/quarantine.rs
+++ b/crates/gateway/src/forward/quarantine.rs
@@ -95,7 +95,7 @@
         let beliefs = self.gateway.beliefs();
         let has_new_software = self.has_new_software(&beliefs);
         let quarantine = &beliefs.quarantine;
-        quarantine.ask(self.received.fingerprint, has_new_software, now)
+        quarantine.permission_for(self.received.fingerprint, has_new_software, now)
     }
 
     /// Whether no engine of the service has the software any more that ended under it.
@@ -153,8 +153,8 @@
         let request = self.received.fingerprint;
         let quarantine = &mut beliefs.quarantine;
         match &self.claim {
-            Some(claim) => quarantine.begin(request, claim.own, has_new_software, now),
-            None => match quarantine.ask(request, has_new_software, now) {
+            Some(claim) => quarantine.begin_attempt(request, claim.own, has_new_software, now),
+            None => match quarantine.permission_for(request, has_new_software, now) {
                 Permission::Free => true,
                 Permission::Busy { moments, .. } => self.may_go_beside(moments),
                 Permission::AfterClaim | Permission::Refused { .. } => false,
@@ -176,7 +176,7 @@
         let finding = async {
             loop {
                 let news = gateway.quarantine_changed.listen();
-                if !gateway.beliefs().quarantine.is_being_found_out(request) {
+                if !gateway.beliefs().quarantine.is_outcome_pending(request) {
                     return;
                 }
                 news.await;
--- a/crates/gateway/src/peers/follower.rs
+++ b/crates/gateway/src/peers/follower.rs
@@ -55,7 +55,7 @@
     take_proof(&mut beliefs, report, sent_at);
     let refused = report.refused_requests;
     if refused.is_some_and(|refused| beliefs.quarantine.refused() >= refused as usize) {
-        beliefs.quarantine.set_known();
+        beliefs.quarantine.mark_stored_list_known();
     }
     beliefs.hear_of_losses(NewsSource::Relay, sender, &report.lost, fleet, now);
     let before = beliefs.catalogue_log.through();
--- a/crates/gateway/src/peers/quarantine_messages.rs
+++ b/crates/gateway/src/peers/quarantine_messages.rs
@@ -3,7 +3,9 @@
 use super::message_fields::{less_one, plus_one};
 use ploverlift_balancing::peer_loads::{EngineTag, PeerId};
 use ploverlift_quarantine::fingerprint::RequestFingerprint;
-use ploverlift_quarantine::news::{ToldClaim, ToldClearing, ToldEnd, ToldRefusal, ToldRequest};
+use ploverlift_quarantine::node_messages::{
+    ReportedClaim, ReportedClearing, ReportedEnd, ReportedRefusal, ReportedRequest,
+};
 use ploverlift_routing::rate_limit::TenantTag;
 use ploverlift_routing::software::SoftwareVersion;
 use ploverlift_wire::peers;
@@ -14,7 +16,7 @@
     /// The sender.
     pub sender: PeerId,
     /// The requests.
-    pub requests: Vec<ToldRequest>,
+    pub requests: Vec<ReportedRequest>,
 }
 
 pub(super) fn quarantine_report_message(report: &QuarantineReport) -> peers::QuarantineReport {
@@ -31,7 +33,7 @@
     }
 }
 
-fn request_message(told: &ToldRequest) -> peers::QuarantinedRequest {
+fn request_message(told: &ReportedRequest) -> peers::QuarantinedRequest {
     let clearing_age = |is_answer: bool| {
         let clearing = told.clearing;
         let clearing = clearing.filter(|clearing| clearing.is_answer == is_answer);
@@ -56,30 +58,30 @@
 }
 
 /// Reads a request; of lists that are not equally long, as many as the shorter has.
-fn read_request(message: &peers::QuarantinedRequest) -> ToldRequest {
+fn read_request(message: &peers::QuarantinedRequest) -> ReportedRequest {
     let ages = message.begun_ages.iter().zip(&message.ended_ages);
     let ends = message.ended.iter().zip(ages);
-    let ends = ends.map(|(engine, (begun_age_ms, age_ms))| ToldEnd {
+    let ends = ends.map(|(engine, (begun_age_ms, age_ms))| ReportedEnd {
         engine: EngineTag(*engine),
         begun_age_ms: *begun_age_ms,
         age_ms: *age_ms,
     });
-    let claim = ToldClaim {
+    let claim = ReportedClaim {
         node: PeerId(message.claimed_by),
         is_sent: message.is_sent,
         age_ms: message.claim_age,
     };
-    let refusal = less_one(message.refused_age_plus_one).map(|age_ms| ToldRefusal {
+    let refusal = less_one(message.refused_age_plus_one).map(|age_ms| ReportedRefusal {
         age_ms,
         trials: message.trials,
         is_stored: message.is_stored,
     });
     let clearing = |is_answer: bool, age_plus_one: u64| {
-        less_one(age_plus_one).map(|age_ms| ToldClearing { is_answer, age_ms })
+        less_one(age_plus_one).map(|age_ms| ReportedClearing { is_answer, age_ms })
     };
     let answered = clearing(true, message.answered_age_plus_one);
     let software = message.software.iter().cloned().map(SoftwareVersion);
-    ToldRequest {
+    ReportedRequest {
         request: RequestFingerprint(message.request),
         tenant: TenantTag(message.tenant),
         ends: ends.collect(),
--- a/crates/gateway/src/peers/quarantine_reports.rs
+++ b/crates/gateway/src/peers/quarantine_reports.rs
@@ -12,7 +12,7 @@
 use crate::time::{sleep, within};
 use ploverlift_balancing::peer_loads::PeerId;
 use ploverlift_policy::ids::Millis;
-use ploverlift_quarantine::exchange::{HeardNews, Occasion};
+use ploverlift_quarantine::exchange::{MergeOutcome, ReportOptions};
 use ploverlift_quarantine::fingerprint::RequestFingerprint;
 use smol::net::UdpSocket;
 use std::sync::Arc;
@@ -38,9 +38,9 @@
             period_began = now;
             periods += 1;
         }
-        let occasion = Occasion {
+        let occasion = ReportOptions {
             is_period,
-            tells_refused: is_period && periods % PERIODS_PER_REFUSED == 0,
+            includes_refused: is_period && periods % PERIODS_PER_REFUSED == 0,
             passes_on: role(&gateway, now) == Role::Relay,
         };
         report(&gateway, &socket, occasion, now).await;
@@ -49,11 +49,11 @@
     }
 }
 
-async fn report(gateway: &Gateway, socket: &UdpSocket, occasion: Occasion, now: Millis) {
+async fn report(gateway: &Gateway, socket: &UdpSocket, occasion: ReportOptions, now: Millis) {
     let own = PeerId::of(&gateway.settings().node.name);
     let news = {
         let quarantine = &mut gateway.beliefs().quarantine;
-        quarantine.news(own, occasion, now)
+        quarantine.reports_due(own, occasion, now)
     };
     if news.is_empty() {
         return;
@@ -81,10 +81,10 @@
     {
         let quarantine = &mut gateway.beliefs().quarantine;
         for told in &report.requests {
-            match quarantine.hear(told, report.sender, own, passes_on, now) {
-                HeardNews::None => {}
-                HeardNews::Changed => is_news = true,
-                HeardNews::Refused => {
+            match quarantine.merge(told, report.sender, own, passes_on, now) {
+                MergeOutcome::Unchanged => {}
+                MergeOutcome::Changed => is_news = true,
+                MergeOutcome::Refused => {
                     is_news = true;
                     refused.push(told.request);
                 }
--- a/crates/gateway/src/peers/relay_contents.rs
+++ b/crates/gateway/src/peers/relay_contents.rs
@@ -391,7 +391,9 @@
 /// Requests that are refused everywhere, once it is known what the store has of them.
 fn refused_requests(beliefs: &Beliefs) -> Option<u32> {
     let quarantine = &beliefs.quarantine;
-    quarantine.is_known().then(|| quarantine.refused() as u32)
+    quarantine
+        .is_stored_list_known()
+        .then(|| quarantine.refused() as u32)
 }
 
 /// Engines that load weights by the order of this node or of those that count.
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -102,7 +102,7 @@
     let told = async {
         loop {
             let news = gateway.site_learned.listen();
-            if gateway.beliefs().quarantine.is_known() {
+            if gateway.beliefs().quarantine.is_stored_list_known() {
                 return;
             }
             news.await;
@@ -115,7 +115,7 @@
         }
         sleep(TOLD_WITHIN_MS).await;
         let mut client = StoreClient::new(gateway);
-        while !gateway.beliefs().quarantine.is_known() {
+        while !gateway.beliefs().quarantine.is_stored_list_known() {
             list_again(gateway, &mut client).await;
             sleep(LOOK_PERIOD_MS).await;
         }
@@ -177,7 +177,7 @@
     let now = gateway.clock.now();
     let released = {
         let quarantine = &mut gateway.beliefs().quarantine;
-        quarantine.take_list(stored.collect(), sent, now)
+        quarantine.apply_stored_list(stored.collect(), sent, now)
     };
     for request in released {
         slog::warn!(gateway.log, "request released"; "fingerprint" => request.to_string());
@@ -201,7 +201,7 @@
             "fingerprint" => request.to_string(), "trials" => refusal.trials);
         gateway.quarantine_changed.notify(usize::MAX);
     }
-    let deletions = gateway.beliefs().quarantine.deletions();
+    let deletions = gateway.beliefs().quarantine.pending_deletions();
     for request in deletions {
         client
             .delete(StoreKind::RefusedRequests, &request.to_string())
--- a/crates/gateway/src/readiness.rs
+++ b/crates/gateway/src/readiness.rs
@@ -31,7 +31,7 @@
         let knows_orders = beliefs.rollouts.has_begun();
         let knows_weights = beliefs.weights.is_proven();
         let knows_engines = beliefs.engines_listed && knows_weights;
-        let knows_refused = beliefs.quarantine.is_known();
+        let knows_refused = beliefs.quarantine.is_stored_list_known();
         beliefs.configuration.is_some() && knows_engines && knows_orders && knows_refused
     };
     has_copies && knows_signals(gateway) && gateway.accepts_keys()
--- a/crates/quarantine/benches/decision.rs
+++ b/crates/quarantine/benches/decision.rs
@@ -6,7 +6,7 @@
 use ploverlift_quarantine::evidence::EngineEnd;
 use ploverlift_quarantine::fingerprint::{RequestFingerprint, RequestParts};
 use ploverlift_quarantine::quarantine::Quarantine;
-use ploverlift_quarantine::room::MAX_REQUESTS;
+use ploverlift_quarantine::retention::MAX_REQUESTS;
 use ploverlift_routing::rate_limit::TenantTag;
 use std::hint::black_box;
 
@@ -36,7 +36,7 @@
     criterion.bench_function("fingerprint_and_ask/34000", |bencher| {
         bencher.iter(|| {
             let request = RequestFingerprint::of(black_box(&parts));
-            black_box(quarantine.ask(request, false, now))
+            black_box(quarantine.permission_for(request, false, now))
         });
     });
 }
--- a/crates/quarantine/src/answers.rs
+++ b/crates/quarantine/src/answers.rs
@@ -7,7 +7,7 @@
 /// Time after a whole answer in which an engine's end says nothing of the request, in
 /// milliseconds: a request that ends engines has no answer at all, and one that many ask
 /// for has one every moment.
-const ANSWER_CLEARS_MS: u64 = 60_000;
+const ANSWER_VALIDITY_MS: u64 = 60_000;
 /// Answers that are remembered: 24 bytes each, the latest ones.
 const MAX_ANSWERS: usize = 4_096;
 
@@ -39,6 +39,6 @@
     /// Whether an answer speaks for the request when an engine ended at `ended_at`.
     pub fn clear(&self, request: RequestFingerprint, ended_at: Millis) -> bool {
         let answered = self.at.get(&request);
-        answered.is_some_and(|answered| ended_at.since(*answered) < ANSWER_CLEARS_MS)
+        answered.is_some_and(|answered| ended_at.since(*answered) < ANSWER_VALIDITY_MS)
     }
 }
--- a/crates/quarantine/src/evidence.rs
+++ b/crates/quarantine/src/evidence.rs
@@ -13,12 +13,12 @@
 /// Time for which an engine streamed the answer after which its end says nothing of the
 /// request, in milliseconds: one that ends engines does so when they begin it, and a long
 /// answer is under way at each end that comes about for other reasons.
-const RAN_WELL_MS: u64 = 1_000;
+const MIN_HEALTHY_STREAM_MS: u64 = 1_000;
 
 /// Whether the end of an engine that had streamed the answer for so long, in milliseconds,
 /// speaks against the request. Without an event that time is 0.
-pub fn speaks_against(streamed_ms: u64) -> bool {
-    streamed_ms < RAN_WELL_MS
+pub fn counts_as_evidence(streamed_ms: u64) -> bool {
+    streamed_ms < MIN_HEALTHY_STREAM_MS
 }
 
 /// An engine that ended while it ran the request.
--- a/crates/quarantine/src/exchange.rs
+++ b/crates/quarantine/src/exchange.rs
@@ -2,9 +2,11 @@
 
 use crate::evidence::EngineEnd;
 use crate::fingerprint::RequestFingerprint;
-use crate::news::{ToldClaim, ToldClearing, ToldEnd, ToldRefusal, ToldRequest, MAX_TOLD};
+use crate::node_messages::{
+    ReportedClaim, ReportedClearing, ReportedEnd, ReportedRefusal, ReportedRequest, MAX_REPORTED,
+};
 use crate::quarantine::Quarantine;
-use crate::suspect::{Claim, Cleared, Refusal, Suspect, CLAIM_HOLDS_MS};
+use crate::suspect::{Claim, Cleared, Refusal, Suspect, CLAIM_TIMEOUT_MS};
 use ploverlift_balancing::names::PeerId;
 use ploverlift_policy::ids::Millis;
 use ploverlift_policy::telling::Telling;
@@ -12,24 +14,24 @@
 
 /// Time for which a clearing is remembered, in milliseconds: whoever has not heard of it
 /// yet may tell for so long that the request is refused.
-pub(crate) const CLEARING_MS: u64 = 10_000;
+pub(crate) const CLEARING_RETENTION_MS: u64 = 10_000;
 
 /// When something is told.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Occasion {
+pub struct ReportOptions {
     /// Whether claims are told again.
     pub is_period: bool,
     /// Whether some of what is refused is told again in turn, though it has not changed.
-    pub tells_refused: bool,
+    pub includes_refused: bool,
     /// Whether this node passes on what others have claimed.
     pub passes_on: bool,
 }
 
 /// What another node's word changed here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeardNews {
+pub enum MergeOutcome {
     /// Nothing.
-    None,
+    Unchanged,
     /// Something, of which others should hear.
     Changed,
     /// The request is refused from now on.
@@ -37,15 +39,15 @@
 }
 
 impl Cleared {
-    fn told(&self, now: Millis) -> ToldRequest {
-        ToldRequest {
+    fn reported(&self, now: Millis) -> ReportedRequest {
+        ReportedRequest {
             request: self.request,
             tenant: self.tenant,
             ends: Vec::new(),
             software: Vec::new(),
             claim: None,
             refusal: None,
-            clearing: Some(ToldClearing {
+            clearing: Some(ReportedClearing {
                 is_answer: self.is_answer,
                 age_ms: now.since(self.at),
             }),
@@ -56,11 +58,16 @@
 impl Quarantine {
     /// What is told now: changes that are due, the most serious ones first, and what the
     /// occasion asks for.
-    pub fn news(&mut self, own: PeerId, occasion: Occasion, now: Millis) -> Vec<ToldRequest> {
+    pub fn reports_due(
+        &mut self,
+        own: PeerId,
+        options: ReportOptions,
+        now: Millis,
+    ) -> Vec<ReportedRequest> {
         self.expire(now);
-        let mut told = self.due_requests(own, occasion, now);
-        if occasion.tells_refused {
-            told.extend(self.next_refused(MAX_TOLD - told.len()));
+        let mut told = self.due_requests(own, options, now);
+        if options.includes_refused {
+            told.extend(self.next_refused(MAX_REPORTED - told.len()));
             told.sort();
             told.dedup();
         }
@@ -69,16 +76,16 @@
             if let Some(suspect) = self.suspects.get_mut(&request) {
                 suspect.telling.note_told(now);
                 if let Some(claim) = suspect.claim.as_mut().filter(|claim| claim.node == own) {
-                    claim.told_at = now;
+                    claim.reported_at = now;
                 }
             }
-            news.push(self.told(request, now));
+            news.push(self.reported(request, now));
         }
         let cleared = self.cleared.iter_mut();
         let due = cleared.filter(|cleared| cleared.telling.is_due(now));
-        news.extend(due.take(MAX_TOLD).map(|cleared| {
+        news.extend(due.take(MAX_REPORTED).map(|cleared| {
             cleared.telling.note_told(now);
-            cleared.told(now)
+            cleared.reported(now)
         }));
         news
     }
@@ -86,20 +93,20 @@
     fn due_requests(
         &self,
         own: PeerId,
-        occasion: Occasion,
+        options: ReportOptions,
         now: Millis,
     ) -> Vec<RequestFingerprint> {
         let is_claimed = |suspect: &Suspect| {
             let claim = suspect.live_claim(now);
-            claim.is_some_and(|claim| claim.node == own || occasion.passes_on)
+            claim.is_some_and(|claim| claim.node == own || options.passes_on)
         };
         let is_due = |suspect: &Suspect| {
-            suspect.telling.is_due(now) || (occasion.is_period && is_claimed(suspect))
+            suspect.telling.is_due(now) || (options.is_period && is_claimed(suspect))
         };
         let due = self.suspects.iter().filter(|(_, suspect)| is_due(suspect));
         let mut due: Vec<RequestFingerprint> = due.map(|(request, _)| *request).collect();
-        due.sort_by_key(|request| Reverse((self.suspects[request].worth(), *request)));
-        due.truncate(MAX_TOLD);
+        due.sort_by_key(|request| Reverse((self.suspects[request].retention_rank(), *request)));
+        due.truncate(MAX_REPORTED);
         due
     }
 
@@ -108,31 +115,31 @@
         let refused = suspects.filter(|(_, known)| known.refusal.is_some());
         let mut refused: Vec<RequestFingerprint> = refused.map(|(request, _)| *request).collect();
         refused.sort();
-        let first = self.next_told % refused.len().max(1);
-        self.next_told = first + most;
+        let first = self.next_repeated % refused.len().max(1);
+        self.next_repeated = first + most;
         refused.rotate_left(first);
         refused.truncate(most);
         refused
     }
 
-    fn told(&self, request: RequestFingerprint, now: Millis) -> ToldRequest {
+    fn reported(&self, request: RequestFingerprint, now: Millis) -> ReportedRequest {
         let suspect = &self.suspects[&request];
-        let ends = suspect.evidence.ends().iter().map(|end| ToldEnd {
+        let ends = suspect.evidence.ends().iter().map(|end| ReportedEnd {
             engine: end.engine,
             begun_age_ms: now.since(end.begun),
             age_ms: now.since(end.at),
         });
-        ToldRequest {
+        ReportedRequest {
             request,
             tenant: suspect.tenant,
             ends: ends.collect(),
             software: suspect.software.iter().cloned().collect(),
-            claim: suspect.live_claim(now).map(|claim| ToldClaim {
+            claim: suspect.live_claim(now).map(|claim| ReportedClaim {
                 node: claim.node,
                 is_sent: claim.is_sent,
-                age_ms: now.since(claim.told_at),
+                age_ms: now.since(claim.reported_at),
             }),
-            refusal: suspect.refusal.map(|refusal| ToldRefusal {
+            refusal: suspect.refusal.map(|refusal| ReportedRefusal {
                 age_ms: now.since(refusal.since),
                 trials: refusal.trials,
                 is_stored: refusal.stored_at.is_some(),
@@ -143,23 +150,23 @@
 
     /// Takes in what another node, `from`, tells; tells whether it was news. A relay
     /// `passes_on` what is; others leave it to whoever found it out.
-    pub fn hear(
+    pub fn merge(
         &mut self,
-        told: &ToldRequest,
+        told: &ReportedRequest,
         from: PeerId,
         own: PeerId,
         passes_on: bool,
         now: Millis,
-    ) -> HeardNews {
+    ) -> MergeOutcome {
         let request = told.request;
         if let Some(clearing) = told.clearing {
-            return match self.hear_clearing(request, clearing, passes_on, now) {
-                true => HeardNews::Changed,
-                false => HeardNews::None,
+            return match self.merge_clearing(request, clearing, passes_on, now) {
+                true => MergeOutcome::Changed,
+                false => MergeOutcome::Unchanged,
             };
         }
         let known = self.suspects.contains_key(&request);
-        let known_before = known.then(|| self.told(request, now));
+        let known_before = known.then(|| self.reported(request, now));
         let telling = self.suspects.get(&request).map(|suspect| suspect.telling);
         let was_refused = self.is_refused(request);
         for end in &told.ends {
@@ -177,11 +184,11 @@
             suspect.software.extend(told.software.iter().cloned());
         }
         if let Some(refusal) = told.refusal {
-            self.hear_refusal(told, refusal, now);
+            self.merge_refusal(told, refusal, now);
         }
-        self.hear_claim(told, from, own, now);
+        self.merge_claim(told, from, own, now);
         let is_known = self.suspects.contains_key(&request);
-        let known_now = is_known.then(|| self.told(request, now));
+        let known_now = is_known.then(|| self.reported(request, now));
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.telling = match passes_on && known_before != known_now {
                 true => Telling::begin(now),
@@ -189,16 +196,16 @@
             };
         }
         match (was_refused, self.is_refused(request)) {
-            (false, true) => HeardNews::Refused,
-            _ if known_before == known_now => HeardNews::None,
-            _ => HeardNews::Changed,
+            (false, true) => MergeOutcome::Refused,
+            _ if known_before == known_now => MergeOutcome::Unchanged,
+            _ => MergeOutcome::Changed,
         }
     }
 
-    fn hear_clearing(
+    fn merge_clearing(
         &mut self,
         request: RequestFingerprint,
-        told: ToldClearing,
+        told: ReportedClearing,
         passes_on: bool,
         now: Millis,
     ) -> bool {
@@ -211,7 +218,7 @@
             self.clear(request, cleared_at);
             return false;
         }
-        let is_news = self.clear_and_tell(request, told.is_answer, cleared_at);
+        let is_news = self.clear_and_report(request, told.is_answer, cleared_at);
         if let Some(cleared) = self.cleared.last_mut().filter(|_| is_news) {
             cleared.telling = match passes_on {
                 true => Telling::begin(now),
@@ -221,7 +228,12 @@
         is_news
     }
 
-    pub(crate) fn hear_refusal(&mut self, told: &ToldRequest, refusal: ToldRefusal, now: Millis) {
+    pub(crate) fn merge_refusal(
+        &mut self,
+        told: &ReportedRequest,
+        refusal: ReportedRefusal,
+        now: Millis,
+    ) {
         let since = now.before(refusal.age_ms);
         let mut cleared = self.cleared.iter();
         let is_cleared = cleared.any(|known| known.request == told.request && known.at >= since);
@@ -248,26 +260,26 @@
 
     /// A claim that is being sent goes before one that waits, and a lower name before a
     /// higher one. Only the holder says that a claim is over; else it lapses.
-    fn hear_claim(&mut self, told: &ToldRequest, from: PeerId, own: PeerId, now: Millis) {
+    fn merge_claim(&mut self, told: &ReportedRequest, from: PeerId, own: PeerId, now: Millis) {
         let Some(suspect) = self.suspects.get_mut(&told.request) else {
             return;
         };
-        let standing = suspect.live_claim(now);
+        let current = suspect.live_claim(now);
         let Some(claim) = told.claim else {
-            suspect.claim = standing.filter(|known| known.node != from);
+            suspect.claim = current.filter(|known| known.node != from);
             return;
         };
         let told = Claim {
             node: claim.node,
             is_sent: claim.is_sent,
-            told_at: now.before(claim.age_ms),
+            reported_at: now.before(claim.age_ms),
         };
         let rank = |claim: Claim| (Reverse(claim.is_sent), claim.node);
-        let goes_first = standing.is_none_or(|known| rank(told) <= rank(known));
-        let is_lapsed = now.since(told.told_at) >= CLAIM_HOLDS_MS;
-        let is_older =
-            standing.is_some_and(|known| known.node == told.node && known.told_at > told.told_at);
-        if claim.node != own && goes_first && !is_lapsed && !is_older {
+        let has_precedence = current.is_none_or(|known| rank(told) <= rank(known));
+        let is_lapsed = now.since(told.reported_at) >= CLAIM_TIMEOUT_MS;
+        let is_older = current
+            .is_some_and(|known| known.node == told.node && known.reported_at > told.reported_at);
+        if claim.node != own && has_precedence && !is_lapsed && !is_older {
             suspect.claim = Some(told);
         }
     }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -11,16 +11,16 @@
 //! | [`answers`] | whole answers, which speak for a request |
 //! | [`quarantine`] | which requests may be sent |
 //! | `suspect` | what is known against one request |
-//! | [`room`] | how many are remembered |
-//! | [`news`], [`exchange`] | what nodes tell each other |
+//! | [`retention`] | how many are remembered |
+//! | [`node_messages`], [`exchange`] | what nodes tell each other |
 //! | [`stored`] | what the store has |
 
 pub mod answers;
 pub mod evidence;
 pub mod exchange;
 pub mod fingerprint;
-pub mod news;
+pub mod node_messages;
 pub mod quarantine;
-pub mod room;
+pub mod retention;
 pub mod stored;
 mod suspect;
--- a/crates/quarantine/src/news.rs
+++ b/crates/quarantine/src/node_messages.rs
@@ -6,11 +6,11 @@
 use ploverlift_routing::software::SoftwareVersion;
 
 /// Requests of which one message tells: with them it stays within one datagram.
-pub const MAX_TOLD: usize = 12;
+pub const MAX_REPORTED: usize = 12;
 
 /// An engine that ended, and how long ago.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldEnd {
+pub struct ReportedEnd {
     /// The engine.
     pub engine: EngineTag,
     /// Time since the request was sent there, in milliseconds.
@@ -21,7 +21,7 @@
 
 /// The node that alone may send the request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldClaim {
+pub struct ReportedClaim {
     /// The node.
     pub node: PeerId,
     /// Whether it has begun to send; otherwise it waits for the claims of others.
@@ -32,7 +32,7 @@
 
 /// What speaks for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldClearing {
+pub struct ReportedClearing {
     /// Whether an engine answered it whole; otherwise an operator released it.
     pub is_answer: bool,
     /// Time since then, in milliseconds.
@@ -41,7 +41,7 @@
 
 /// A request that is refused everywhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldRefusal {
+pub struct ReportedRefusal {
     /// Time since then, in milliseconds.
     pub age_ms: u64,
     /// Trials that it was given since.
@@ -52,19 +52,19 @@
 
 /// What is told of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ToldRequest {
+pub struct ReportedRequest {
     /// The request.
     pub request: RequestFingerprint,
     /// Its tenant.
     pub tenant: TenantTag,
     /// Engines that ended under it.
-    pub ends: Vec<ToldEnd>,
+    pub ends: Vec<ReportedEnd>,
     /// Versions of their software.
     pub software: Vec<SoftwareVersion>,
     /// Who may send it now.
-    pub claim: Option<ToldClaim>,
+    pub claim: Option<ReportedClaim>,
     /// Since when it is refused.
-    pub refusal: Option<ToldRefusal>,
+    pub refusal: Option<ReportedRefusal>,
     /// What speaks for it.
-    pub clearing: Option<ToldClearing>,
+    pub clearing: Option<ReportedClearing>,
 }
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -45,7 +45,7 @@
 
 /// What an engine's end showed of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndNews {
+pub enum EndOutcome {
     /// It was answered whole a short time ago: the engine ended for another reason.
     Cleared,
     /// It is known already.
@@ -68,14 +68,14 @@
     /// Refused requests that are stored and were released or forgotten.
     pub(crate) to_delete: Vec<RequestFingerprint>,
     /// Whether the store's list is known.
-    pub(crate) is_known: bool,
-    pub(crate) next_told: usize,
+    pub(crate) is_stored_list_known: bool,
+    pub(crate) next_repeated: usize,
 }
 
 impl Quarantine {
     /// Whether a request may be sent. `has_new_software` tells whether its service has no
     /// engine left of the software that ended under it.
-    pub fn ask(
+    pub fn permission_for(
         &self,
         request: RequestFingerprint,
         has_new_software: bool,
@@ -92,7 +92,7 @@
                 };
             }
         }
-        if suspect.unproven > 0 || suspect.live_claim(now).is_some() {
+        if suspect.undetermined > 0 || suspect.live_claim(now).is_some() {
             return Permission::Busy {
                 moments: suspect.evidence.moments(),
                 retry_after_ms: BUSY_RETRY_MS,
@@ -135,7 +135,7 @@
             suspect.claim = Some(Claim {
                 node: own,
                 is_sent: false,
-                told_at: now,
+                reported_at: now,
             });
             suspect.change(now);
         }
@@ -143,7 +143,7 @@
 
     /// Whether the claim of this node still stands right before the request is sent, and
     /// so may be sent. From then on no other claim goes before it.
-    pub fn begin(
+    pub fn begin_attempt(
         &mut self,
         request: RequestFingerprint,
         own: PeerId,
@@ -157,7 +157,7 @@
             Some(refusal) => has_new_software || suspect.until_trial_ms(refusal, now) == 0,
             None => true,
         };
-        let may_be_sent = may_be_tried && suspect.unproven == 0;
+        let may_be_sent = may_be_tried && suspect.undetermined == 0;
         let is_live = suspect.live_claim(now).is_some();
         let own_claim = suspect.claim.as_mut();
         let own_claim = own_claim.filter(|claim| is_live && claim.node == own);
@@ -165,7 +165,7 @@
             return false;
         };
         claim.is_sent = true;
-        claim.told_at = now;
+        claim.reported_at = now;
         if let Some(refusal) = &mut suspect.refusal {
             // Counted before it runs: whoever ends with it must not forget it.
             refusal.trials += 1;
@@ -184,9 +184,9 @@
     }
 
     /// Whether the engine of a copy of this node may have ended, and it is not known yet.
-    pub fn is_being_found_out(&self, request: RequestFingerprint) -> bool {
+    pub fn is_outcome_pending(&self, request: RequestFingerprint) -> bool {
         let suspect = self.suspects.get(&request);
-        suspect.is_some_and(|suspect| suspect.unproven > 0)
+        suspect.is_some_and(|suspect| suspect.undetermined > 0)
     }
 
     /// The copy of this node that held the claim is over.
@@ -201,14 +201,19 @@
 
     /// The engine of a copy may have ended: nobody here sends another one before that is
     /// found out.
-    pub fn note_cut(&mut self, request: RequestFingerprint, tenant: TenantTag, now: Millis) {
-        self.suspect(request, tenant, now).unproven += 1;
+    pub fn note_undetermined_outcome(
+        &mut self,
+        request: RequestFingerprint,
+        tenant: TenantTag,
+        now: Millis,
+    ) {
+        self.suspect(request, tenant, now).undetermined += 1;
     }
 
     /// It was found out of a copy that was cut.
-    pub fn note_found(&mut self, request: RequestFingerprint) {
+    pub fn note_determined_outcome(&mut self, request: RequestFingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
-            suspect.unproven = suspect.unproven.saturating_sub(1);
+            suspect.undetermined = suspect.undetermined.saturating_sub(1);
         }
     }
 
@@ -220,19 +225,19 @@
         end: EngineEnd,
         software: Option<SoftwareVersion>,
         now: Millis,
-    ) -> EndNews {
+    ) -> EndOutcome {
         if self.answers.clear(request, end.at) {
-            return EndNews::Cleared;
+            return EndOutcome::Cleared;
         }
         let suspect = self.suspect(request, tenant, now);
         if !suspect.evidence.add(end) {
-            return EndNews::Known;
+            return EndOutcome::Known;
         }
         suspect.change(now);
         suspect.software.extend(software);
         let moments = suspect.evidence.moments();
         match suspect.refusal {
-            Some(_) => EndNews::Known,
+            Some(_) => EndOutcome::Known,
             None if moments >= MOMENTS_UNTIL_REFUSED => {
                 suspect.refusal = Some(Refusal {
                     since: now,
@@ -240,25 +245,25 @@
                     stored_at: None,
                     is_own: true,
                 });
-                EndNews::Refused
+                EndOutcome::Refused
             }
-            None => EndNews::Suspected { moments },
+            None => EndOutcome::Suspected { moments },
         }
     }
 
     /// A request was answered whole; tells whether it was suspected or refused.
     pub fn note_answered(&mut self, request: RequestFingerprint, now: Millis) -> bool {
         self.answers.note(request, now);
-        self.clear_and_tell(request, true, now)
+        self.clear_and_report(request, true, now)
     }
 
     /// An operator releases a request. That is no answer: engines that end under it from
     /// now on count.
     pub fn note_released(&mut self, request: RequestFingerprint, now: Millis) -> bool {
-        self.clear_and_tell(request, false, now)
+        self.clear_and_report(request, false, now)
     }
 
-    pub(crate) fn clear_and_tell(
+    pub(crate) fn clear_and_report(
         &mut self,
         request: RequestFingerprint,
         is_answer: bool,
@@ -290,7 +295,7 @@
             }
             suspect.refusal = None;
         }
-        let is_needed = suspect.unproven > 0 || suspect.refusal.is_some();
+        let is_needed = suspect.undetermined > 0 || suspect.refusal.is_some();
         if suspect.evidence.ends().is_empty() && !is_needed {
             self.suspects.remove(&request);
         }
--- a/crates/quarantine/src/room.rs
+++ b/crates/quarantine/src/retention.rs
@@ -1,6 +1,6 @@
 //! How many requests are remembered, and which are forgotten first.
 
-use crate::exchange::CLEARING_MS;
+use crate::exchange::CLEARING_RETENTION_MS;
 use crate::fingerprint::RequestFingerprint;
 use crate::quarantine::Quarantine;
 use crate::suspect::Suspect;
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 
 /// Requests of one tenant that are remembered.
-pub const MAX_OF_TENANT: usize = 64;
+pub const MAX_PER_TENANT: usize = 64;
 /// Requests that are remembered: 300 bytes each.
 pub const MAX_REQUESTS: usize = 1_024;
 
@@ -21,33 +21,33 @@
         now: Millis,
     ) -> &mut Suspect {
         if !self.suspects.contains_key(&request) {
-            self.make_room(tenant, now);
+            self.evict_for(tenant, now);
         }
         let suspect = self.suspects.entry(request);
         suspect.or_insert_with(|| Suspect::new(tenant, now))
     }
 
     /// A tenant makes room among its own, so that no other's are forgotten for it.
-    fn make_room(&mut self, tenant: TenantTag, now: Millis) {
+    fn evict_for(&mut self, tenant: TenantTag, now: Millis) {
         if self.suspects.len() >= MAX_REQUESTS {
             self.expire(now);
         }
         let of_tenant = self.suspects.values();
         let of_tenant = of_tenant.filter(|known| known.tenant == tenant).count();
-        let crowded = match (
-            of_tenant >= MAX_OF_TENANT,
+        let evicted_tenant = match (
+            of_tenant >= MAX_PER_TENANT,
             self.suspects.len() >= MAX_REQUESTS,
         ) {
             (true, _) => Some(tenant),
             (false, true) => self.largest_tenant(),
             (false, false) => None,
         };
-        let Some(crowded) = crowded else {
+        let Some(evicted_tenant) = evicted_tenant else {
             return;
         };
         let suspects = self.suspects.iter();
-        let of_tenant = suspects.filter(|(_, known)| known.tenant == crowded);
-        let least = of_tenant.min_by_key(|(request, known)| (known.worth(), **request));
+        let of_tenant = suspects.filter(|(_, known)| known.tenant == evicted_tenant);
+        let least = of_tenant.min_by_key(|(request, known)| (known.retention_rank(), **request));
         if let Some(request) = least.map(|(request, _)| *request) {
             let forgotten = self.suspects.remove(&request);
             let refusal = forgotten.and_then(|suspect| suspect.refusal);
@@ -69,8 +69,8 @@
     }
 
     pub(crate) fn expire(&mut self, now: Millis) {
-        self.suspects.retain(|_, suspect| !suspect.is_over(now));
+        self.suspects.retain(|_, suspect| !suspect.is_expired(now));
         self.cleared
-            .retain(|cleared| now.since(cleared.at) < CLEARING_MS);
+            .retain(|cleared| now.since(cleared.at) < CLEARING_RETENTION_MS);
     }
 }
--- a/crates/quarantine/src/stored.rs
+++ b/crates/quarantine/src/stored.rs
@@ -1,7 +1,7 @@
 //! What the store has of refused requests, and what it should have.
 
 use crate::fingerprint::RequestFingerprint;
-use crate::news::{ToldRefusal, ToldRequest};
+use crate::node_messages::{ReportedRefusal, ReportedRequest};
 use crate::quarantine::Quarantine;
 use ploverlift_policy::ids::Millis;
 use ploverlift_routing::rate_limit::TenantTag;
@@ -10,7 +10,7 @@
 
 /// Time for which nodes leave it to the one that found out to store a refusal, in
 /// milliseconds.
-const STORED_BY_OTHERS_MS: u64 = 1_500;
+const STORE_GRACE_MS: u64 = 1_500;
 
 /// What is stored of a refused request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -25,18 +25,18 @@
 
 impl Quarantine {
     /// Whether the store's list is known to this node.
-    pub fn is_known(&self) -> bool {
-        self.is_known
+    pub fn is_stored_list_known(&self) -> bool {
+        self.is_stored_list_known
     }
 
     /// What the store holds is known, by its list or from a node that knows it.
-    pub fn set_known(&mut self) {
-        self.is_known = true;
+    pub fn mark_stored_list_known(&mut self) {
+        self.is_stored_list_known = true;
     }
 
     /// The store's list, as a call told that was sent at `sent`. What this node knew to be
     /// stored before and is not there was released by an operator; tells which.
-    pub fn take_list(
+    pub fn apply_stored_list(
         &mut self,
         stored: Vec<(RequestFingerprint, StoredRefusal)>,
         sent: Millis,
@@ -55,7 +55,7 @@
             self.note_deleted(*request);
         }
         for (request, refusal) in stored {
-            let told = ToldRequest {
+            let told = ReportedRequest {
                 request,
                 tenant: refusal.tenant,
                 ends: Vec::new(),
@@ -64,17 +64,17 @@
                 refusal: None,
                 clearing: None,
             };
-            let refusal = ToldRefusal {
+            let refusal = ReportedRefusal {
                 age_ms: 0,
                 trials: refusal.trials,
                 is_stored: true,
             };
             match self.is_refused(request) {
                 true => self.note_stored(request, refusal.trials, now),
-                false => self.hear_refusal(&told, refusal, now),
+                false => self.merge_refusal(&told, refusal, now),
             }
         }
-        self.is_known = true;
+        self.is_stored_list_known = true;
         released
     }
 
@@ -86,7 +86,7 @@
             let refusal = suspect
                 .refusal
                 .filter(|refusal| refusal.stored_at.is_none())?;
-            if !refusal.is_own && now.since(refusal.since) < STORED_BY_OTHERS_MS {
+            if !refusal.is_own && now.since(refusal.since) < STORE_GRACE_MS {
                 return None;
             }
             let stored = StoredRefusal {
@@ -119,7 +119,7 @@
     }
 
     /// Stored refusals that the store should hold no longer.
-    pub fn deletions(&self) -> Vec<RequestFingerprint> {
+    pub fn pending_deletions(&self) -> Vec<RequestFingerprint> {
         self.to_delete.clone()
     }
 
--- a/crates/quarantine/src/suspect.rs
+++ b/crates/quarantine/src/suspect.rs
@@ -10,21 +10,21 @@
 use std::collections::BTreeSet;
 
 /// Time for which a request stays suspected without another end, in milliseconds.
-const SUSPECTED_FOR_MS: u64 = 3_600_000;
+const SUSPICION_MS: u64 = 3_600_000;
 /// Time after which a refused request is given one trial, in milliseconds.
-const REFUSED_FOR_MS: u64 = 3_600_000;
+const TRIAL_INTERVAL_MS: u64 = 3_600_000;
 /// Trials that time alone gives a refused request; then an operator releases it, or other
 /// software does.
 const MAX_TRIALS: u32 = 2;
 /// Time after its last word for which a node's claim holds, in milliseconds: it is told
 /// again every 250 ms, so that three words may be lost.
-pub(crate) const CLAIM_HOLDS_MS: u64 = 1_000;
+pub(crate) const CLAIM_TIMEOUT_MS: u64 = 1_000;
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Claim {
     pub(crate) node: PeerId,
     pub(crate) is_sent: bool,
-    pub(crate) told_at: Millis,
+    pub(crate) reported_at: Millis,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -55,7 +55,7 @@
     pub(crate) claim: Option<Claim>,
     pub(crate) refusal: Option<Refusal>,
     /// Copies of this node whose engine may have ended.
-    pub(crate) unproven: u32,
+    pub(crate) undetermined: u32,
     pub(crate) changed_at: Millis,
     pub(crate) telling: Telling,
 }
@@ -68,7 +68,7 @@
             software: BTreeSet::new(),
             claim: None,
             refusal: None,
-            unproven: 0,
+            undetermined: 0,
             changed_at: now,
             telling: Telling::default(),
         }
@@ -82,26 +82,26 @@
 
     pub(crate) fn live_claim(&self, now: Millis) -> Option<Claim> {
         let claim = self.claim;
-        claim.filter(|claim| now.since(claim.told_at) < CLAIM_HOLDS_MS)
+        claim.filter(|claim| now.since(claim.reported_at) < CLAIM_TIMEOUT_MS)
     }
 
     /// What is forgotten first has the least value.
-    pub(crate) fn worth(&self) -> (bool, usize, Millis) {
+    pub(crate) fn retention_rank(&self) -> (bool, usize, Millis) {
         let is_refused = self.refusal.is_some();
         (is_refused, self.evidence.moments(), self.changed_at)
     }
 
-    pub(crate) fn is_over(&self, now: Millis) -> bool {
-        let is_old = now.since(self.changed_at) >= SUSPECTED_FOR_MS;
+    pub(crate) fn is_expired(&self, now: Millis) -> bool {
+        let is_old = now.since(self.changed_at) >= SUSPICION_MS;
         let is_empty = self.evidence.ends().is_empty() && self.live_claim(now).is_none();
-        self.refusal.is_none() && self.unproven == 0 && (is_old || is_empty)
+        self.refusal.is_none() && self.undetermined == 0 && (is_old || is_empty)
     }
 
     /// Time until a refused request has its next trial, in milliseconds.
     pub(crate) fn until_trial_ms(&self, refusal: Refusal, now: Millis) -> u64 {
         match refusal.trials < MAX_TRIALS {
-            true => REFUSED_FOR_MS.saturating_sub(now.since(refusal.since)),
-            false => REFUSED_FOR_MS,
+            true => TRIAL_INTERVAL_MS.saturating_sub(now.since(refusal.since)),
+            false => TRIAL_INTERVAL_MS,
         }
     }
 }
--- a/crates/quarantine/tests/quarantine.rs
+++ b/crates/quarantine/tests/quarantine.rs
@@ -2,11 +2,13 @@
 
 use ploverlift_balancing::names::{EngineTag, PeerId};
 use ploverlift_policy::ids::Millis;
-use ploverlift_quarantine::evidence::{speaks_against, EngineEnd};
-use ploverlift_quarantine::exchange::{HeardNews, Occasion};
+use ploverlift_quarantine::evidence::{counts_as_evidence, EngineEnd};
+use ploverlift_quarantine::exchange::{MergeOutcome, ReportOptions};
 use ploverlift_quarantine::fingerprint::{RequestFingerprint, RequestParts};
-use ploverlift_quarantine::quarantine::{EndNews, Permission, Quarantine, MOMENTS_UNTIL_REFUSED};
-use ploverlift_quarantine::room::{MAX_OF_TENANT, MAX_REQUESTS};
+use ploverlift_quarantine::quarantine::{
+    EndOutcome, Permission, Quarantine, MOMENTS_UNTIL_REFUSED,
+};
+use ploverlift_quarantine::retention::{MAX_PER_TENANT, MAX_REQUESTS};
 use ploverlift_routing::rate_limit::TenantTag;
 use ploverlift_routing::software::SoftwareVersion;
 
@@ -16,9 +18,9 @@
 const OTHER: PeerId = PeerId(2);
 const START: Millis = Millis(1_000_000);
 /// Everything is told.
-const ALL: Occasion = Occasion {
+const ALL: ReportOptions = ReportOptions {
     is_period: true,
-    tells_refused: true,
+    includes_refused: true,
     passes_on: false,
 };
 /// An hour, after which a refused request is tried, in milliseconds.
@@ -33,7 +35,7 @@
 }
 
 /// An engine runs a request for 100 ms and ends.
-fn note(quarantine: &mut Quarantine, engine: u32, at: Millis) -> EndNews {
+fn record_end(quarantine: &mut Quarantine, engine: u32, at: Millis) -> EndOutcome {
     let begun = Millis(at.0 - 100);
     let software = Some(SoftwareVersion("v1".to_owned()));
     quarantine.note_end(REQUEST, TENANT, end(engine, begun, at), software, at)
@@ -43,26 +45,26 @@
 fn refused() -> (Quarantine, Millis) {
     let mut quarantine = Quarantine::default();
     for engine in 1..MOMENTS_UNTIL_REFUSED as u32 {
-        let news = note(&mut quarantine, engine, START.plus(u64::from(engine) * 200));
+        let news = record_end(&mut quarantine, engine, START.plus(u64::from(engine) * 200));
         let moments = engine as usize;
-        assert_eq!(news, EndNews::Suspected { moments });
+        assert_eq!(news, EndOutcome::Suspected { moments });
     }
     let now = START.plus(1_000);
-    assert_eq!(note(&mut quarantine, 9, now), EndNews::Refused);
+    assert_eq!(record_end(&mut quarantine, 9, now), EndOutcome::Refused);
     (quarantine, now)
 }
 
 /// Everything that one node tells reaches another one.
-fn tell(from: &mut Quarantine, to: &mut Quarantine, now: Millis) -> Vec<HeardNews> {
-    let news = from.news(NODE, ALL, now);
+fn send_reports(from: &mut Quarantine, to: &mut Quarantine, now: Millis) -> Vec<MergeOutcome> {
+    let news = from.reports_due(NODE, ALL, now);
     let heard = news
         .iter()
-        .map(|told| to.hear(told, NODE, OTHER, false, now));
+        .map(|told| to.merge(told, NODE, OTHER, false, now));
     heard.collect()
 }
 
 #[test]
-fn a_request_is_the_same_in_each_attempt_and_another_for_each_of_its_parts() {
+fn the_fingerprint_is_stable_and_depends_on_each_part() {
     let parts = RequestParts {
         tenant: Some("a"),
         host: "h",
@@ -107,19 +109,19 @@
 }
 
 #[test]
-fn ends_at_three_moments_refuse_it_everywhere() {
+fn engine_ends_at_three_moments_refuse_the_request_everywhere() {
     let (mut quarantine, now) = refused();
-    let permission = quarantine.ask(REQUEST, false, now);
+    let permission = quarantine.permission_for(REQUEST, false, now);
     assert!(matches!(permission, Permission::Refused { retry_after_ms } if retry_after_ms > 0));
     let mut elsewhere = Quarantine::default();
     assert_eq!(
-        tell(&mut quarantine, &mut elsewhere, now),
-        [HeardNews::Refused]
+        send_reports(&mut quarantine, &mut elsewhere, now),
+        [MergeOutcome::Refused]
     );
     assert!(elsewhere.is_refused(REQUEST));
     assert_eq!(
-        tell(&mut quarantine, &mut elsewhere, now),
-        [HeardNews::None]
+        send_reports(&mut quarantine, &mut elsewhere, now),
+        [MergeOutcome::Unchanged]
     );
 }
 
@@ -132,7 +134,10 @@
         quarantine.note_end(REQUEST, TENANT, end(engine, START, at), None, at);
     }
     let now = START.plus(2_000);
-    assert_eq!(quarantine.ask(REQUEST, false, now), Permission::AfterClaim);
+    assert_eq!(
+        quarantine.permission_for(REQUEST, false, now),
+        Permission::AfterClaim
+    );
     // A copy that was sent after the first end had come about ends another engine.
     let mut quarantine = Quarantine::default();
     for engine in 0..MOMENTS_UNTIL_REFUSED as u32 {
@@ -144,146 +149,180 @@
 }
 
 #[test]
-fn a_whole_answer_clears_it_here_and_elsewhere() {
+fn a_whole_answer_clears_the_request_on_all_nodes() {
     let mut quarantine = Quarantine::default();
-    note(&mut quarantine, 1, START);
-    note(&mut quarantine, 2, START.plus(300));
+    record_end(&mut quarantine, 1, START);
+    record_end(&mut quarantine, 2, START.plus(300));
     let mut elsewhere = Quarantine::default();
-    tell(&mut quarantine, &mut elsewhere, START.plus(310));
+    send_reports(&mut quarantine, &mut elsewhere, START.plus(310));
     let now = START.plus(400);
     assert!(elsewhere.note_answered(REQUEST, now));
-    assert_eq!(elsewhere.ask(REQUEST, false, now), Permission::Free);
-    let news = elsewhere.news(OTHER, ALL, now);
+    assert_eq!(
+        elsewhere.permission_for(REQUEST, false, now),
+        Permission::Free
+    );
+    let news = elsewhere.reports_due(OTHER, ALL, now);
     for told in &news {
         assert_eq!(
-            quarantine.hear(told, OTHER, NODE, false, now),
-            HeardNews::Changed
+            quarantine.merge(told, OTHER, NODE, false, now),
+            MergeOutcome::Changed
         );
     }
-    assert_eq!(quarantine.ask(REQUEST, false, now), Permission::Free);
+    assert_eq!(
+        quarantine.permission_for(REQUEST, false, now),
+        Permission::Free
+    );
     // What is answered all the time is never suspected.
-    assert_eq!(note(&mut quarantine, 3, now.plus(5_000)), EndNews::Cleared);
     assert_eq!(
-        quarantine.ask(REQUEST, false, now.plus(5_000)),
+        record_end(&mut quarantine, 3, now.plus(5_000)),
+        EndOutcome::Cleared
+    );
+    assert_eq!(
+        quarantine.permission_for(REQUEST, false, now.plus(5_000)),
         Permission::Free
     );
 }
 
 #[test]
-fn under_suspicion_one_node_at_a_time_sends_it() {
+fn only_the_claiming_node_sends_a_suspected_request() {
     let mut here = Quarantine::default();
-    note(&mut here, 1, START);
+    record_end(&mut here, 1, START);
     let mut there = Quarantine::default();
-    tell(&mut here, &mut there, START);
+    send_reports(&mut here, &mut there, START);
     here.claim(REQUEST, NODE, START);
     there.claim(REQUEST, OTHER, START);
-    let from_here = here.news(NODE, ALL, START);
-    let from_there = there.news(OTHER, ALL, START);
+    let from_here = here.reports_due(NODE, ALL, START);
+    let from_there = there.reports_due(OTHER, ALL, START);
     for told in &from_there {
-        here.hear(told, OTHER, NODE, false, START);
+        here.merge(told, OTHER, NODE, false, START);
     }
     for told in &from_here {
-        there.hear(told, NODE, OTHER, false, START);
+        there.merge(told, NODE, OTHER, false, START);
     }
     let begun = [
-        here.begin(REQUEST, NODE, false, START),
-        there.begin(REQUEST, OTHER, false, START),
+        here.begin_attempt(REQUEST, NODE, false, START),
+        there.begin_attempt(REQUEST, OTHER, false, START),
     ];
     assert_eq!(begun, [true, false]);
     assert!(matches!(
-        there.ask(REQUEST, false, START),
+        there.permission_for(REQUEST, false, START),
         Permission::Busy { .. }
     ));
     // The claim of a node that is heard no more lapses.
     let later = START.plus(1_500);
-    assert_eq!(there.ask(REQUEST, false, later), Permission::AfterClaim);
+    assert_eq!(
+        there.permission_for(REQUEST, false, later),
+        Permission::AfterClaim
+    );
     here.release(REQUEST, NODE, START);
-    assert_eq!(here.ask(REQUEST, false, START), Permission::AfterClaim);
+    assert_eq!(
+        here.permission_for(REQUEST, false, START),
+        Permission::AfterClaim
+    );
 }
 
 #[test]
-fn while_an_engine_may_have_ended_nothing_else_is_sent() {
+fn nothing_is_sent_while_the_outcome_of_a_copy_is_unknown() {
     let mut quarantine = Quarantine::default();
-    quarantine.note_cut(REQUEST, TENANT, START);
+    quarantine.note_undetermined_outcome(REQUEST, TENANT, START);
     assert!(matches!(
-        quarantine.ask(REQUEST, false, START),
+        quarantine.permission_for(REQUEST, false, START),
         Permission::Busy { .. }
     ));
-    quarantine.note_found(REQUEST);
-    assert_eq!(quarantine.ask(REQUEST, false, START), Permission::Free);
+    quarantine.note_determined_outcome(REQUEST);
+    assert_eq!(
+        quarantine.permission_for(REQUEST, false, START),
+        Permission::Free
+    );
 }
 
 #[test]
-fn time_gives_a_refused_request_two_trials_and_no_more() {
+fn a_refused_request_gets_two_timed_trials_and_no_more() {
     let (mut quarantine, mut now) = refused();
     for trial in 0..4 {
         now = now.plus(HOUR_MS);
-        let is_tried = quarantine.ask(REQUEST, false, now) == Permission::AfterClaim;
+        let is_tried = quarantine.permission_for(REQUEST, false, now) == Permission::AfterClaim;
         assert_eq!(is_tried, trial < 2);
         quarantine.claim(REQUEST, NODE, now);
-        assert_eq!(quarantine.begin(REQUEST, NODE, false, now), is_tried);
+        assert_eq!(
+            quarantine.begin_attempt(REQUEST, NODE, false, now),
+            is_tried
+        );
         quarantine.release(REQUEST, NODE, now);
         // The trial counts, however it ends: a second copy is not sent.
         assert!(matches!(
-            quarantine.ask(REQUEST, false, now),
+            quarantine.permission_for(REQUEST, false, now),
             Permission::Refused { .. }
         ));
     }
 }
 
 #[test]
-fn other_software_gives_it_a_trial_whose_answer_releases_it() {
+fn new_software_allows_a_trial_whose_answer_releases_the_request() {
     let (mut quarantine, now) = refused();
-    assert_eq!(quarantine.ask(REQUEST, true, now), Permission::AfterClaim);
+    assert_eq!(
+        quarantine.permission_for(REQUEST, true, now),
+        Permission::AfterClaim
+    );
     let stored = quarantine.unstored(now);
     assert_eq!(stored.len(), 1);
     quarantine.note_stored(REQUEST, stored[0].1.trials, now);
     quarantine.claim(REQUEST, NODE, now);
-    assert!(quarantine.begin(REQUEST, NODE, true, now));
+    assert!(quarantine.begin_attempt(REQUEST, NODE, true, now));
     assert!(quarantine.note_answered(REQUEST, now.plus(50)));
     assert_eq!(
-        quarantine.ask(REQUEST, false, now.plus(60)),
+        quarantine.permission_for(REQUEST, false, now.plus(60)),
         Permission::Free
     );
 }
 
 #[test]
-fn the_stores_list_is_taken_over_and_what_an_operator_removed_is_released() {
+fn the_stored_list_is_applied_and_removed_requests_are_released() {
     let (mut quarantine, now) = refused();
     let stored = quarantine.unstored(now);
     quarantine.note_stored(REQUEST, 0, now);
     assert!(quarantine.unstored(now).is_empty());
     // All nodes have started again.
     let mut restarted = Quarantine::default();
-    assert!(!restarted.is_known());
-    restarted.take_list(stored, START, START.plus(5));
-    assert!(restarted.is_known());
+    assert!(!restarted.is_stored_list_known());
+    restarted.apply_stored_list(stored, START, START.plus(5));
+    assert!(restarted.is_stored_list_known());
     assert!(restarted.is_refused(REQUEST));
     // A list that was asked for before the object was known to be there shows nothing.
-    assert!(quarantine.take_list(Vec::new(), START, now).is_empty());
+    assert!(quarantine
+        .apply_stored_list(Vec::new(), START, now)
+        .is_empty());
     let later = now.plus(1_000);
-    assert_eq!(quarantine.take_list(Vec::new(), later, later), [REQUEST]);
-    assert_eq!(quarantine.ask(REQUEST, false, later), Permission::Free);
+    assert_eq!(
+        quarantine.apply_stored_list(Vec::new(), later, later),
+        [REQUEST]
+    );
+    assert_eq!(
+        quarantine.permission_for(REQUEST, false, later),
+        Permission::Free
+    );
     // Those that have not read the list yet tell of it no more.
-    for told in restarted.news(OTHER, ALL, later) {
-        quarantine.hear(&told, OTHER, NODE, false, later);
+    for told in restarted.reports_due(OTHER, ALL, later) {
+        quarantine.merge(&told, OTHER, NODE, false, later);
     }
     assert!(!quarantine.is_refused(REQUEST));
     // A release is no answer: the next ends count.
     assert_eq!(
-        note(&mut quarantine, 20, later),
-        EndNews::Suspected { moments: 1 }
+        record_end(&mut quarantine, 20, later),
+        EndOutcome::Suspected { moments: 1 }
     );
 }
 
 /// A store that came back from a copy lacked a refusal, which was taken for its release.
 #[test]
-fn a_refusal_that_the_store_has_lost_is_stored_again_and_not_released() {
+fn a_refusal_that_the_store_lost_is_stored_again_and_not_released() {
     let (mut quarantine, now) = refused();
     quarantine.note_stored(REQUEST, 0, now);
     quarantine.note_store_restored();
     let later = now.plus(10_000);
-    assert!(quarantine.take_list(Vec::new(), later, later).is_empty());
+    assert!(quarantine
+        .apply_stored_list(Vec::new(), later, later)
+        .is_empty());
     assert!(quarantine.is_refused(REQUEST));
     let unstored = quarantine.unstored(later);
     assert_eq!(unstored.len(), 1);
@@ -291,7 +330,7 @@
 }
 
 #[test]
-fn a_tenant_with_a_thousand_of_them_forgets_its_own_only() {
+fn a_tenant_with_many_suspects_evicts_only_its_own() {
     let (mut quarantine, now) = refused();
     for number in 0..2_000 {
         let request = RequestFingerprint(1_000 + number);
@@ -300,7 +339,7 @@
         quarantine.note_end(request, TenantTag(2), ended, None, at);
     }
     assert!(quarantine.is_refused(REQUEST));
-    assert!(quarantine.len() <= MAX_OF_TENANT + 1);
+    assert!(quarantine.len() <= MAX_PER_TENANT + 1);
     for tenant in 0..2_000 {
         let ended = end(tenant as u32 + 5_000, now, now);
         let request = RequestFingerprint(10_000 + tenant);
@@ -311,8 +350,8 @@
 }
 
 #[test]
-fn an_engine_that_had_streamed_for_long_says_nothing_of_the_request() {
-    assert!(speaks_against(0));
-    assert!(speaks_against(900));
-    assert!(!speaks_against(2_100));
+fn the_end_of_a_long_stream_is_no_evidence() {
+    assert!(counts_as_evidence(0));
+    assert!(counts_as_evidence(900));
+    assert!(!counts_as_evidence(2_100));
 }
