--- a/crates/quarantine/benches/decision.rs
+++ b/crates/quarantine/benches/decision.rs
@@ -1,4 +1,4 @@
-//! What each request costs: its fingerprint, and whether it may be sent.
+//! The cost per request of computing its fingerprint and checking its permission.
 
 use criterion::{criterion_group, criterion_main, Criterion};
 use ploverlift_balancing::names::EngineTag;
@@ -10,7 +10,7 @@
 use ploverlift_routing::rate_limit::TenantTag;
 use std::hint::black_box;
 
-/// Bytes of a long prompt.
+/// Size of a long prompt, in bytes.
 const BODY_BYTES: usize = 34_000;
 
 fn decide(criterion: &mut Criterion) {
--- a/crates/quarantine/src/answers.rs
+++ b/crates/quarantine/src/answers.rs
@@ -1,17 +1,17 @@
-//! Requests that engines have answered whole.
+//! Requests that engines have fully answered.
 
 use crate::fingerprint::RequestFingerprint;
 use ploverlift_policy::ids::Millis;
 use std::collections::{HashMap, VecDeque};
 
-/// Time after a whole answer in which an engine's end says nothing of the request, in
-/// milliseconds: a request that ends engines has no answer at all, and one that many ask
-/// for has one every moment.
+/// Time after a full answer during which the end of an engine is no evidence against the
+/// request, in milliseconds. A request that ends engines is never answered, whereas a
+/// popular request is answered continuously.
 const ANSWER_VALIDITY_MS: u64 = 60_000;
-/// Answers that are remembered: 24 bytes each, the latest ones.
+/// Number of latest answers that are kept, of 24 bytes each.
 const MAX_ANSWERS: usize = 4_096;
 
-/// When which requests were answered last.
+/// The time of the last full answer of recent requests.
 #[derive(Clone, Debug, Default)]
 pub struct RecentAnswers {
     at: HashMap<RequestFingerprint, Millis>,
@@ -19,7 +19,7 @@
 }
 
 impl RecentAnswers {
-    /// A whole answer came.
+    /// Records a full answer.
     pub fn note(&mut self, request: RequestFingerprint, at: Millis) {
         let known = self.at.insert(request, at);
         match known {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether an answer speaks for the request when an engine ended at `ended_at`.
+    /// Whether a recent answer clears the request of an engine's end at `ended_at`.
     pub fn clear(&self, request: RequestFingerprint, ended_at: Millis) -> bool {
         let answered = self.at.get(&request);
         answered.is_some_and(|answered| ended_at.since(*answered) < ANSWER_VALIDITY_MS)
--- a/crates/quarantine/src/evidence.rs
+++ b/crates/quarantine/src/evidence.rs
@@ -1,32 +1,32 @@
-//! What speaks against one request: engines that ended while they ran it.
+//! The evidence against one request: engines that ended while running it.
 
 use ploverlift_balancing::names::EngineTag;
 use ploverlift_policy::ids::Millis;
 
-/// Ends within this time count once, in milliseconds, where each copy was sent before the
-/// other engine ended. A rack or a zone that goes dark takes the engines of all copies of a
-/// request at one moment, and no request did that.
+/// Engine ends within this time count once, in milliseconds, if each copy was sent before
+/// the other engine ended. A power failure of a rack or a zone ends the engines of all
+/// copies of a request at one moment, which no request causes.
 const SAME_MOMENT_MS: u64 = 100;
-/// Ends that are remembered: more prove nothing more.
+/// Number of recorded ends; further ones add no evidence.
 const MAX_ENDS: usize = 8;
 
-/// Time for which an engine streamed the answer after which its end says nothing of the
-/// request, in milliseconds: one that ends engines does so when they begin it, and a long
-/// answer is under way at each end that comes about for other reasons.
+/// Time for which an engine has streamed the answer after which its end is no evidence
+/// against the request, in milliseconds. A request that ends engines does so early, whereas
+/// a long answer is in flight whenever an engine ends for another reason.
 const MIN_HEALTHY_STREAM_MS: u64 = 1_000;
 
-/// Whether the end of an engine that had streamed the answer for so long, in milliseconds,
-/// speaks against the request. Without an event that time is 0.
+/// Whether the end of an engine that had streamed the answer for `streamed_ms` milliseconds
+/// is evidence against the request. The time is 0 if no event was received.
 pub fn counts_as_evidence(streamed_ms: u64) -> bool {
     streamed_ms < MIN_HEALTHY_STREAM_MS
 }
 
-/// An engine that ended while it ran the request.
+/// An engine that ended while running the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineEnd {
     /// The engine.
     pub engine: EngineTag,
-    /// When the request was sent there.
+    /// When the request was sent to it.
     pub begun: Millis,
     /// When it ended.
     pub at: Millis,
@@ -39,7 +39,7 @@
 }
 
 impl Evidence {
-    /// Takes in an end; tells whether it was news.
+    /// Records an end. Returns whether it was new.
     pub fn add(&mut self, end: EngineEnd) -> bool {
         let is_known = self.ends.iter().any(|known| known.engine == end.engine);
         if is_known || self.ends.len() >= MAX_ENDS {
@@ -50,7 +50,7 @@
         true
     }
 
-    /// Forgets what came before a whole answer.
+    /// Removes the ends up to the time of a full answer.
     pub fn clear_until(&mut self, answered_at: Millis) {
         self.ends.retain(|end| end.at > answered_at);
     }
@@ -60,7 +60,7 @@
         &self.ends
     }
 
-    /// Moments at which engines ended.
+    /// Number of separate moments at which engines ended.
     pub fn moments(&self) -> usize {
         let mut moments = 0;
         let mut moment: Option<Millis> = None;
--- a/crates/quarantine/src/exchange.rs
+++ b/crates/quarantine/src/exchange.rs
@@ -1,4 +1,4 @@
-//! What a node tells the others, and what it takes in from them.
+//! Reports that a node sends to and merges from other nodes.
 
 use crate::evidence::EngineEnd;
 use crate::fingerprint::RequestFingerprint;
@@ -12,27 +12,28 @@
 use ploverlift_policy::telling::Telling;
 use std::cmp::Reverse;
 
-/// Time for which a clearing is remembered, in milliseconds: whoever has not heard of it
-/// yet may tell for so long that the request is refused.
+/// Time for which a clearing is kept, in milliseconds. Nodes that do not know of it yet may
+/// report the request as refused for that long.
 pub(crate) const CLEARING_RETENTION_MS: u64 = 10_000;
 
-/// When something is told.
+/// What to include in the reports.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReportOptions {
-    /// Whether claims are told again.
+    /// Whether claims are repeated.
     pub is_period: bool,
-    /// Whether some of what is refused is told again in turn, though it has not changed.
+    /// Whether some refused requests are repeated in rotation although they have not
+    /// changed.
     pub includes_refused: bool,
-    /// Whether this node passes on what others have claimed.
+    /// Whether this node relays the claims of other nodes.
     pub passes_on: bool,
 }
 
-/// What another node's word changed here.
+/// The effect of a merged report on this node's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// Nothing.
+    /// No change.
     Unchanged,
-    /// Something, of which others should hear.
+    /// The state changed; other nodes should be notified.
     Changed,
     /// The request is refused from now on.
     Refused,
@@ -56,8 +57,8 @@
 }
 
 impl Quarantine {
-    /// What is told now: changes that are due, the most serious ones first, and what the
-    /// occasion asks for.
+    /// The reports to send now: due changes, the most serious ones first, and what
+    /// `options` ask for.
     pub fn reports_due(
         &mut self,
         own: PeerId,
@@ -148,8 +149,8 @@
         }
     }
 
-    /// Takes in what another node, `from`, tells; tells whether it was news. A relay
-    /// `passes_on` what is; others leave it to whoever found it out.
+    /// Merges a report of the node `from` and returns its effect. A relay sets `passes_on`
+    /// and forwards changes; other nodes leave that to the node that detected them.
     pub fn merge(
         &mut self,
         told: &ReportedRequest,
@@ -258,8 +259,9 @@
         }
     }
 
-    /// A claim that is being sent goes before one that waits, and a lower name before a
-    /// higher one. Only the holder says that a claim is over; else it lapses.
+    /// Merges a claim. A claim whose request is being sent has precedence over one that
+    /// waits, and otherwise the claim of the lower node identifier. Only the claiming node
+    /// can end its claim; otherwise the claim expires.
     fn merge_claim(&mut self, told: &ReportedRequest, from: PeerId, own: PeerId, now: Millis) {
         let Some(suspect) = self.suspects.get_mut(&told.request) else {
             return;
--- a/crates/quarantine/src/fingerprint.rs
+++ b/crates/quarantine/src/fingerprint.rs
@@ -1,17 +1,17 @@
-//! What a request is, whoever sends it, when and in which attempt.
+//! Identification of a request, independent of its sender, time and attempt.
 
 use std::fmt;
 use std::num::ParseIntError;
 use std::str::FromStr;
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// What is the same in each repeat of a request.
+/// The parts of a request that are the same in each repetition.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestParts<'a> {
-    /// The tenant, not its key: keys are rotated. Nobody can have the request of another
-    /// tenant refused.
+    /// The tenant rather than its key, as keys are rotated. With the tenant included,
+    /// nobody can cause the request of another tenant to be refused.
     pub tenant: Option<&'a str>,
-    /// The host that it names.
+    /// The requested host.
     pub host: &'a str,
     /// The method.
     pub method: &'a str,
@@ -21,9 +21,9 @@
     pub body: &'a [u8],
 }
 
-/// The hash of a request's parts (XXH3, 64 bits). Two of a billion requests share one
-/// with a probability of 3 in 100, and of a thousand that are quarantined one shares its
-/// own with one of a billion others with a probability of 5 in 100 million.
+/// The hash of a request's parts (XXH3, 64 bits). The probability that any two of a billion
+/// requests collide is 3 in 100. The probability that any of a thousand quarantined
+/// requests collides with one of a billion others is 5 in 100 million.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestFingerprint(pub u64);
 
@@ -34,7 +34,7 @@
         let texts = [parts.host, parts.method, parts.target];
         hasher.update(&[u8::from(parts.tenant.is_some())]);
         for text in parts.tenant.iter().chain(&texts) {
-            // With the length in front no two lists of parts read the same.
+            // The length prefix makes the encoding of the parts unambiguous.
             hasher.update(&(text.len() as u64).to_le_bytes());
             hasher.update(text.as_bytes());
         }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,19 +1,19 @@
-//! Requests that end the engines that run them, and what becomes of their repeats.
+//! Quarantine of requests that end the engines that run them.
 //!
-//! Pure: no I/O, no clock, no randomness. A request is known by its [`fingerprint`], not by
-//! an attempt: what it did is remembered by the whole fleet, and outlives all nodes once it
-//! is refused.
+//! Pure: no I/O, no clock, no randomness. A request is identified by its [`fingerprint`]
+//! and not by an attempt: its effects are known to the whole fleet, and once it is refused,
+//! that is kept even if all nodes restart.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | [`fingerprint`] | what a request is, in whichever attempt |
-//! | [`evidence`] | engines that ended while they ran it |
-//! | [`answers`] | whole answers, which speak for a request |
+//! | [`fingerprint`] | identification of a request, in any attempt |
+//! | [`evidence`] | engines that ended while running it |
+//! | [`answers`] | full answers, which clear a request |
 //! | [`quarantine`] | which requests may be sent |
-//! | `suspect` | what is known against one request |
-//! | [`retention`] | how many are remembered |
-//! | [`node_messages`], [`exchange`] | what nodes tell each other |
-//! | [`stored`] | what the store has |
+//! | `suspect` | the evidence against one request |
+//! | [`retention`] | how many requests are recorded |
+//! | [`node_messages`], [`exchange`] | reports that nodes exchange |
+//! | [`stored`] | refused requests in the store |
 
 pub mod answers;
 pub mod evidence;
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -1,9 +1,9 @@
-//! Which requests may be sent to an engine, by what they did to engines before.
+//! Decides which requests may be sent to an engine, given the engines that ended under them.
 //!
 //! ```text
 //! no end ─▶ free ─▶ an engine ended ─▶ suspected: one copy at a time in the fleet
 //!             ▲                            │ ends at three moments
-//!             └── whole answer, operator ──┴─▶ refused everywhere, kept in the store
+//!             └── full answer, operator ───┴─▶ refused on all nodes, kept in the store
 //! ```
 
 use crate::answers::RecentAnswers;
@@ -17,64 +17,64 @@
 use ploverlift_routing::software::SoftwareVersion;
 use std::collections::{BTreeSet, HashMap};
 
-/// Moments at which engines ended under a request from which on it is refused.
+/// Number of separate moments with engine ends after which a request is refused.
 pub const MOMENTS_UNTIL_REFUSED: usize = 3;
-/// Time to come back while another copy of a suspected request runs, in milliseconds.
+/// Retry time while another copy of a suspected request runs, in milliseconds.
 const BUSY_RETRY_MS: u64 = 500;
 
 /// Whether a request may be sent to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permission {
-    /// Nothing speaks against it.
+    /// There is no evidence against it.
     Free,
-    /// An engine ended under it: a node that has claimed it may send it.
+    /// An engine ended while running it: only a node that has claimed it may send it.
     AfterClaim,
-    /// Another copy of it runs, or it is being found out what one did.
+    /// Another copy of it runs, or the outcome of one is still unknown.
     Busy {
-        /// Moments at which engines ended under it.
+        /// Number of separate moments at which engines ended under it.
         moments: usize,
-        /// When to come back, in milliseconds.
+        /// Time after which to retry, in milliseconds.
         retry_after_ms: u64,
     },
     /// Engines ended under it at three moments.
     Refused {
-        /// When it could work again, in milliseconds.
+        /// Time until its next trial, in milliseconds.
         retry_after_ms: u64,
     },
 }
 
-/// What an engine's end showed of a request.
+/// The effect of an engine's end on the state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndOutcome {
-    /// It was answered whole a short time ago: the engine ended for another reason.
+    /// The request was fully answered recently, so the engine ended for another reason.
     Cleared,
-    /// It is known already.
+    /// The end is already known or the request is already refused.
     Known,
-    /// It is suspected; engines ended under it at so many moments.
+    /// The request is suspected.
     Suspected {
-        /// The moments.
+        /// Number of separate moments at which engines ended under it.
         moments: usize,
     },
-    /// It is refused from now on.
+    /// The request is refused from now on.
     Refused,
 }
 
-/// What this node knows of requests under which engines ended.
+/// The state of one node about requests under which engines ended.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     pub(crate) suspects: HashMap<RequestFingerprint, Suspect>,
     pub(crate) answers: RecentAnswers,
     pub(crate) cleared: Vec<Cleared>,
-    /// Refused requests that are stored and were released or forgotten.
+    /// Stored requests to be deleted from the store, as they were released or evicted.
     pub(crate) to_delete: Vec<RequestFingerprint>,
-    /// Whether the store's list is known.
+    /// Whether the list of refused requests in the store is known.
     pub(crate) is_stored_list_known: bool,
     pub(crate) next_repeated: usize,
 }
 
 impl Quarantine {
-    /// Whether a request may be sent. `has_new_software` tells whether its service has no
-    /// engine left of the software that ended under it.
+    /// Whether a request may be sent. `has_new_software` is whether its service has no
+    /// engine left with the software of the engines that ended under it.
     pub fn permission_for(
         &self,
         request: RequestFingerprint,
@@ -113,23 +113,23 @@
         suspect.refusal.map(|_| &suspect.software)
     }
 
-    /// Whether nothing at all is known against any request.
+    /// Whether there is no evidence against any request.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Requests of which something is known.
+    /// Number of requests with recorded state.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Requests that are refused.
+    /// Number of refused requests.
     pub fn refused(&self) -> usize {
         let suspects = self.suspects.values();
         suspects.filter(|known| known.refusal.is_some()).count()
     }
 
-    /// A node claims a request that it would send.
+    /// Claims a request for this node before it is sent.
     pub fn claim(&mut self, request: RequestFingerprint, own: PeerId, now: Millis) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.claim = Some(Claim {
@@ -141,8 +141,9 @@
         }
     }
 
-    /// Whether the claim of this node still stands right before the request is sent, and
-    /// so may be sent. From then on no other claim goes before it.
+    /// Marks an attempt as sent if this node's claim is still valid right before sending.
+    /// Returns whether the request may be sent. From then on, this claim has precedence
+    /// over all others.
     pub fn begin_attempt(
         &mut self,
         request: RequestFingerprint,
@@ -167,7 +168,8 @@
         claim.is_sent = true;
         claim.reported_at = now;
         if let Some(refusal) = &mut suspect.refusal {
-            // Counted before it runs: whoever ends with it must not forget it.
+            // Counted before the request runs, so that the trial is recorded even if this
+            // node ends during it.
             refusal.trials += 1;
             refusal.since = now;
             refusal.stored_at = None;
@@ -177,19 +179,19 @@
         true
     }
 
-    /// Whether a node's claim stands.
+    /// Whether a node has claimed a request.
     pub fn is_claimed_by(&self, request: RequestFingerprint, node: PeerId) -> bool {
         let claim = self.suspects.get(&request).and_then(|known| known.claim);
         claim.is_some_and(|claim| claim.node == node)
     }
 
-    /// Whether the engine of a copy of this node may have ended, and it is not known yet.
+    /// Whether it is still unknown if the engine of a copy sent by this node has ended.
     pub fn is_outcome_pending(&self, request: RequestFingerprint) -> bool {
         let suspect = self.suspects.get(&request);
         suspect.is_some_and(|suspect| suspect.undetermined > 0)
     }
 
-    /// The copy of this node that held the claim is over.
+    /// Releases the claim of this node after its copy has finished.
     pub fn release(&mut self, request: RequestFingerprint, own: PeerId, now: Millis) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
             if suspect.claim.is_some_and(|claim| claim.node == own) {
@@ -199,8 +201,8 @@
         }
     }
 
-    /// The engine of a copy may have ended: nobody here sends another one before that is
-    /// found out.
+    /// Records that the engine of a copy may have ended. This node sends no other copy
+    /// until the outcome is determined.
     pub fn note_undetermined_outcome(
         &mut self,
         request: RequestFingerprint,
@@ -210,14 +212,14 @@
         self.suspect(request, tenant, now).undetermined += 1;
     }
 
-    /// It was found out of a copy that was cut.
+    /// Records that the outcome of a copy has been determined.
     pub fn note_determined_outcome(&mut self, request: RequestFingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.undetermined = suspect.undetermined.saturating_sub(1);
         }
     }
 
-    /// An engine has ended under a request.
+    /// Records that an engine ended while running a request.
     pub fn note_end(
         &mut self,
         request: RequestFingerprint,
@@ -251,14 +253,15 @@
         }
     }
 
-    /// A request was answered whole; tells whether it was suspected or refused.
+    /// Records that a request was fully answered. Returns whether it was suspected or
+    /// refused.
     pub fn note_answered(&mut self, request: RequestFingerprint, now: Millis) -> bool {
         self.answers.note(request, now);
         self.clear_and_report(request, true, now)
     }
 
-    /// An operator releases a request. That is no answer: engines that end under it from
-    /// now on count.
+    /// Records that an operator released a request. Unlike an answer, this does not excuse
+    /// later ends: engines that end under it from now on count.
     pub fn note_released(&mut self, request: RequestFingerprint, now: Millis) -> bool {
         self.clear_and_report(request, false, now)
     }
--- a/crates/quarantine/src/retention.rs
+++ b/crates/quarantine/src/retention.rs
@@ -1,4 +1,4 @@
-//! How many requests are remembered, and which are forgotten first.
+//! Limits on the number of recorded requests, and their eviction order.
 
 use crate::exchange::CLEARING_RETENTION_MS;
 use crate::fingerprint::RequestFingerprint;
@@ -8,9 +8,9 @@
 use ploverlift_routing::rate_limit::TenantTag;
 use std::collections::HashMap;
 
-/// Requests of one tenant that are remembered.
+/// Most recorded requests of one tenant.
 pub const MAX_PER_TENANT: usize = 64;
-/// Requests that are remembered: 300 bytes each.
+/// Most recorded requests, of 300 bytes each.
 pub const MAX_REQUESTS: usize = 1_024;
 
 impl Quarantine {
@@ -27,7 +27,9 @@
         suspect.or_insert_with(|| Suspect::new(tenant, now))
     }
 
-    /// A tenant makes room among its own, so that no other's are forgotten for it.
+    /// Evicts one of the tenant's own requests, so that it does not displace those of other
+    /// tenants. If the tenant has few and the total is reached, a request of the largest
+    /// tenant is evicted.
     fn evict_for(&mut self, tenant: TenantTag, now: Millis) {
         if self.suspects.len() >= MAX_REQUESTS {
             self.expire(now);
--- a/crates/quarantine/src/stored.rs
+++ b/crates/quarantine/src/stored.rs
@@ -1,4 +1,4 @@
-//! What the store has of refused requests, and what it should have.
+//! Refused requests in the store: what it holds and what it should hold.
 
 use crate::fingerprint::RequestFingerprint;
 use crate::node_messages::{ReportedRefusal, ReportedRequest};
@@ -8,34 +8,36 @@
 use ploverlift_routing::software::SoftwareVersion;
 use std::collections::BTreeSet;
 
-/// Time for which nodes leave it to the one that found out to store a refusal, in
+/// Time for which other nodes leave it to the detecting node to store a refusal, in
 /// milliseconds.
 const STORE_GRACE_MS: u64 = 1_500;
 
-/// What is stored of a refused request.
+/// The stored state of a refused request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredRefusal {
     /// Its tenant.
     pub tenant: TenantTag,
     /// Versions of the software of the engines that ended.
     pub software: Vec<SoftwareVersion>,
-    /// Trials that it was given.
+    /// Number of trials so far.
     pub trials: u32,
 }
 
 impl Quarantine {
-    /// Whether the store's list is known to this node.
+    /// Whether this node knows the stored list of refused requests.
     pub fn is_stored_list_known(&self) -> bool {
         self.is_stored_list_known
     }
 
-    /// What the store holds is known, by its list or from a node that knows it.
+    /// Records that the stored refusals are known, from the store's list or from a node
+    /// that knows it.
     pub fn mark_stored_list_known(&mut self) {
         self.is_stored_list_known = true;
     }
 
-    /// The store's list, as a call told that was sent at `sent`. What this node knew to be
-    /// stored before and is not there was released by an operator; tells which.
+    /// Applies the store's list, as returned by a call that was sent at `sent`. Requests
+    /// that this node knew to be stored before then and that are missing from the list were
+    /// released by an operator; they are returned.
     pub fn apply_stored_list(
         &mut self,
         stored: Vec<(RequestFingerprint, StoredRefusal)>,
@@ -78,8 +80,8 @@
         released
     }
 
-    /// Refused requests that this node should store: those that it found out itself, and
-    /// those that whoever found them out has not stored in time.
+    /// Refused requests that this node should store: those that it detected itself, and
+    /// those that the detecting node has not stored in time.
     pub fn unstored(&self, now: Millis) -> Vec<(RequestFingerprint, StoredRefusal)> {
         let suspects = self.suspects.iter();
         let unstored = suspects.filter_map(|(request, suspect)| {
@@ -99,7 +101,7 @@
         unstored.collect()
     }
 
-    /// The store has a refused request, with so many trials.
+    /// Records that the store holds a refused request with `trials` trials.
     pub fn note_stored(&mut self, request: RequestFingerprint, trials: u32, now: Millis) {
         let suspect = self.suspects.get_mut(&request);
         let refusal = suspect.and_then(|suspect| suspect.refusal.as_mut());
@@ -109,8 +111,8 @@
         }
     }
 
-    /// The store has come back from a copy: it may lack refusals that it had, which no
-    /// operator has released.
+    /// Records that the store was restored from a copy. It may lack refusals that it had
+    /// before, without an operator having released them.
     pub fn note_store_restored(&mut self) {
         let suspects = self.suspects.values_mut();
         for refusal in suspects.filter_map(|suspect| suspect.refusal.as_mut()) {
@@ -118,12 +120,12 @@
         }
     }
 
-    /// Stored refusals that the store should hold no longer.
+    /// Refusals to be deleted from the store.
     pub fn pending_deletions(&self) -> Vec<RequestFingerprint> {
         self.to_delete.clone()
     }
 
-    /// The store holds a refusal no longer.
+    /// Records that a refusal was deleted from the store.
     pub fn note_deleted(&mut self, request: RequestFingerprint) {
         self.to_delete.retain(|known| *known != request);
     }
--- a/crates/quarantine/src/suspect.rs
+++ b/crates/quarantine/src/suspect.rs
@@ -1,4 +1,4 @@
-//! What is known against one request, and who may send it.
+//! The evidence against one request, its claim and its refusal.
 
 use crate::evidence::Evidence;
 use crate::fingerprint::RequestFingerprint;
@@ -9,15 +9,15 @@
 use ploverlift_routing::software::SoftwareVersion;
 use std::collections::BTreeSet;
 
-/// Time for which a request stays suspected without another end, in milliseconds.
+/// Time for which a request stays suspected without a further engine end, in milliseconds.
 const SUSPICION_MS: u64 = 3_600_000;
-/// Time after which a refused request is given one trial, in milliseconds.
+/// Time after which a refused request gets one trial, in milliseconds.
 const TRIAL_INTERVAL_MS: u64 = 3_600_000;
-/// Trials that time alone gives a refused request; then an operator releases it, or other
-/// software does.
+/// Number of timed trials of a refused request. After these, only an operator or new
+/// software releases it.
 const MAX_TRIALS: u32 = 2;
-/// Time after its last word for which a node's claim holds, in milliseconds: it is told
-/// again every 250 ms, so that three words may be lost.
+/// Time for which a node's claim is valid after its last report, in milliseconds. It is
+/// reported every 250 ms, so three reports may be lost.
 pub(crate) const CLAIM_TIMEOUT_MS: u64 = 1_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -31,13 +31,13 @@
 pub(crate) struct Refusal {
     pub(crate) since: Millis,
     pub(crate) trials: u32,
-    /// Since when this node knows that the store has it.
+    /// When this node learned that the refusal is stored.
     pub(crate) stored_at: Option<Millis>,
-    /// Whether this node found it out, and so stores it at once.
+    /// Whether this node detected it and therefore stores it at once.
     pub(crate) is_own: bool,
 }
 
-/// A request that was cleared a short time ago.
+/// A request that was cleared recently.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Cleared {
     pub(crate) request: RequestFingerprint,
@@ -54,7 +54,7 @@
     pub(crate) software: BTreeSet<SoftwareVersion>,
     pub(crate) claim: Option<Claim>,
     pub(crate) refusal: Option<Refusal>,
-    /// Copies of this node whose engine may have ended.
+    /// Number of copies sent by this node whose engine may have ended.
     pub(crate) undetermined: u32,
     pub(crate) changed_at: Millis,
     pub(crate) telling: Telling,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Something has changed of which the others should hear.
+    /// Records a change that the other nodes should be notified of.
     pub(crate) fn change(&mut self, now: Millis) {
         self.changed_at = now;
         self.telling = Telling::begin(now);
@@ -85,7 +85,7 @@
         claim.filter(|claim| now.since(claim.reported_at) < CLAIM_TIMEOUT_MS)
     }
 
-    /// What is forgotten first has the least value.
+    /// Eviction order: the lowest rank is evicted first.
     pub(crate) fn retention_rank(&self) -> (bool, usize, Millis) {
         let is_refused = self.refusal.is_some();
         (is_refused, self.evidence.moments(), self.changed_at)
@@ -97,7 +97,7 @@
         self.refusal.is_none() && self.undetermined == 0 && (is_old || is_empty)
     }
 
-    /// Time until a refused request has its next trial, in milliseconds.
+    /// Time until the next trial of a refused request, in milliseconds.
     pub(crate) fn until_trial_ms(&self, refusal: Refusal, now: Millis) -> u64 {
         match refusal.trials < MAX_TRIALS {
             true => TRIAL_INTERVAL_MS.saturating_sub(now.since(refusal.since)),
--- a/crates/quarantine/tests/quarantine.rs
+++ b/crates/quarantine/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests may be sent, by what they did to engines before.
+//! Which requests may be sent, given the engines that ended under them before.
 
 use ploverlift_balancing::names::{EngineTag, PeerId};
 use ploverlift_policy::ids::Millis;
@@ -17,13 +17,13 @@
 const NODE: PeerId = PeerId(1);
 const OTHER: PeerId = PeerId(2);
 const START: Millis = Millis(1_000_000);
-/// Everything is told.
+/// Reports include everything.
 const ALL: ReportOptions = ReportOptions {
     is_period: true,
     includes_refused: true,
     passes_on: false,
 };
-/// An hour, after which a refused request is tried, in milliseconds.
+/// The time until a refused request is tried again, in milliseconds.
 const HOUR_MS: u64 = 3_600_000;
 
 fn end(engine: u32, begun: Millis, at: Millis) -> EngineEnd {
@@ -34,14 +34,14 @@
     }
 }
 
-/// An engine runs a request for 100 ms and ends.
+/// Records that an engine ended after it ran the request for 100 ms.
 fn record_end(quarantine: &mut Quarantine, engine: u32, at: Millis) -> EndOutcome {
     let begun = Millis(at.0 - 100);
     let software = Some(SoftwareVersion("v1".to_owned()));
     quarantine.note_end(REQUEST, TENANT, end(engine, begun, at), software, at)
 }
 
-/// Engines have ended under the request at three moments.
+/// A quarantine in which engines ended under the request at three moments.
 fn refused() -> (Quarantine, Millis) {
     let mut quarantine = Quarantine::default();
     for engine in 1..MOMENTS_UNTIL_REFUSED as u32 {
@@ -54,7 +54,7 @@
     (quarantine, now)
 }
 
-/// Everything that one node tells reaches another one.
+/// Sends all reports of one node to another.
 fn send_reports(from: &mut Quarantine, to: &mut Quarantine, now: Millis) -> Vec<MergeOutcome> {
     let news = from.reports_due(NODE, ALL, now);
     let heard = news
@@ -96,7 +96,7 @@
             body: b"other",
             ..parts
         },
-        // The same bytes, divided otherwise.
+        // The same bytes, split differently into parts.
         RequestParts {
             tenant: Some("ah"),
             host: "",
@@ -129,7 +129,7 @@
 fn engines_that_end_at_one_moment_count_once() {
     let mut quarantine = Quarantine::default();
     for engine in 0..8 {
-        // Copies that were sent at once to engines of a rack that loses its power.
+        // Copies were sent at once to the engines of a rack, which then loses power.
         let at = START.plus(500 + u64::from(engine));
         quarantine.note_end(REQUEST, TENANT, end(engine, START, at), None, at);
     }
@@ -138,7 +138,7 @@
         quarantine.permission_for(REQUEST, false, now),
         Permission::AfterClaim
     );
-    // A copy that was sent after the first end had come about ends another engine.
+    // A copy that was sent after the first end also ends its engine.
     let mut quarantine = Quarantine::default();
     for engine in 0..MOMENTS_UNTIL_REFUSED as u32 {
         let at = START.plus(u64::from(engine) * 30);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_whole_answer_clears_the_request_on_all_nodes() {
+fn a_full_answer_clears_the_request_on_all_nodes() {
     let mut quarantine = Quarantine::default();
     record_end(&mut quarantine, 1, START);
     record_end(&mut quarantine, 2, START.plus(300));
@@ -172,7 +172,7 @@
         quarantine.permission_for(REQUEST, false, now),
         Permission::Free
     );
-    // What is answered all the time is never suspected.
+    // A request that is answered continuously is never suspected.
     assert_eq!(
         record_end(&mut quarantine, 3, now.plus(5_000)),
         EndOutcome::Cleared
@@ -208,7 +208,7 @@
         there.permission_for(REQUEST, false, START),
         Permission::Busy { .. }
     ));
-    // The claim of a node that is heard no more lapses.
+    // The claim of a node that no longer reports expires.
     let later = START.plus(1_500);
     assert_eq!(
         there.permission_for(REQUEST, false, later),
@@ -249,7 +249,7 @@
             is_tried
         );
         quarantine.release(REQUEST, NODE, now);
-        // The trial counts, however it ends: a second copy is not sent.
+        // The trial counts regardless of its outcome: no second copy is sent.
         assert!(matches!(
             quarantine.permission_for(REQUEST, false, now),
             Permission::Refused { .. }
@@ -282,13 +282,14 @@
     let stored = quarantine.unstored(now);
     quarantine.note_stored(REQUEST, 0, now);
     assert!(quarantine.unstored(now).is_empty());
-    // All nodes have started again.
+    // All nodes have restarted.
     let mut restarted = Quarantine::default();
     assert!(!restarted.is_stored_list_known());
     restarted.apply_stored_list(stored, START, START.plus(5));
     assert!(restarted.is_stored_list_known());
     assert!(restarted.is_refused(REQUEST));
-    // A list that was asked for before the object was known to be there shows nothing.
+    // A list that was requested before the object was known to be stored is no evidence of
+    // a release.
     assert!(quarantine
         .apply_stored_list(Vec::new(), START, now)
         .is_empty());
@@ -301,19 +302,20 @@
         quarantine.permission_for(REQUEST, false, later),
         Permission::Free
     );
-    // Those that have not read the list yet tell of it no more.
+    // Nodes that have not read the list yet can no longer report it as refused.
     for told in restarted.reports_due(OTHER, ALL, later) {
         quarantine.merge(&told, OTHER, NODE, false, later);
     }
     assert!(!quarantine.is_refused(REQUEST));
-    // A release is no answer: the next ends count.
+    // A release is not an answer: later ends count.
     assert_eq!(
         record_end(&mut quarantine, 20, later),
         EndOutcome::Suspected { moments: 1 }
     );
 }
 
-/// A store that came back from a copy lacked a refusal, which was taken for its release.
+/// A store that was restored from a copy lacked a refusal, which was mistaken for its
+/// release.
 #[test]
 fn a_refusal_that_the_store_lost_is_stored_again_and_not_released() {
     let (mut quarantine, now) = refused();
