--- a/crates/enginelimit/src/exchange.rs
+++ b/crates/enginelimit/src/exchange.rs
@@ -14,40 +14,40 @@
     /// The updates to send now: due changes and, once in each period, a rotating subset of
     /// the limits that this node holds.
     pub fn updates_due(&mut self, is_period: bool, now: Millis) -> Vec<GroupUpdate> {
-        let mut told: BTreeMap<GroupTag, Vec<EngineTag>> = BTreeMap::new();
+        let mut selected: BTreeMap<GroupTag, Vec<EngineTag>> = BTreeMap::new();
         for (tag, group) in &mut self.groups {
             let is_due = group.telling.is_due(now);
             group.telling.note_told(now);
             if is_due || (is_period && group.is_held) {
-                told.insert(*tag, Vec::new());
+                selected.insert(*tag, Vec::new());
             }
         }
         for (engine, known) in &mut self.known {
             if known.telling.is_due(now) {
                 known.telling.note_told(now);
-                told.entry(known.group).or_default().push(*engine);
+                selected.entry(known.group).or_default().push(*engine);
             }
         }
         if is_period {
             for engine in self.next_in_turn() {
-                let group = told.entry(self.known[&engine].group).or_default();
+                let group = selected.entry(self.known[&engine].group).or_default();
                 if !group.contains(&engine) {
                     group.push(engine);
                 }
             }
         }
-        self.split_into_updates(&told, now)
+        self.split_into_updates(&selected, now)
     }
 
     /// The full state, for a node that knows nothing yet.
     pub fn all_updates(&self, now: Millis) -> Vec<GroupUpdate> {
         let groups = self.groups.keys();
-        let mut told: BTreeMap<GroupTag, Vec<EngineTag>> =
+        let mut selected: BTreeMap<GroupTag, Vec<EngineTag>> =
             groups.map(|group| (*group, Vec::new())).collect();
         for (engine, known) in &self.known {
-            told.entry(known.group).or_default().push(*engine);
+            selected.entry(known.group).or_default().push(*engine);
         }
-        self.split_into_updates(&told, now)
+        self.split_into_updates(&selected, now)
     }
 
     /// An update that names the holder of a group, for a node that mistook this one for the
@@ -76,11 +76,11 @@
 
     fn split_into_updates(
         &self,
-        told: &BTreeMap<GroupTag, Vec<EngineTag>>,
+        selected: &BTreeMap<GroupTag, Vec<EngineTag>>,
         now: Millis,
     ) -> Vec<GroupUpdate> {
-        let mut news = Vec::new();
-        for (tag, engines) in told {
+        let mut updates = Vec::new();
+        for (tag, engines) in selected {
             let Some(group) = self.groups.get(tag) else {
                 continue;
             };
@@ -88,17 +88,17 @@
                 .iter()
                 .filter_map(|engine| self.limit_update(*engine, now))
                 .collect();
-            let piece = |limits: &[UpdatedLimit]| GroupUpdate {
+            let update_with = |limits: &[UpdatedLimit]| GroupUpdate {
                 group: *tag,
                 holder: group.holder,
                 limits: limits.to_vec(),
             };
             match limits.is_empty() {
-                true => news.push(piece(&[])),
-                false => news.extend(limits.chunks(MAX_LIMITS_PER_UPDATE).map(piece)),
+                true => updates.push(update_with(&[])),
+                false => updates.extend(limits.chunks(MAX_LIMITS_PER_UPDATE).map(update_with)),
             }
         }
-        news
+        updates
     }
 
     /// The update of one limit. Limits that the holder has not announced are left out.
@@ -116,7 +116,7 @@
     /// sets `passes_on` and forwards changes; other nodes leave that to the holder.
     pub fn apply_update(
         &mut self,
-        news: &GroupUpdate,
+        update: &GroupUpdate,
         passes_on: bool,
         rooms: &mut EngineRooms,
         now: Millis,
@@ -125,10 +125,10 @@
             true => Telling::begin(now),
             false => Telling::default(),
         };
-        let known = self.groups.get_mut(&news.group);
+        let known = self.groups.get_mut(&update.group);
         let is_new_holder = match known {
-            Some(group) if group.holder == news.holder => false,
-            Some(group) if !news.holder.supersedes(&group.holder, news.group) => {
+            Some(group) if group.holder == update.holder => false,
+            Some(group) if !update.holder.supersedes(&group.holder, update.group) => {
                 // The sender does not know of the later term yet.
                 if group.is_held || passes_on {
                     group.telling = Telling::begin(now);
@@ -138,29 +138,29 @@
             _ => true,
         };
         if is_new_holder {
-            self.follow_holder(news, telling, now);
+            self.follow_holder(update, telling, now);
         }
-        let is_held = self.groups[&news.group].is_held;
-        if news.holder.at.node == self.own.node && !is_held {
+        let is_held = self.groups[&update.group].is_held;
+        if update.holder.at.node == self.own.node && !is_held {
             // This node held the group before a restart. The tokens that it granted then
             // are unknown.
-            self.apply_limits(news, telling, rooms, now);
-            self.take_over(news.group, now);
+            self.apply_limits(update, telling, rooms, now);
+            self.take_over(update.group, now);
             return true;
         }
-        let is_changed = !is_held && self.apply_limits(news, telling, rooms, now);
+        let is_changed = !is_held && self.apply_limits(update, telling, rooms, now);
         is_new_holder || is_changed
     }
 
     /// Records that another node holds the group.
-    fn follow_holder(&mut self, news: &GroupUpdate, telling: Telling, now: Millis) {
+    fn follow_holder(&mut self, update: &GroupUpdate, telling: Telling, now: Millis) {
         let followed = Group {
             telling,
-            ..Group::held_by(news.holder, now)
+            ..Group::held_by(update.holder, now)
         };
-        self.groups.insert(news.group, followed);
+        self.groups.insert(update.group, followed);
         let known = self.known.values_mut();
-        for known in known.filter(|known| known.group == news.group) {
+        for known in known.filter(|known| known.group == update.group) {
             known.account = None;
             known.sequence = 0;
         }
@@ -168,35 +168,35 @@
 
     fn apply_limits(
         &mut self,
-        news: &GroupUpdate,
+        update: &GroupUpdate,
         telling: Telling,
         rooms: &mut EngineRooms,
         now: Millis,
     ) -> bool {
         let mut is_changed = false;
-        for told in &news.limits {
-            let known = self.known.get(&told.engine);
+        for updated in &update.limits {
+            let known = self.known.get(&updated.engine);
             let is_known = known
-                .is_some_and(|known| known.group == news.group && known.sequence >= told.sequence);
+                .is_some_and(|old| old.group == update.group && old.sequence >= updated.sequence);
             if is_known {
                 continue;
             }
-            let before = self.limit_of(told.engine);
+            let before = self.limit_of(updated.engine);
             let standing = StandingLimit {
-                limit: told.limit,
-                observed_at: now.before(told.age_ms),
+                limit: updated.limit,
+                observed_at: now.before(updated.age_ms),
             };
             let known = KnownLimit {
-                group: news.group,
+                group: update.group,
                 standing,
-                sequence: told.sequence,
+                sequence: updated.sequence,
                 telling,
                 account: None,
             };
-            self.known.insert(told.engine, known);
+            self.known.insert(updated.engine, known);
             is_changed = true;
-            if before != told.limit {
-                self.apply_limit(told.engine, rooms, now);
+            if before != updated.limit {
+                self.apply_limit(updated.engine, rooms, now);
             }
         }
         is_changed
--- a/crates/enginelimit/src/limits.rs
+++ b/crates/enginelimit/src/limits.rs
@@ -151,22 +151,22 @@
     /// the group of the engine.
     pub fn observe(
         &mut self,
-        seen: &Observation,
+        observed: &Observation,
         group: GroupTag,
         rooms: &mut EngineRooms,
         now: Millis,
     ) -> ObservationOutcome {
-        let limit_before = self.limit_of(seen.engine);
-        if seen.limit.is_none() && limit_before.is_none() {
+        let limit_before = self.limit_of(observed.engine);
+        if observed.limit.is_none() && limit_before.is_none() {
             return ObservationOutcome::Unchanged;
         }
-        let group = self.group_of(seen.engine).unwrap_or(group);
+        let group = self.group_of(observed.engine).unwrap_or(group);
         if !self.groups.contains_key(&group) {
             self.take_over(group, now);
         }
         let known = &self.groups[&group];
         if known.is_held {
-            return match self.apply_as_holder(seen, group, rooms, now) {
+            return match self.apply_as_holder(observed, group, rooms, now) {
                 true => ObservationOutcome::Changed,
                 false => ObservationOutcome::Unchanged,
             };
@@ -175,8 +175,8 @@
         if limit_before.is_none() {
             // From now on tokens are requested from the holder, even if it has yet to learn
             // of the limit.
-            self.record_limit(seen, group);
-            self.apply_limit(seen.engine, rooms, now);
+            self.record_limit(observed, group);
+            self.apply_limit(observed.engine, rooms, now);
         }
         ObservationOutcome::ForwardToHolder(holder)
     }
@@ -185,43 +185,43 @@
     /// changed; a node that does not hold the group ignores the observation.
     pub fn apply_observation(
         &mut self,
-        seen: &Observation,
+        observed: &Observation,
         group: GroupTag,
         rooms: &mut EngineRooms,
         now: Millis,
     ) -> bool {
         let is_held = self.groups.get(&group).is_some_and(|known| known.is_held);
-        is_held && self.apply_as_holder(seen, group, rooms, now)
+        is_held && self.apply_as_holder(observed, group, rooms, now)
     }
 
     /// Applies an observation as the holder of the group. Returns whether the limit
     /// changed.
     fn apply_as_holder(
         &mut self,
-        seen: &Observation,
+        observed: &Observation,
         group: GroupTag,
         rooms: &mut EngineRooms,
         now: Millis,
     ) -> bool {
-        let is_changed = match self.known.get_mut(&seen.engine) {
-            Some(known) => known.standing.take(seen),
-            None if seen.limit.is_none() => false,
+        let is_changed = match self.known.get_mut(&observed.engine) {
+            Some(known) => known.standing.apply(observed),
+            None if observed.limit.is_none() => false,
             None => {
-                self.record_limit(seen, group);
+                self.record_limit(observed, group);
                 true
             }
         };
         if is_changed {
-            self.apply_limit(seen.engine, rooms, now);
-            self.announce(seen.engine, now);
+            self.apply_limit(observed.engine, rooms, now);
+            self.announce(observed.engine, now);
         }
         is_changed
     }
 
-    fn record_limit(&mut self, seen: &Observation, group: GroupTag) {
+    fn record_limit(&mut self, observed: &Observation, group: GroupTag) {
         let standing = StandingLimit {
-            limit: seen.limit,
-            observed_at: seen.head_at,
+            limit: observed.limit,
+            observed_at: observed.head_at,
         };
         let known = KnownLimit {
             group,
@@ -230,7 +230,7 @@
             telling: Telling::default(),
             account: None,
         };
-        self.known.insert(seen.engine, known);
+        self.known.insert(observed.engine, known);
     }
 
     /// Applies a changed limit to engine selection and to the token account.
--- a/crates/enginelimit/src/observation.rs
+++ b/crates/enginelimit/src/observation.rs
@@ -34,21 +34,21 @@
     /// unless it is certainly older. A higher limit, or none, applies only once it is
     /// certainly newer: otherwise a reordered answer would lift the limit of an engine that
     /// still needs it.
-    pub fn take(&mut self, seen: &Observation) -> bool {
-        if seen.limit == self.limit {
-            self.observed_at = self.observed_at.max(seen.head_at);
+    pub fn apply(&mut self, observed: &Observation) -> bool {
+        if observed.limit == self.limit {
+            self.observed_at = self.observed_at.max(observed.head_at);
             return false;
         }
-        let is_newer = match is_lower(seen.limit, self.limit) {
-            true => seen.head_at.plus(MAX_REORDERING_MS) >= self.observed_at,
+        let is_newer = match is_lower(observed.limit, self.limit) {
+            true => observed.head_at.plus(MAX_REORDERING_MS) >= self.observed_at,
             false => {
                 let crossed = self.observed_at.plus(MAX_REORDERING_MS);
-                seen.sent_at >= self.observed_at || seen.head_at >= crossed
+                observed.sent_at >= self.observed_at || observed.head_at >= crossed
             }
         };
         if is_newer {
-            self.limit = seen.limit;
-            self.observed_at = self.observed_at.max(seen.head_at);
+            self.limit = observed.limit;
+            self.observed_at = self.observed_at.max(observed.head_at);
         }
         is_newer
     }
--- a/crates/enginelimit/tests/fleets/observations.rs
+++ b/crates/enginelimit/tests/fleets/observations.rs
@@ -13,7 +13,7 @@
         limit: Some(4.0),
         observed_at: Millis(OBSERVED_AT),
     };
-    standing.take(&Observation {
+    standing.apply(&Observation {
         engine: EngineTag(1),
         limit,
         sent_at: Millis(sent_at),
--- a/crates/enginelimit/tests/fleets/world.rs
+++ b/crates/enginelimit/tests/fleets/world.rs
@@ -25,7 +25,7 @@
 const BROADCAST_CHECK_MS: u64 = 5;
 /// Time-out of a token request, in milliseconds.
 const ANSWER_TIMEOUT_MS: u64 = 60;
-/// Denials for single engines after which a request asks for any engine of the group.
+/// Denials for single engines after which a request may get any engine of the group.
 const MAX_DENIALS: u32 = 3;
 /// Time that an engine takes to answer, in milliseconds.
 const SERVICE_MS: u64 = 30;
--- a/crates/quarantine/src/exchange.rs
+++ b/crates/quarantine/src/exchange.rs
@@ -66,29 +66,29 @@
         now: Millis,
     ) -> Vec<ReportedRequest> {
         self.expire(now);
-        let mut told = self.due_requests(own, options, now);
+        let mut selected = self.due_requests(own, options, now);
         if options.includes_refused {
-            told.extend(self.next_refused(MAX_REPORTED - told.len()));
-            told.sort();
-            told.dedup();
+            selected.extend(self.next_refused(MAX_REPORTED - selected.len()));
+            selected.sort();
+            selected.dedup();
         }
-        let mut news = Vec::new();
-        for request in told {
+        let mut reports = Vec::new();
+        for request in selected {
             if let Some(suspect) = self.suspects.get_mut(&request) {
                 suspect.telling.note_told(now);
                 if let Some(claim) = suspect.claim.as_mut().filter(|claim| claim.node == own) {
                     claim.reported_at = now;
                 }
             }
-            news.push(self.reported(request, now));
+            reports.push(self.reported(request, now));
         }
         let cleared = self.cleared.iter_mut();
         let due = cleared.filter(|cleared| cleared.telling.is_due(now));
-        news.extend(due.take(MAX_REPORTED).map(|cleared| {
+        reports.extend(due.take(MAX_REPORTED).map(|cleared| {
             cleared.telling.note_told(now);
             cleared.reported(now)
         }));
-        news
+        reports
     }
 
     fn due_requests(
@@ -153,14 +153,14 @@
     /// and forwards changes; other nodes leave that to the node that detected them.
     pub fn merge(
         &mut self,
-        told: &ReportedRequest,
+        report: &ReportedRequest,
         from: PeerId,
         own: PeerId,
         passes_on: bool,
         now: Millis,
     ) -> MergeOutcome {
-        let request = told.request;
-        if let Some(clearing) = told.clearing {
+        let request = report.request;
+        if let Some(clearing) = report.clearing {
             return match self.merge_clearing(request, clearing, passes_on, now) {
                 true => MergeOutcome::Changed,
                 false => MergeOutcome::Unchanged,
@@ -170,24 +170,24 @@
         let known_before = known.then(|| self.reported(request, now));
         let telling = self.suspects.get(&request).map(|suspect| suspect.telling);
         let was_refused = self.is_refused(request);
-        for end in &told.ends {
+        for end in &report.ends {
             let end = EngineEnd {
                 engine: end.engine,
                 begun: now.before(end.begun_age_ms),
                 at: now.before(end.age_ms),
             };
-            self.note_end(request, told.tenant, end, None, now);
+            self.note_end(request, report.tenant, end, None, now);
         }
         if let Some(suspect) = self.suspects.get_mut(&request) {
             if let Some(refusal) = suspect.refusal.as_mut().filter(|_| !was_refused) {
                 refusal.is_own = false;
             }
-            suspect.software.extend(told.software.iter().cloned());
+            suspect.software.extend(report.software.iter().cloned());
         }
-        if let Some(refusal) = told.refusal {
-            self.merge_refusal(told, refusal, now);
+        if let Some(refusal) = report.refusal {
+            self.merge_refusal(report, refusal, now);
         }
-        self.merge_claim(told, from, own, now);
+        self.merge_claim(report, from, own, now);
         let is_known = self.suspects.contains_key(&request);
         let known_now = is_known.then(|| self.reported(request, now));
         if let Some(suspect) = self.suspects.get_mut(&request) {
@@ -206,43 +206,43 @@
     fn merge_clearing(
         &mut self,
         request: RequestFingerprint,
-        told: ReportedClearing,
+        report: ReportedClearing,
         passes_on: bool,
         now: Millis,
     ) -> bool {
-        let cleared_at = now.before(told.age_ms);
-        if told.is_answer {
+        let cleared_at = now.before(report.age_ms);
+        if report.is_answer {
             self.answers.note(request, cleared_at);
         }
-        let was_told = self.cleared.iter().any(|known| known.request == request);
-        if was_told {
+        let is_known_clearing = self.cleared.iter().any(|known| known.request == request);
+        if is_known_clearing {
             self.clear(request, cleared_at);
             return false;
         }
-        let is_news = self.clear_and_report(request, told.is_answer, cleared_at);
-        if let Some(cleared) = self.cleared.last_mut().filter(|_| is_news) {
+        let is_changed = self.clear_and_report(request, report.is_answer, cleared_at);
+        if let Some(cleared) = self.cleared.last_mut().filter(|_| is_changed) {
             cleared.telling = match passes_on {
                 true => Telling::begin(now),
                 false => Telling::default(),
             };
         }
-        is_news
+        is_changed
     }
 
     pub(crate) fn merge_refusal(
         &mut self,
-        told: &ReportedRequest,
+        report: &ReportedRequest,
         refusal: ReportedRefusal,
         now: Millis,
     ) {
         let since = now.before(refusal.age_ms);
         let mut cleared = self.cleared.iter();
-        let is_cleared = cleared.any(|known| known.request == told.request && known.at >= since);
-        if is_cleared || self.answers.clear(told.request, since) {
+        let is_cleared = cleared.any(|known| known.request == report.request && known.at >= since);
+        if is_cleared || self.answers.clear(report.request, since) {
             return;
         }
-        let suspect = self.suspect(told.request, told.tenant, now);
-        suspect.software.extend(told.software.iter().cloned());
+        let suspect = self.suspect(report.request, report.tenant, now);
+        suspect.software.extend(report.software.iter().cloned());
         let known = suspect.refusal.get_or_insert(Refusal {
             since,
             trials: refusal.trials,
@@ -262,27 +262,27 @@
     /// Merges a claim. A claim whose request is being sent has precedence over one that
     /// waits, and otherwise the claim of the lower node identifier. Only the claiming node
     /// can end its claim; otherwise the claim expires.
-    fn merge_claim(&mut self, told: &ReportedRequest, from: PeerId, own: PeerId, now: Millis) {
-        let Some(suspect) = self.suspects.get_mut(&told.request) else {
+    fn merge_claim(&mut self, report: &ReportedRequest, from: PeerId, own: PeerId, now: Millis) {
+        let Some(suspect) = self.suspects.get_mut(&report.request) else {
             return;
         };
-        let current = suspect.live_claim(now);
-        let Some(claim) = told.claim else {
-            suspect.claim = current.filter(|known| known.node != from);
+        let live = suspect.live_claim(now);
+        let Some(claim) = report.claim else {
+            suspect.claim = live.filter(|known| known.node != from);
             return;
         };
-        let told = Claim {
+        let other = Claim {
             node: claim.node,
             is_sent: claim.is_sent,
             reported_at: now.before(claim.age_ms),
         };
         let rank = |claim: Claim| (Reverse(claim.is_sent), claim.node);
-        let has_precedence = current.is_none_or(|known| rank(told) <= rank(known));
-        let is_lapsed = now.since(told.reported_at) >= CLAIM_TIMEOUT_MS;
-        let is_older = current
-            .is_some_and(|known| known.node == told.node && known.reported_at > told.reported_at);
+        let has_precedence = live.is_none_or(|known| rank(other) <= rank(known));
+        let is_lapsed = now.since(other.reported_at) >= CLAIM_TIMEOUT_MS;
+        let is_older =
+            live.is_some_and(|old| old.node == other.node && old.reported_at > other.reported_at);
         if claim.node != own && has_precedence && !is_lapsed && !is_older {
-            suspect.claim = Some(told);
+            suspect.claim = Some(other);
         }
     }
 }
--- a/crates/quarantine/src/stored.rs
+++ b/crates/quarantine/src/stored.rs
@@ -57,7 +57,7 @@
             self.note_deleted(*request);
         }
         for (request, refusal) in stored {
-            let told = ReportedRequest {
+            let report = ReportedRequest {
                 request,
                 tenant: refusal.tenant,
                 ends: Vec::new(),
@@ -73,7 +73,7 @@
             };
             match self.is_refused(request) {
                 true => self.note_stored(request, refusal.trials, now),
-                false => self.merge_refusal(&told, refusal, now),
+                false => self.merge_refusal(&report, refusal, now),
             }
         }
         self.is_stored_list_known = true;
--- a/crates/ratelimit/src/accounts.rs
+++ b/crates/ratelimit/src/accounts.rs
@@ -207,9 +207,9 @@
     /// then be alive and connected to each other, so their holds continue without a time
     /// limit.
     fn is_minority(&self, size: FleetSize, now: Millis) -> bool {
-        let heard = self.parts.values().filter(|part| !part.is_silent(now));
-        let heard: u32 = heard.map(|part| part.nodes).sum();
-        (heard + 1) * 2 < size.nodes
+        let reporting = self.parts.values().filter(|part| !part.is_silent(now));
+        let reporting: u32 = reporting.map(|part| part.nodes).sum();
+        (reporting + 1) * 2 < size.nodes
     }
 
     /// Starts the accounts over after a pause of this process: the others report what they
@@ -309,9 +309,9 @@
         if self.since.is_none_or(is_settled) {
             return;
         }
-        let heard: u32 = self.parts.values().map(|part| part.nodes).sum();
-        let unheard = size.nodes.saturating_sub(heard + 1);
-        let share = f64::from(unheard) / f64::from(size.nodes.max(1));
+        let known_nodes: u32 = self.parts.values().map(|part| part.nodes).sum();
+        let never_reported = size.nodes.saturating_sub(known_nodes + 1);
+        let share = f64::from(never_reported) / f64::from(size.nodes.max(1));
         for (tenant, bucket) in &mut self.buckets {
             if let Some(limit) = limits.get(tenant) {
                 bucket.take(granted_in(limit, elapsed_ms) * share);
@@ -347,8 +347,8 @@
         let bucket = self.open_bucket(tenant, limit, now);
         bucket.refill(limit, now);
         let level = bucket.level();
-        let heard = self.parts.values().filter(|part| !part.is_silent(now));
-        let uses = heard.filter_map(|part| part.uses.get(&tenant));
+        let reporting = self.parts.values().filter(|part| !part.is_silent(now));
+        let uses = reporting.filter_map(|part| part.uses.get(&tenant));
         let mut standing = AccountStanding {
             level,
             others_per_second: 0.0,
--- a/crates/ratelimit/src/tenant_levels.rs
+++ b/crates/ratelimit/src/tenant_levels.rs
@@ -102,8 +102,8 @@
     /// the one with the latest report.
     fn preferred_relay(&self, now: Millis) -> Option<&RelayReports> {
         let relays = self.relays.values();
-        let heard = relays.filter(|relay| now.since(relay.position.heard_at()) < RELAY_TIMEOUT_MS);
-        heard.max_by_key(|relay| {
+        let recent = relays.filter(|relay| now.since(relay.position.heard_at()) < RELAY_TIMEOUT_MS);
+        recent.max_by_key(|relay| {
             let age_ms = relay.accounts_age_ms.min(SETTLED_MS);
             (age_ms / MIN_AGE_ADVANTAGE_MS, relay.position.heard_at())
         })
