--- a/crates/enginelimit/src/backoff.rs
+++ b/crates/enginelimit/src/backoff.rs
@@ -20,17 +20,18 @@
 /// The nodes that requested tokens recently.
 #[derive(Clone, Debug, Default)]
 pub struct RequestingNodes {
-    asked: HashMap<PeerId, Millis>,
+    last_requests: HashMap<PeerId, Millis>,
     expired_at: Millis,
 }
 
 impl RequestingNodes {
     /// Records a request of a node.
     pub fn note(&mut self, node: PeerId, now: Millis) {
-        self.asked.insert(node, now);
+        self.last_requests.insert(node, now);
         if now.since(self.expired_at) >= REQUESTING_MS {
             self.expired_at = now;
-            self.asked.retain(|_, at| now.since(*at) < REQUESTING_MS);
+            self.last_requests
+                .retain(|_, at| now.since(*at) < REQUESTING_MS);
         }
     }
 
@@ -38,13 +39,13 @@
     /// rate of `per_second` tokens a second. Up to `undelayed` nodes may retry without a
     /// delay.
     pub fn spread_ms(&self, per_second: f64, undelayed: usize) -> u64 {
-        let waiting = self.asked.len().saturating_sub(undelayed) as f64;
+        let waiting = self.last_requests.len().saturating_sub(undelayed) as f64;
         let mean_ms = waiting / (REQUESTS_PER_TOKEN * per_second) * MS_PER_SECOND;
         (2.0 * mean_ms).min(MAX_BACKOFF_MS) as u64
     }
 
     /// The number of nodes that requested tokens recently.
     pub fn count(&self) -> usize {
-        self.asked.len()
+        self.last_requests.len()
     }
 }
--- a/crates/ratelimit/src/accounts.rs
+++ b/crates/ratelimit/src/accounts.rs
@@ -385,7 +385,7 @@
                 for (tenant, used) in &part.uses {
                     let sum = sums.entry(*tenant).or_default();
                     sum.0 += used.counted + used.held as i64;
-                    sum.1 += used.asked;
+                    sum.1 += used.requested;
                 }
             }
         }
--- a/crates/ratelimit/src/limiter.rs
+++ b/crates/ratelimit/src/limiter.rs
@@ -30,7 +30,7 @@
     limits: HashMap<TenantTag, RateLimit>,
     own: OwnUse,
     accounts: Option<Accounts>,
-    reported: RelayLevels,
+    relay_levels: RelayLevels,
     level_reports: u64,
     /// Unused admission credit of each tenant and size class, in tokens.
     share_credits: HashMap<(TenantTag, SizeClass), f64>,
@@ -140,13 +140,13 @@
             return true;
         }
         let cost = cost as f64;
-        let left = self.share_credits.entry(key).or_insert(0.0);
-        *left = (*left + cost * share).min(cost);
-        let is_admitted_by_share = *left > 0.0 && share > 0.0;
-        if is_admitted_by_share {
-            *left -= cost;
+        let credit = self.share_credits.entry(key).or_insert(0.0);
+        *credit = (*credit + cost * share).min(cost);
+        let is_in_share = *credit > 0.0 && share > 0.0;
+        if is_in_share {
+            *credit -= cost;
         }
-        is_admitted_by_share
+        is_in_share
     }
 
     fn allowance(
@@ -171,12 +171,12 @@
             };
             return (Basis::Accounts, allowance);
         }
-        if let Some(allowance) = self.reported.allowance(tenant, limit, &self.own, now) {
+        if let Some(allowance) = self.relay_levels.allowance(tenant, limit, &self.own, now) {
             return (Basis::Relays, allowance);
         }
         let started_at = membership.size.started_at;
-        let reported = &mut self.reported;
-        let allowance = reported.own_share(tenant, limit, started_at, now);
+        let relay_levels = &mut self.relay_levels;
+        let allowance = relay_levels.own_share(tenant, limit, started_at, now);
         (Basis::OwnShare, allowance)
     }
 
@@ -190,7 +190,7 @@
     }
 
     fn new_accounts(&self, membership: &Membership, now: Millis) -> Accounts {
-        if let Some((levels, age_ms)) = self.reported.handover(now) {
+        if let Some((levels, age_ms)) = self.relay_levels.handover(now) {
             let mut accounts = Accounts::beginning_at(now);
             accounts.take_over(levels.into_iter(), age_ms, now);
             return accounts;
@@ -219,7 +219,7 @@
         };
         match &mut self.accounts {
             Some(accounts) => accounts.charge(tenant, &limit, tokens, now),
-            None => self.reported.charge_share(tenant, tokens),
+            None => self.relay_levels.charge_share(tenant, tokens),
         }
     }
 
@@ -234,7 +234,7 @@
     /// Applies the levels that a relay reports. A node that has kept accounts itself for a
     /// shorter time than the relay continues from these levels.
     pub fn apply_level_report(&mut self, report: &LevelReport, now: Millis) {
-        self.reported.apply(report, &self.own, now);
+        self.relay_levels.apply(report, &self.own, now);
         let Some(accounts) = &mut self.accounts else {
             return;
         };
--- a/crates/ratelimit/src/parts.rs
+++ b/crates/ratelimit/src/parts.rs
@@ -38,13 +38,13 @@
 struct Counter {
     admitted: i64,
     offset: i64,
-    asked: u64,
+    requested: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PartUse {
     pub(crate) counted: i64,
-    pub(crate) asked: u64,
+    pub(crate) requested: u64,
     pub(crate) rate: RecentRate,
     pub(crate) demand: RecentRate,
     pub(crate) held: f64,
@@ -148,12 +148,12 @@
         let counter = stream.counters.entry(reported.tenant).or_insert(Counter {
             admitted,
             offset: first_offset,
-            asked: reported.asked,
+            requested: reported.asked,
         });
         let is_refund = admitted < counter.admitted;
         counter.admitted = admitted;
-        let demand_increase = reported.asked.saturating_sub(counter.asked);
-        counter.asked = reported.asked;
+        let demand_increase = reported.asked.saturating_sub(counter.requested);
+        counter.requested = reported.asked;
         // Several relays sum up the same zone: the highest count applies.
         let fresh = self.streams.values();
         let fresh = fresh.filter(|stream| now.since(stream.position.heard_at()) < SUM_SILENT_MS);
@@ -173,7 +173,7 @@
         used.share = None;
         used.rate.note(increase, now);
         if demand_increase > 0 && is_leading {
-            used.asked += demand_increase;
+            used.requested += demand_increase;
             used.demand.note(demand_increase as f64, now);
         }
         // The tokens held while the part was silent are already charged.
