--- a/crates/enginelimit/src/exchange.rs
+++ b/crates/enginelimit/src/exchange.rs
@@ -1,8 +1,8 @@
-//! What a node tells the others of limits, and what it takes in from them.
+//! Updates about limits that a node sends to and receives from other nodes.
 
 use crate::group::GroupTag;
 use crate::limits::{EngineLimits, Group, KnownLimit};
-use crate::news::{GroupNews, ToldLimit, MAX_TOLD};
+use crate::node_messages::{GroupUpdate, UpdatedLimit, MAX_LIMITS_PER_UPDATE};
 use crate::observation::StandingLimit;
 use ploverlift_balancing::engine_rate_limits::EngineRateLimits;
 use ploverlift_balancing::names::EngineTag;
@@ -11,107 +11,112 @@
 use std::collections::BTreeMap;
 
 impl EngineLimits {
-    /// What is told now: changes that are due, and in each period some of the limits that
-    /// this node counts for, in turn.
-    pub fn news(&mut self, is_period: bool, now: Millis) -> Vec<GroupNews> {
-        let mut told: BTreeMap<GroupTag, Vec<EngineTag>> = BTreeMap::new();
+    /// The updates to send now: due changes and, once in each period, a rotating subset of
+    /// the limits that this node holds.
+    pub fn updates_due(&mut self, is_period: bool, now: Millis) -> Vec<GroupUpdate> {
+        let mut selected: BTreeMap<GroupTag, Vec<EngineTag>> = BTreeMap::new();
         for (tag, group) in &mut self.groups {
             let is_due = group.telling.is_due(now);
             group.telling.record_broadcast(now);
             if is_due || (is_period && group.is_held) {
-                told.insert(*tag, Vec::new());
+                selected.insert(*tag, Vec::new());
             }
         }
         for (engine, known) in &mut self.known {
             if known.telling.is_due(now) {
                 known.telling.record_broadcast(now);
-                told.entry(known.group).or_default().push(*engine);
+                selected.entry(known.group).or_default().push(*engine);
             }
         }
         if is_period {
             for engine in self.next_in_turn() {
-                let group = told.entry(self.known[&engine].group).or_default();
+                let group = selected.entry(self.known[&engine].group).or_default();
                 if !group.contains(&engine) {
                     group.push(engine);
                 }
             }
         }
-        self.pieces(&told, now)
+        self.split_into_updates(&selected, now)
     }
 
-    /// All that is known, for a node that knows nothing yet.
-    pub fn everything(&self, now: Millis) -> Vec<GroupNews> {
+    /// The full state, for a node that knows nothing yet.
+    pub fn all_updates(&self, now: Millis) -> Vec<GroupUpdate> {
         let groups = self.groups.keys();
-        let mut told: BTreeMap<GroupTag, Vec<EngineTag>> =
+        let mut selected: BTreeMap<GroupTag, Vec<EngineTag>> =
             groups.map(|group| (*group, Vec::new())).collect();
         for (engine, known) in &self.known {
-            told.entry(known.group).or_default().push(*engine);
+            selected.entry(known.group).or_default().push(*engine);
         }
-        self.pieces(&told, now)
+        self.split_into_updates(&selected, now)
     }
 
-    /// Who holds a group, for a node that took this one for its holder.
-    pub fn holder_news(&self, group: GroupTag) -> Option<GroupNews> {
+    /// An update that names the holder of a group, for a node that mistook this one for the
+    /// holder.
+    pub fn holder_update(&self, group: GroupTag) -> Option<GroupUpdate> {
         let known = self.groups.get(&group).filter(|known| !known.is_held)?;
-        Some(GroupNews {
+        Some(GroupUpdate {
             group,
             holder: known.holder,
             limits: Vec::new(),
         })
     }
 
-    /// Limits that this node counts for, those that were not told for longest.
+    /// The next limits in rotation among those that this node holds.
     fn next_in_turn(&mut self) -> Vec<EngineTag> {
         let known = self.known.iter();
         let held = known.filter(|(_, known)| known.account.is_some());
         let mut held: Vec<EngineTag> = held.map(|(engine, _)| *engine).collect();
         held.sort();
-        let first = self.next_told % held.len().max(1);
-        self.next_told = first + MAX_TOLD;
+        let first = self.next_repeated % held.len().max(1);
+        self.next_repeated = first + MAX_LIMITS_PER_UPDATE;
         held.rotate_left(first);
-        held.truncate(MAX_TOLD);
+        held.truncate(MAX_LIMITS_PER_UPDATE);
         held
     }
 
-    fn pieces(&self, told: &BTreeMap<GroupTag, Vec<EngineTag>>, now: Millis) -> Vec<GroupNews> {
-        let mut news = Vec::new();
-        for (tag, engines) in told {
+    fn split_into_updates(
+        &self,
+        selected: &BTreeMap<GroupTag, Vec<EngineTag>>,
+        now: Millis,
+    ) -> Vec<GroupUpdate> {
+        let mut updates = Vec::new();
+        for (tag, engines) in selected {
             let Some(group) = self.groups.get(tag) else {
                 continue;
             };
-            let limits: Vec<ToldLimit> = engines
+            let limits: Vec<UpdatedLimit> = engines
                 .iter()
-                .filter_map(|engine| self.told(*engine, now))
+                .filter_map(|engine| self.limit_update(*engine, now))
                 .collect();
-            let piece = |limits: &[ToldLimit]| GroupNews {
+            let update_with = |limits: &[UpdatedLimit]| GroupUpdate {
                 group: *tag,
                 holder: group.holder,
                 limits: limits.to_vec(),
             };
             match limits.is_empty() {
-                true => news.push(piece(&[])),
-                false => news.extend(limits.chunks(MAX_TOLD).map(piece)),
+                true => updates.push(update_with(&[])),
+                false => updates.extend(limits.chunks(MAX_LIMITS_PER_UPDATE).map(update_with)),
             }
         }
-        news
+        updates
     }
 
-    /// Only what the holder has counted is told on.
-    fn told(&self, engine: EngineTag, now: Millis) -> Option<ToldLimit> {
+    /// The update of one limit. Limits that the holder has not announced are left out.
+    fn limit_update(&self, engine: EngineTag, now: Millis) -> Option<UpdatedLimit> {
         let known = self.known.get(&engine)?;
-        (known.sequence > 0).then(|| ToldLimit {
+        (known.sequence > 0).then(|| UpdatedLimit {
             engine,
             limit: known.standing.limit,
             sequence: known.sequence,
-            age_ms: now.since(known.standing.named_at),
+            age_ms: now.since(known.standing.observed_at),
         })
     }
 
-    /// Takes in what another node tells; tells whether it was news. A relay `passes_on` what
-    /// is; others leave it to the holder.
-    pub fn hear(
+    /// Applies an update from another node. Returns whether it changed anything. A relay
+    /// sets `passes_on` and forwards changes; other nodes leave that to the holder.
+    pub fn apply_update(
         &mut self,
-        news: &GroupNews,
+        update: &GroupUpdate,
         passes_on: bool,
         rooms: &mut EngineRateLimits,
         now: Millis,
@@ -120,11 +125,11 @@
             true => UpdateBroadcast::begin(now),
             false => UpdateBroadcast::default(),
         };
-        let known = self.groups.get_mut(&news.group);
-        let is_other = match known {
-            Some(group) if group.holder == news.holder => false,
-            Some(group) if !news.holder.supersedes(&group.holder, news.group) => {
-                // Whoever told it has not heard of the later term.
+        let known = self.groups.get_mut(&update.group);
+        let is_new_holder = match known {
+            Some(group) if group.holder == update.holder => false,
+            Some(group) if !update.holder.supersedes(&group.holder, update.group) => {
+                // The sender does not know of the later term yet.
                 if group.is_held || passes_on {
                     group.telling = UpdateBroadcast::begin(now);
                 }
@@ -132,65 +137,66 @@
             }
             _ => true,
         };
-        if is_other {
-            self.follow(news, telling, now);
+        if is_new_holder {
+            self.follow_holder(update, telling, now);
         }
-        let is_held = self.groups[&news.group].is_held;
-        if news.holder.at.node == self.own.node && !is_held {
-            // An earlier life of this node held it. What that one granted is not known.
-            self.take_limits(news, telling, rooms, now);
-            self.claim(news.group, now);
+        let is_held = self.groups[&update.group].is_held;
+        if update.holder.at.node == self.own.node && !is_held {
+            // This node held the group before a restart. The tokens that it granted then
+            // are unknown.
+            self.apply_limits(update, telling, rooms, now);
+            self.take_over(update.group, now);
             return true;
         }
-        let is_changed = !is_held && self.take_limits(news, telling, rooms, now);
-        is_other || is_changed
+        let is_changed = !is_held && self.apply_limits(update, telling, rooms, now);
+        is_new_holder || is_changed
     }
 
-    /// Another node holds the group from now on.
-    fn follow(&mut self, news: &GroupNews, telling: UpdateBroadcast, now: Millis) {
+    /// Records that another node holds the group.
+    fn follow_holder(&mut self, update: &GroupUpdate, telling: UpdateBroadcast, now: Millis) {
         let followed = Group {
             telling,
-            ..Group::held_by(news.holder, now)
+            ..Group::held_by(update.holder, now)
         };
-        self.groups.insert(news.group, followed);
+        self.groups.insert(update.group, followed);
         let known = self.known.values_mut();
-        for known in known.filter(|known| known.group == news.group) {
+        for known in known.filter(|known| known.group == update.group) {
             known.account = None;
             known.sequence = 0;
         }
     }
 
-    fn take_limits(
+    fn apply_limits(
         &mut self,
-        news: &GroupNews,
+        update: &GroupUpdate,
         telling: UpdateBroadcast,
         rooms: &mut EngineRateLimits,
         now: Millis,
     ) -> bool {
         let mut is_changed = false;
-        for told in &news.limits {
-            let known = self.known.get(&told.engine);
+        for updated in &update.limits {
+            let known = self.known.get(&updated.engine);
             let is_known = known
-                .is_some_and(|known| known.group == news.group && known.sequence >= told.sequence);
+                .is_some_and(|old| old.group == update.group && old.sequence >= updated.sequence);
             if is_known {
                 continue;
             }
-            let before = self.limit_of(told.engine);
+            let before = self.limit_of(updated.engine);
             let standing = StandingLimit {
-                limit: told.limit,
-                named_at: now.before(told.age_ms),
+                limit: updated.limit,
+                observed_at: now.before(updated.age_ms),
             };
             let known = KnownLimit {
-                group: news.group,
+                group: update.group,
                 standing,
-                sequence: told.sequence,
+                sequence: updated.sequence,
                 telling,
                 account: None,
             };
-            self.known.insert(told.engine, known);
+            self.known.insert(updated.engine, known);
             is_changed = true;
-            if before != told.limit {
-                self.put_in_force(told.engine, rooms, now);
+            if before != updated.limit {
+                self.apply_limit(updated.engine, rooms, now);
             }
         }
         is_changed
--- a/crates/enginelimit/src/limits.rs
+++ b/crates/enginelimit/src/limits.rs
@@ -1,9 +1,9 @@
-//! What one node knows of all advertised limits.
+//! The state that one node keeps about all advertised limits.
 
 use crate::account::Account;
-use crate::askers::Askers;
+use crate::backoff::RequestingNodes;
 use crate::group::{GroupTag, Holder, NodeAddress};
-use crate::news::TokenAnswer;
+use crate::node_messages::TokenAnswer;
 use crate::observation::{Observation, StandingLimit};
 use crate::retry_schedule::RetrySchedule;
 use ploverlift_balancing::engine_rate_limits::EngineRateLimits;
@@ -12,48 +12,52 @@
 use ploverlift_policy::update_broadcast::UpdateBroadcast;
 use std::collections::{BTreeMap, HashMap};
 
-/// Silence of a holder after which another node takes its group over, in milliseconds: a
-/// node with a small share of a core stands still for a tenth of a second at times.
-const SILENT_MS: u64 = 400;
-/// Questions that must have gone unanswered by then.
-const SILENT_QUESTIONS: u32 = 4;
-/// Time for which a holder is not asked that has not answered, in milliseconds.
+/// Time without an answer from the holder after which another node takes the group over, in
+/// milliseconds. A node with a small share of a core can stall for a tenth of a second.
+const HOLDER_TIMEOUT_MS: u64 = 400;
+/// Token requests that must also have gone unanswered before a takeover.
+const UNANSWERED_REQUESTS: u32 = 4;
+/// Time for which no tokens are requested from a holder that did not answer, in
+/// milliseconds.
 const UNANSWERED_BACKOFF_MS: u64 = 100;
-/// Time within which nodes send to an engine again whose limit has ended, each from a moment
-/// of its own, in milliseconds: all at once would fill it before they hear of each other.
-const RAMP_MS: u64 = 500;
-/// Time for which the end of a limit is remembered, in milliseconds: what was told before
-/// may come late.
-const ENDED_MS: u64 = 60_000;
+/// Time over which the nodes resume sending to an engine whose limit has ended, in
+/// milliseconds, each after its own delay. If all resumed at once, they would overload the
+/// engine before they learn of each other's requests.
+const LIFT_SPREAD_MS: u64 = 500;
+/// Time for which the end of a limit is remembered, in milliseconds, because older updates
+/// may arrive late.
+const ENDED_LIMIT_RETENTION_MS: u64 = 60_000;
 
-/// One engine's limit.
+/// The limit of one engine.
 #[derive(Clone, Debug)]
 pub(crate) struct KnownLimit {
     pub(crate) group: GroupTag,
     pub(crate) standing: StandingLimit,
-    /// Of the holder's change that told it; 0 where this node saw it by itself.
+    /// Sequence number of the holder's change that announced the limit; 0 if this node
+    /// observed it itself.
     pub(crate) sequence: u64,
     pub(crate) telling: UpdateBroadcast,
-    /// At the holder.
+    /// The token account; only at the holder.
     pub(crate) account: Option<Account>,
 }
 
-/// One group.
+/// A group of engines.
 #[derive(Clone, Debug)]
 pub(crate) struct Group {
     pub(crate) holder: Holder,
-    /// Whether this life of this node holds it.
+    /// Whether this node holds the group, since its current start.
     pub(crate) is_held: bool,
     pub(crate) sequence: u64,
     pub(crate) telling: UpdateBroadcast,
-    pub(crate) askers: Askers,
-    /// Answers that were given lately, for questions that come twice.
+    pub(crate) requesting_nodes: RequestingNodes,
+    /// Recent answers, kept for retransmitted requests.
     pub(crate) answered: HashMap<(PeerId, u64), (Millis, TokenAnswer)>,
-    /// Since when the holder has not answered this node, and how many questions.
+    /// Time of the first token request that the holder left unanswered, and the number of
+    /// such requests.
     pub(crate) unanswered: Option<(Millis, u32)>,
-    /// Before this moment no engine of the group has a token for this node.
-    pub(crate) nothing_before: Millis,
-    /// Time in which one token comes for each node that asks, in milliseconds.
+    /// Until this time, no engine of the group has a token for this node.
+    pub(crate) no_tokens_before: Millis,
+    /// Time in which each requesting node gets one token, in milliseconds.
     pub(crate) turn_ms: u64,
     pub(crate) retries: RetrySchedule,
 }
@@ -65,54 +69,54 @@
             is_held: false,
             sequence: 0,
             telling: UpdateBroadcast::begin(now),
-            askers: Askers::default(),
+            requesting_nodes: RequestingNodes::default(),
             answered: HashMap::new(),
             unanswered: None,
-            nothing_before: Millis(0),
+            no_tokens_before: Millis(0),
             turn_ms: 0,
             retries: RetrySchedule::default(),
         }
     }
 }
 
-/// What an answer changed.
+/// The effect of an observation on this node's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
-    /// Nothing.
-    Nothing,
-    /// Something that the other nodes should hear of.
+pub enum ObservationOutcome {
+    /// No change.
+    Unchanged,
+    /// A limit changed; the other nodes should be notified.
     Changed,
-    /// Whoever holds the engine's group should hear of it.
-    ForHolder(NodeAddress),
+    /// The observation should be forwarded to the holder of the engine's group.
+    ForwardToHolder(NodeAddress),
 }
 
-/// All limits, as one node knows them.
+/// All advertised limits known to one node.
 #[derive(Clone, Debug)]
 pub struct EngineLimits {
     pub(crate) own: NodeAddress,
     pub(crate) groups: BTreeMap<GroupTag, Group>,
     pub(crate) known: HashMap<EngineTag, KnownLimit>,
-    pub(crate) next_told: usize,
+    pub(crate) next_repeated: usize,
 }
 
 impl Default for EngineLimits {
     fn default() -> Self {
-        Self::new(NodeAddress::NOWHERE)
+        Self::new(NodeAddress::UNREACHABLE)
     }
 }
 
 impl EngineLimits {
-    /// A node that knows of no limit yet.
+    /// Creates the state of a node that knows no limits.
     pub fn new(own: NodeAddress) -> Self {
         Self {
             own,
             groups: BTreeMap::new(),
             known: HashMap::new(),
-            next_told: 0,
+            next_repeated: 0,
         }
     }
 
-    /// Whether no engine has a limit, and none had one lately.
+    /// Whether no engine has a limit or had one recently.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
@@ -127,7 +131,7 @@
         self.known.get(&engine).map(|known| known.group)
     }
 
-    /// Who holds a group.
+    /// The holder of a group.
     pub fn holder(&self, group: GroupTag) -> Option<Holder> {
         self.groups.get(&group).map(|known| known.holder)
     }
@@ -138,83 +142,86 @@
         known.filter_map(|(engine, known)| Some((*engine, known.standing.limit?, known.group)))
     }
 
-    /// Where this node receives messages, once that is known.
+    /// Sets the address at which this node receives messages.
     pub fn set_own(&mut self, own: NodeAddress) {
         self.own = own;
     }
 
-    /// Takes in what an answer said of its engine, which belongs to this group.
+    /// Applies the limit that an engine advertised in an answer to this node. `group` is
+    /// the group of the engine.
     pub fn observe(
         &mut self,
-        seen: &Observation,
+        observed: &Observation,
         group: GroupTag,
         rooms: &mut EngineRateLimits,
         now: Millis,
-    ) -> Heard {
-        let limit_before = self.limit_of(seen.engine);
-        if seen.limit.is_none() && limit_before.is_none() {
-            return Heard::Nothing;
+    ) -> ObservationOutcome {
+        let limit_before = self.limit_of(observed.engine);
+        if observed.limit.is_none() && limit_before.is_none() {
+            return ObservationOutcome::Unchanged;
         }
-        let group = self.group_of(seen.engine).unwrap_or(group);
+        let group = self.group_of(observed.engine).unwrap_or(group);
         if !self.groups.contains_key(&group) {
-            self.claim(group, now);
+            self.take_over(group, now);
         }
         let known = &self.groups[&group];
         if known.is_held {
-            return match self.count(seen, group, rooms, now) {
-                true => Heard::Changed,
-                false => Heard::Nothing,
+            return match self.apply_as_holder(observed, group, rooms, now) {
+                true => ObservationOutcome::Changed,
+                false => ObservationOutcome::Unchanged,
             };
         }
         let holder = known.holder.at;
         if limit_before.is_none() {
-            // The holder is asked from now on, whenever it learns of the limit.
-            self.note_limit(seen, group);
-            self.put_in_force(seen.engine, rooms, now);
+            // From now on tokens are requested from the holder, even if it has yet to learn
+            // of the limit.
+            self.record_limit(observed, group);
+            self.apply_limit(observed.engine, rooms, now);
         }
-        Heard::ForHolder(holder)
+        ObservationOutcome::ForwardToHolder(holder)
     }
 
-    /// Takes in an answer that another node has seen; tells whether another limit is in
-    /// force. Whoever does not hold the group leaves it to the holder.
-    pub fn hear_observation(
+    /// Applies an observation that another node forwarded. Returns whether the limit
+    /// changed; a node that does not hold the group ignores the observation.
+    pub fn apply_observation(
         &mut self,
-        seen: &Observation,
+        observed: &Observation,
         group: GroupTag,
         rooms: &mut EngineRateLimits,
         now: Millis,
     ) -> bool {
         let is_held = self.groups.get(&group).is_some_and(|known| known.is_held);
-        is_held && self.count(seen, group, rooms, now)
+        is_held && self.apply_as_holder(observed, group, rooms, now)
     }
 
-    /// Takes in an answer as the holder; tells whether another limit is in force.
-    fn count(
+    /// Applies an observation as the holder of the group. Returns whether the limit
+    /// changed.
+    fn apply_as_holder(
         &mut self,
-        seen: &Observation,
+        observed: &Observation,
         group: GroupTag,
         rooms: &mut EngineRateLimits,
         now: Millis,
     ) -> bool {
-        let is_changed = match self.known.get_mut(&seen.engine) {
-            Some(known) => known.standing.take(seen),
-            None if seen.limit.is_none() => false,
+        let is_changed = match self.known.get_mut(&observed.engine) {
+            Some(known) => known.standing.apply(observed),
+            None if observed.limit.is_none() => false,
             None => {
-                self.note_limit(seen, group);
+                self.record_limit(observed, group);
                 true
             }
         };
         if is_changed {
-            self.put_in_force(seen.engine, rooms, now);
-            self.announce(seen.engine, now);
+            self.apply_limit(observed.engine, rooms, now);
+            self.announce(observed.engine, now);
         }
         is_changed
     }
 
-    fn note_limit(&mut self, seen: &Observation, group: GroupTag) {
+    fn record_limit(&mut self, observed: &Observation, group: GroupTag) {
         let standing = StandingLimit {
-            limit: seen.limit,
-            named_at: seen.head_at,
+            limit: observed.limit,
+            observed_at: observed.head_at,
         };
         let known = KnownLimit {
             group,
@@ -223,17 +230,17 @@
             telling: UpdateBroadcast::default(),
             account: None,
         };
-        self.known.insert(seen.engine, known);
+        self.known.insert(observed.engine, known);
     }
 
-    /// Has the choice of engines follow a limit that has changed.
-    pub(crate) fn put_in_force(
+    /// Applies a changed limit to engine selection and to the token account.
+    pub(crate) fn apply_limit(
         &mut self,
         engine: EngineTag,
         rooms: &mut EngineRateLimits,
         now: Millis,
     ) {
-        let ramp_ms = (self.own.node.0 ^ u64::from(engine.0)) % RAMP_MS;
+        let lift_delay_ms = (self.own.node.0 ^ u64::from(engine.0)) % LIFT_SPREAD_MS;
         let Some(known) = self.known.get_mut(&engine) else {
             return;
         };
@@ -251,7 +258,7 @@
                 }
             }
             None => {
-                rooms.lift(engine, now.plus(ramp_ms), now);
+                rooms.lift(engine, now.plus(lift_delay_ms), now);
                 known.account = None;
             }
         }
@@ -268,8 +275,8 @@
         }
     }
 
-    /// Holds a group from now on, in a term of its own.
-    pub(crate) fn claim(&mut self, group: GroupTag, now: Millis) {
+    /// Takes the group over in a new term.
+    pub(crate) fn take_over(&mut self, group: GroupTag, now: Millis) {
         let term = self.groups.get(&group).map_or(0, |known| known.holder.term);
         let holder = Holder {
             at: self.own,
@@ -280,10 +287,10 @@
             ..Group::held_by(holder, now)
         };
         self.groups.insert(group, held);
-        let of_group = self.known.iter_mut();
-        let of_group = of_group.filter(|(_, known)| known.group == group);
+        let in_group = self.known.iter_mut();
+        let in_group = in_group.filter(|(_, known)| known.group == group);
         let mut engines = Vec::new();
-        for (engine, known) in of_group {
+        for (engine, known) in in_group {
             let limit = known.standing.limit;
             known.account = limit.map(|limit| Account::beginning_at(limit, now));
             engines.push(*engine);
@@ -293,8 +300,9 @@
         }
     }
 
-    /// The holder of a group has not answered a question; tells whether this node has taken
-    /// the group over. Nothing waits for that holder meanwhile.
+    /// Records that the holder of a group did not answer a token request. Returns whether
+    /// this node has taken the group over. Until the backoff ends, no request waits for
+    /// that holder.
     pub fn note_unanswered(
         &mut self,
         group: GroupTag,
@@ -310,17 +318,18 @@
         let Some(known) = self.groups.get_mut(&group).filter(|known| !known.is_held) else {
             return false;
         };
-        known.nothing_before = retry_at;
-        let (since, questions) = known.unanswered.get_or_insert((now, 0));
-        *questions += 1;
-        let is_silent = *questions >= SILENT_QUESTIONS && now.since(*since) >= SILENT_MS;
+        known.no_tokens_before = retry_at;
+        let (since, unanswered_count) = known.unanswered.get_or_insert((now, 0));
+        *unanswered_count += 1;
+        let is_silent =
+            *unanswered_count >= UNANSWERED_REQUESTS && now.since(*since) >= HOLDER_TIMEOUT_MS;
         if is_silent {
-            self.claim(group, now);
+            self.take_over(group, now);
         }
         is_silent
     }
 
-    /// Forgets engines that are gone, and limits that ended long ago.
+    /// Removes engines that no longer exist and limits that ended long ago.
     pub fn expire(
         &mut self,
         is_known: impl Fn(EngineTag) -> bool,
@@ -328,7 +337,7 @@
         now: Millis,
     ) {
         self.known.retain(|engine, known| {
-            let is_recent = now.since(known.standing.named_at) < ENDED_MS;
+            let is_recent = now.since(known.standing.observed_at) < ENDED_LIMIT_RETENTION_MS;
             let stays = is_recent || (known.standing.limit.is_some() && is_known(*engine));
             if !stays {
                 rooms.lift(*engine, now, now);
--- a/crates/enginelimit/src/tokens.rs
+++ b/crates/enginelimit/src/tokens.rs
@@ -1,36 +1,36 @@
-//! Asking for tokens, and granting them.
+//! Requesting and granting tokens.
 
 use crate::account::Account;
 use crate::group::{GroupTag, NodeAddress};
 use crate::limits::EngineLimits;
-use crate::news::{Denial, TokenAnswer, TokenRequest, Wanted};
+use crate::node_messages::{Denial, TokenAnswer, TokenRequest, Wanted};
 use ploverlift_balancing::engine_rate_limits::EngineRateLimits;
 use ploverlift_balancing::names::EngineTag;
 use ploverlift_policy::ids::Millis;
 
-/// Time for which an answer is remembered for a question that comes twice, in milliseconds.
-const ANSWERS_FOR_MS: u64 = 1_000;
-/// Answers beyond which those that are older are forgotten.
-const ANSWERS_KEPT: usize = 256;
-/// Nodes that may ask for any engine of a group whenever a token may have come: with them
-/// no token waits while requests are rejected.
-const FREE_ASKERS: usize = 16;
-/// Milliseconds in a second, as a factor of rates.
+/// Time for which an answer is kept for a retransmitted request, in milliseconds.
+const ANSWER_RETENTION_MS: u64 = 1_000;
+/// Number of kept answers from which expired ones are removed.
+const MAX_ANSWERS: usize = 256;
+/// Number of nodes that may request a token for any engine of a group without a random
+/// delay, so that no token stays unused while requests are rejected.
+const UNDELAYED_NODES: usize = 16;
+/// Milliseconds in a second.
 const MS_PER_SECOND: f64 = 1_000.0;
 
-/// Where a token is asked for.
+/// The node that grants the tokens of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Granter {
-    /// At this node.
+    /// This node.
     Here,
-    /// At another one.
+    /// Another node.
     At(NodeAddress),
-    /// Nobody counts for the group.
+    /// The group has no holder.
     Nobody,
 }
 
 impl EngineLimits {
-    /// Who grants tokens of a group.
+    /// The node that grants the tokens of a group.
     pub fn granter(&self, group: GroupTag) -> Granter {
         match self.groups.get(&group) {
             Some(known) if known.is_held => Granter::Here,
@@ -39,29 +39,29 @@
         }
     }
 
-    /// Answers a question for a token.
+    /// Answers a token request. A retransmitted request gets the same answer.
     pub fn answer(&mut self, request: &TokenRequest, now: Millis) -> TokenAnswer {
         let group = self.groups.get_mut(&request.group);
         let Some(group) = group.filter(|group| group.is_held) else {
             return TokenAnswer::NotHolder;
         };
-        let question = (request.sender, request.number);
-        let answered = group.answered.get(&question);
-        let lately = answered.filter(|(at, _)| now.since(*at) < ANSWERS_FOR_MS);
-        if let Some((_, answer)) = lately {
+        let request_key = (request.sender, request.number);
+        let answered = group.answered.get(&request_key);
+        let recent = answered.filter(|(at, _)| now.since(*at) < ANSWER_RETENTION_MS);
+        if let Some((_, answer)) = recent {
             return *answer;
         }
-        group.askers.note(request.sender, now);
-        if group.answered.len() >= ANSWERS_KEPT {
+        group.requesting_nodes.note(request.sender, now);
+        if group.answered.len() >= MAX_ANSWERS {
             let answered = &mut group.answered;
-            answered.retain(|_, (at, _)| now.since(*at) < ANSWERS_FOR_MS);
+            answered.retain(|_, (at, _)| now.since(*at) < ANSWER_RETENTION_MS);
         }
         let answer = match &request.wanted {
             Wanted::Engine(engine) => self.grant(request, *engine, now),
             Wanted::AnyBut(excluded) => self.grant_any(request, excluded, now),
         };
         if let Some(group) = self.groups.get_mut(&request.group) {
-            group.answered.insert(question, (now, answer));
+            group.answered.insert(request_key, (now, answer));
         }
         answer
     }
@@ -80,19 +80,19 @@
         self.denial(request, wait_ms, per_second, 1)
     }
 
-    /// The fullest of the group's buckets.
+    /// Grants a token from the fullest bucket of the group.
     fn grant_any(
         &mut self,
         request: &TokenRequest,
         excluded: &[EngineTag],
         now: Millis,
     ) -> TokenAnswer {
-        let of_group = self.known.iter_mut().filter_map(|(engine, known)| {
+        let in_group = self.known.iter_mut().filter_map(|(engine, known)| {
             let is_wanted = known.group == request.group && !excluded.contains(engine);
             let account = known.account.as_mut().filter(|_| is_wanted)?;
             Some((*engine, account))
         });
-        let mut accounts: Vec<(EngineTag, &mut Account)> = of_group.collect();
+        let mut accounts: Vec<(EngineTag, &mut Account)> = in_group.collect();
         accounts.sort_by(|(_, a), (_, b)| a.level(now).total_cmp(&b.level(now)));
         let Some((engine, account)) = accounts.last_mut() else {
             return TokenAnswer::Unlimited;
@@ -107,7 +107,7 @@
         let wait_ms = waits.min().unwrap_or(0);
         let rates = accounts.iter().map(|(_, account)| account.per_second());
         let per_second = rates.sum();
-        self.denial(request, wait_ms, per_second, FREE_ASKERS)
+        self.denial(request, wait_ms, per_second, UNDELAYED_NODES)
     }
 
     fn denial(
@@ -115,27 +115,27 @@
         request: &TokenRequest,
         wait_ms: u64,
         per_second: f64,
-        free: usize,
+        undelayed: usize,
     ) -> TokenAnswer {
-        let askers = &self.groups[&request.group].askers;
-        let turn_ms = askers.count() as f64 / per_second * MS_PER_SECOND;
+        let requesting_nodes = &self.groups[&request.group].requesting_nodes;
+        let turn_ms = requesting_nodes.count() as f64 / per_second * MS_PER_SECOND;
         TokenAnswer::Denied(Denial {
             wait_ms,
-            spread_ms: askers.spread_ms(per_second, free),
+            spread_ms: requesting_nodes.spread_ms(per_second, undelayed),
             turn_ms: turn_ms as u64,
         })
     }
 
-    /// A token that was granted here was not used.
-    pub fn give_back(&mut self, engine: EngineTag, now: Millis) {
+    /// Returns an unused token that this node granted.
+    pub fn return_token(&mut self, engine: EngineTag, now: Millis) {
         let known = self.known.get_mut(&engine);
         if let Some(account) = known.and_then(|known| known.account.as_mut()) {
-            account.give_back(now);
+            account.return_token(now);
         }
     }
 
-    /// Takes in the answer to a question of this node; tells which engine a request may be
-    /// sent to. `draw`, in 0 to 1, is a random moment of the backoff.
+    /// Applies the answer to a token request of this node. Returns the engine to which the
+    /// request may be sent. `draw`, from 0 to 1, selects the random part of the backoff.
     pub fn take_answer(
         &mut self,
         request: &TokenRequest,
@@ -159,12 +159,13 @@
                 None
             }
             TokenAnswer::Unlimited => {
-                self.lift_wanted(request, rooms, now);
+                self.forget_requested(request, rooms, now);
                 None
             }
             TokenAnswer::NotHolder => {
-                // News of another holder is on its way here or there. Who took the group over
-                // at once would do so again and again in a large fleet.
+                // An update that names another holder is on its way to this node or to the
+                // other one. Taking the group over at once would cause repeated takeovers
+                // in a large fleet.
                 self.note_unanswered(request.group, rooms, now);
                 None
             }
@@ -182,7 +183,7 @@
         if let Some(group) = self.groups.get_mut(&request.group) {
             group.turn_ms = denial.turn_ms;
             if matches!(request.wanted, Wanted::AnyBut(_)) {
-                group.nothing_before = until;
+                group.no_tokens_before = until;
             }
         }
         if let Wanted::Engine(engine) = request.wanted {
@@ -190,32 +191,38 @@
         }
     }
 
-    /// The holder knows of no limit where this node does: it has heard of its end.
-    fn lift_wanted(&mut self, request: &TokenRequest, rooms: &mut EngineRateLimits, now: Millis) {
+    /// Removes the requested limits. The holder no longer knows them, because it has
+    /// learned of their end.
+    fn forget_requested(
+        &mut self,
+        request: &TokenRequest,
+        rooms: &mut EngineRateLimits,
+        now: Millis,
+    ) {
         let group = request.group;
         self.known.retain(|engine, known| {
-            let is_meant = match &request.wanted {
+            let is_requested = match &request.wanted {
                 Wanted::Engine(wanted) => wanted == engine,
                 Wanted::AnyBut(excluded) => known.group == group && !excluded.contains(engine),
             };
-            if is_meant {
+            if is_requested {
                 rooms.lift(*engine, now, now);
             }
-            !is_meant
+            !is_requested
         });
     }
 
-    /// Whether any engine of a group may have a token for this node now.
+    /// Whether any engine of the group may have a token for this node.
     pub fn may_have_token(&self, group: GroupTag, now: Millis) -> bool {
         let group = self.groups.get(&group);
-        group.is_some_and(|group| group.nothing_before <= now)
+        group.is_some_and(|group| group.no_tokens_before <= now)
     }
 
-    /// When a caller that is rejected for want of tokens of a group may come back, in
-    /// milliseconds from now.
+    /// Time after which a caller that was rejected for lack of tokens may retry, in
+    /// milliseconds.
     pub fn retry_after_ms(&mut self, group: GroupTag, now: Millis) -> Option<u64> {
         let group = self.groups.get_mut(&group)?;
-        let token_ms = group.nothing_before.since(now);
+        let token_ms = group.no_tokens_before.since(now);
         Some(group.retries.next_ms(token_ms, group.turn_ms, now))
     }
 }
--- a/crates/enginelimit/tests/fleets/tokens.rs
+++ b/crates/enginelimit/tests/fleets/tokens.rs
@@ -1,21 +1,21 @@
-//! Questions for tokens that come twice.
+//! Retransmitted token requests, and holders that do not answer.
 
 use ploverlift_balancing::engine_rate_limits::EngineRateLimits;
 use ploverlift_balancing::names::{EngineTag, PeerId};
 use ploverlift_enginelimit::group::{GroupTag, NodeAddress};
 use ploverlift_enginelimit::limits::EngineLimits;
-use ploverlift_enginelimit::news::{TokenAnswer, TokenRequest, Wanted};
+use ploverlift_enginelimit::node_messages::{TokenAnswer, TokenRequest, Wanted};
 use ploverlift_enginelimit::observation::Observation;
 use ploverlift_policy::ids::Millis;
 
 const GROUP: GroupTag = GroupTag(1);
 const ENGINE: EngineTag = EngineTag(2);
 
-/// The holder of an engine that names one request a second, since a second.
+/// The holder of an engine that has advertised one request a second since time 0.
 fn holder() -> EngineLimits {
     let mut limits = EngineLimits::new(NodeAddress {
         node: PeerId(1),
-        ..NodeAddress::NOWHERE
+        ..NodeAddress::UNREACHABLE
     });
     let seen = Observation {
         engine: ENGINE,
@@ -27,7 +27,7 @@
     limits
 }
 
-fn ask(limits: &mut EngineLimits, number: u64, at_ms: u64) -> bool {
+fn request_token(limits: &mut EngineLimits, number: u64, at_ms: u64) -> bool {
     let request = TokenRequest {
         sender: PeerId(2),
         number,
@@ -40,37 +40,37 @@
 }
 
 #[test]
-fn a_question_that_comes_twice_takes_one_token() {
+fn a_retransmitted_request_takes_one_token() {
     let mut limits = holder();
-    assert!(ask(&mut limits, 7, 1_000));
-    assert!(ask(&mut limits, 7, 1_040));
-    assert!(!ask(&mut limits, 8, 1_050));
-    // It had taken one alone: the next one is there a second later.
-    assert!(ask(&mut limits, 9, 2_000));
+    assert!(request_token(&mut limits, 7, 1_000));
+    assert!(request_token(&mut limits, 7, 1_040));
+    assert!(!request_token(&mut limits, 8, 1_050));
+    // Only one token was taken: the next one is available a second later.
+    assert!(request_token(&mut limits, 9, 2_000));
 }
 
-/// A node that starts anew may number its questions as its earlier life did. The answer to
-/// an old question was handed out again, and no token was taken.
+/// A restarted node may reuse request numbers of its previous run. The holder used to
+/// repeat the answer to the old request, so that no token was taken for the new one.
 #[test]
-fn an_old_answer_is_not_given_to_a_new_question() {
+fn a_reused_request_number_does_not_get_the_old_answer() {
     let mut limits = holder();
-    assert!(ask(&mut limits, 7, 1_000));
-    assert!(ask(&mut limits, 8, 2_000));
-    assert!(ask(&mut limits, 7, 3_000));
-    assert!(!ask(&mut limits, 9, 3_010));
+    assert!(request_token(&mut limits, 7, 1_000));
+    assert!(request_token(&mut limits, 8, 2_000));
+    assert!(request_token(&mut limits, 7, 3_000));
+    assert!(!request_token(&mut limits, 9, 3_010));
 }
 
-/// Each question to a holder that is silent waits; a request that asked for one engine after
-/// another waited four times before it was rejected.
+/// Each token request to a silent holder waits for its time-out. A request that tried one
+/// engine after another used to wait four times before it was rejected.
 #[test]
-fn no_engine_of_a_group_is_asked_for_whose_holder_has_just_not_answered() {
+fn no_tokens_are_requested_right_after_the_holder_did_not_answer() {
     let mut limits = EngineLimits::new(NodeAddress {
         node: PeerId(3),
-        ..NodeAddress::NOWHERE
+        ..NodeAddress::UNREACHABLE
     });
     let mut rooms = EngineRateLimits::default();
-    for news in holder().everything(Millis(0)) {
-        limits.hear(&news, false, &mut rooms, Millis(0));
+    for news in holder().all_updates(Millis(0)) {
+        limits.apply_update(&news, false, &mut rooms, Millis(0));
     }
     assert!(rooms.has_token(ENGINE, Millis(1_000)));
     limits.note_unanswered(GROUP, &mut rooms, Millis(1_000));
--- a/crates/enginelimit/tests/fleets/world.rs
+++ b/crates/enginelimit/tests/fleets/world.rs
@@ -1,10 +1,11 @@
-//! The fleet: its nodes, the network between them, the engines and what they got.
+//! The simulated fleet: nodes, the network between them, engines and the requests that they
+//! got.
 
 use ploverlift_balancing::engine_rate_limits::EngineRateLimits;
 use ploverlift_balancing::names::{EngineTag, PeerId};
 use ploverlift_enginelimit::group::{group_of, GroupTag, NodeAddress};
-use ploverlift_enginelimit::limits::{EngineLimits, Heard};
-use ploverlift_enginelimit::news::{GroupNews, TokenAnswer, TokenRequest, Wanted};
+use ploverlift_enginelimit::limits::{EngineLimits, ObservationOutcome};
+use ploverlift_enginelimit::node_messages::{GroupUpdate, TokenAnswer, TokenRequest, Wanted};
 use ploverlift_enginelimit::observation::Observation;
 use ploverlift_enginelimit::tokens::Granter;
 use ploverlift_policy::ids::Millis;
@@ -12,37 +13,37 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// The span over which arrivals are summed, in milliseconds.
+/// The window over which arrivals are counted, in milliseconds.
 pub const WINDOW_MS: u64 = 4_000;
-/// Time from the first naming after which the bound holds, in milliseconds.
+/// Time from the first advertisement after which the bound holds, in milliseconds.
 pub const KNOWN_AFTER_MS: u64 = 3_000;
-/// Nodes up to which each tells all others; in larger fleets relays pass on.
+/// Largest fleet in which each node sends to all others; larger fleets use relays.
 const MESH_NODES: usize = 20;
-/// Time between two tellings of what has not changed, in milliseconds.
+/// Time between two repeated broadcasts of unchanged state, in milliseconds.
 const PERIOD_MS: u64 = 1_000;
-/// Time between two looks at what is to be told, in milliseconds.
-const LOOK_MS: u64 = 5;
-/// Longest wait for the answer to a question, in milliseconds.
-const ANSWER_MS: u64 = 60;
-/// Engines that a request asks for one by one; then it asks for any.
-const DENIALS_BEFORE_ANY: u32 = 3;
-/// Time for which an engine works before it answers, in milliseconds.
-const WORK_MS: u64 = 30;
+/// Time between two checks for updates that are due, in milliseconds.
+const BROADCAST_CHECK_MS: u64 = 5;
+/// Time-out of a token request, in milliseconds.
+const ANSWER_TIMEOUT_MS: u64 = 60;
+/// Denials for single engines after which a request may get any engine of the group.
+const MAX_DENIALS: u32 = 3;
+/// Time that an engine takes to answer, in milliseconds.
+const SERVICE_MS: u64 = 30;
 
 /// A node.
 struct Node {
     limits: EngineLimits,
     rooms: EngineRateLimits,
     is_up: bool,
-    /// Nodes of other sides are neither heard nor reached.
+    /// The side of a partition. Nodes on different sides cannot exchange messages.
     side: u8,
-    told_at: u64,
-    next_question: u64,
+    last_period_at: u64,
+    next_request_number: u64,
 }
 
-/// A request that waits for a token.
+/// A token request that waits for its answer.
 #[derive(Clone)]
-struct Question {
+struct PendingRequest {
     request: TokenRequest,
     tries: u32,
     denials: u32,
@@ -52,14 +53,14 @@
     Arrive {
         node: usize,
     },
-    Tell {
+    Broadcast {
         node: usize,
     },
-    Hear {
+    ReceiveUpdate {
         node: usize,
-        news: GroupNews,
+        news: GroupUpdate,
     },
-    Ask {
+    RequestToken {
         to: usize,
         from: usize,
         request: TokenRequest,
@@ -69,11 +70,11 @@
         request: TokenRequest,
         answer: TokenAnswer,
     },
-    GiveUp {
+    TimeOut {
         node: usize,
         number: u64,
     },
-    Observe {
+    ReceiveObservation {
         node: usize,
         seen: Observation,
         group: GroupTag,
@@ -85,11 +86,11 @@
     },
 }
 
-/// What the fleet did.
+/// What the fleet did, as counts of events.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     pub messages: u64,
-    pub asks: u64,
+    pub token_requests: u64,
     pub rejected: u64,
     pub served: u64,
 }
@@ -98,16 +99,16 @@
 pub struct World {
     pub now: u64,
     nodes: Vec<Node>,
-    /// The rate that each engine names; nothing for an engine without need.
+    /// The rate that each engine advertises, if it is limited.
     pub limits: Vec<Option<f64>>,
-    /// When and from which side each engine got its requests.
+    /// For each engine, the time and the side of the partition of each request that it got.
     pub arrivals: Vec<Vec<(u64, u8)>>,
     pub counts: Counts,
     /// Share of messages that are lost.
     pub loss: f64,
-    /// Requests a second, of all nodes.
+    /// Requests a second, over all nodes.
     pub demand: f64,
-    questions: HashMap<(usize, u64), Question>,
+    pending_requests: HashMap<(usize, u64), PendingRequest>,
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
     random: fastrand::Rng,
@@ -124,7 +125,7 @@
             counts: Counts::default(),
             loss: 0.0,
             demand,
-            questions: HashMap::new(),
+            pending_requests: HashMap::new(),
             events: BTreeMap::new(),
             next_event: 0,
             random: fastrand::Rng::with_seed(seed),
@@ -136,17 +137,17 @@
                 rooms: EngineRateLimits::default(),
                 is_up: true,
                 side: 0,
-                told_at: 0,
-                next_question: 0,
+                last_period_at: 0,
+                next_request_number: 0,
             });
             let first = world.random.u64(0..1_000);
             world.at(first, Event::Arrive { node });
-            world.at(node as u64 % LOOK_MS, Event::Tell { node });
+            world.at(node as u64 % BROADCAST_CHECK_MS, Event::Broadcast { node });
         }
         world
     }
 
-    /// Plays on for so long.
+    /// Advances the simulation by `for_ms`.
     pub fn run(&mut self, for_ms: u64) {
         let end = self.now + for_ms;
         while let Some(entry) = self
@@ -156,36 +157,38 @@
         {
             self.now = entry.key().0;
             let event = entry.remove();
-            self.play(event);
+            self.handle(event);
         }
         self.now = end;
     }
 
-    /// A node stands still, or is gone.
+    /// Stops a node; it stays stopped until it is resumed or restarted.
     pub fn stop(&mut self, node: usize) {
         self.nodes[node].is_up = false;
     }
 
-    /// A node that stood still goes on with what it knew.
-    pub fn thaw(&mut self, node: usize) {
+    /// Resumes a stopped node with its state.
+    pub fn resume(&mut self, node: usize) {
         self.nodes[node].is_up = true;
     }
 
-    /// A node starts anew, and is told what another one knows.
+    /// Restarts a node without its state and sends it the state of another node.
     pub fn restart(&mut self, node: usize) {
         let other = (node + 1) % self.nodes.len();
-        let told = self.nodes[other].limits.everything(self.millis());
+        let told = self.nodes[other].limits.all_updates(self.millis());
         let now = self.millis();
         let started = &mut self.nodes[node];
         started.limits = EngineLimits::new(address_of(node));
         started.rooms = EngineRateLimits::default();
         for news in told {
-            started.limits.hear(&news, false, &mut started.rooms, now);
+            started
+                .limits
+                .apply_update(&news, false, &mut started.rooms, now);
         }
         started.is_up = true;
     }
 
-    /// Nodes from this one on are cut off from those before.
+    /// Partitions the fleet: nodes from `first` on are separated from those before.
     pub fn cut_from(&mut self, first: usize) {
         for (number, node) in self.nodes.iter_mut().enumerate() {
             node.side = u8::from(number >= first);
@@ -198,14 +201,14 @@
         }
     }
 
-    /// The node that holds the group of an engine, as this node knows.
+    /// The holder of the group of an engine, as known to this node.
     pub fn holder_seen_by(&self, node: usize, engine: usize) -> Option<usize> {
         let limits = &self.nodes[node].limits;
         let group = limits.group_of(tag(engine))?;
         Some(index_of(limits.holder(group)?.at))
     }
 
-    /// Nodes that know this limit of an engine.
+    /// The number of nodes that know this limit of an engine.
     pub fn nodes_that_know(&self, engine: usize, limit: Option<f64>) -> usize {
         let nodes = self.nodes.iter();
         nodes
@@ -213,7 +216,7 @@
             .count()
     }
 
-    /// The most requests of one side that an engine got in any window within a span.
+    /// The most requests that an engine got from one side in any window of the interval.
     pub fn worst_window(&self, engine: usize, from: u64, until: u64, side: Option<u8>) -> usize {
         let times: Vec<u64> = self.arrivals[engine]
             .iter()
@@ -227,7 +230,7 @@
         counts.max().unwrap_or(0)
     }
 
-    /// Requests that an engine got within a span.
+    /// Requests that an engine got in an interval.
     pub fn arrivals_in(&self, engine: usize, from: u64, until: u64) -> usize {
         let times = self.arrivals[engine].iter();
         times.filter(|(at, _)| *at >= from && *at < until).count()
@@ -242,7 +245,7 @@
         self.events.insert((when, self.next_event), event);
     }
 
-    /// Sends a message, which takes its time, may be lost, and does not cross a cut.
+    /// Sends a message with a delay. It may be lost, and does not cross a partition.
     fn send(&mut self, from: usize, to: usize, delay_ms: u64, event: Event) {
         self.counts.messages += 1;
         let is_cut = self.nodes[from].side != self.nodes[to].side;
@@ -251,7 +254,7 @@
         }
     }
 
-    fn hop_ms(&mut self) -> u64 {
+    fn network_delay_ms(&mut self) -> u64 {
         self.random.u64(1..=3)
     }
 
@@ -259,7 +262,7 @@
         group_of(&self.service, tag(engine), self.limits.len())
     }
 
-    fn play(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive { node } => {
                 let mean_ms = 1_000.0 * self.nodes.len() as f64 / self.demand;
@@ -269,24 +272,24 @@
                     self.choose(node, 0);
                 }
             }
-            Event::Tell { node } => self.tell(node),
-            Event::Hear { node, news } => {
+            Event::Broadcast { node } => self.broadcast(node),
+            Event::ReceiveUpdate { node, news } => {
                 let now = self.millis();
                 let node = &mut self.nodes[node];
                 if node.is_up {
-                    node.limits.hear(&news, false, &mut node.rooms, now);
+                    node.limits.apply_update(&news, false, &mut node.rooms, now);
                 }
             }
-            Event::Ask { to, from, request } => {
+            Event::RequestToken { to, from, request } => {
                 if self.nodes[to].is_up {
                     let now = self.millis();
                     let answer = self.nodes[to].limits.answer(&request, now);
-                    let redirect = self.nodes[to].limits.holder_news(request.group);
+                    let redirect = self.nodes[to].limits.holder_update(request.group);
                     if let (TokenAnswer::NotHolder, Some(news)) = (answer, redirect) {
-                        let delay = self.hop_ms();
-                        self.send(to, from, delay, Event::Hear { node: from, news });
+                        let delay = self.network_delay_ms();
+                        self.send(to, from, delay, Event::ReceiveUpdate { node: from, news });
                     }
-                    let delay = self.hop_ms();
+                    let delay = self.network_delay_ms();
                     self.send(
                         to,
                         from,
@@ -304,18 +307,18 @@
                 request,
                 answer,
             } => {
-                let open = self.questions.remove(&(node, request.number));
-                if let Some(question) = open.filter(|_| self.nodes[node].is_up) {
-                    self.take_answer(node, &request, answer, question.denials);
+                let open = self.pending_requests.remove(&(node, request.number));
+                if let Some(pending) = open.filter(|_| self.nodes[node].is_up) {
+                    self.take_answer(node, &request, answer, pending.denials);
                 }
             }
-            Event::GiveUp { node, number } => self.give_up(node, number),
-            Event::Observe { node, seen, group } => {
+            Event::TimeOut { node, number } => self.time_out(node, number),
+            Event::ReceiveObservation { node, seen, group } => {
                 let now = self.millis();
                 let node = &mut self.nodes[node];
                 if node.is_up {
                     let limits = &mut node.limits;
-                    limits.hear_observation(&seen, group, &mut node.rooms, now);
+                    limits.apply_observation(&seen, group, &mut node.rooms, now);
                 }
             }
             Event::Answered {
@@ -326,8 +329,9 @@
         }
     }
 
-    /// A caller's request: an engine that gets little, as one with a limit does, before any
-    /// other with room; else whichever the holder names.
+    /// Selects an engine for a caller's request: a limited engine with free capacity if
+    /// there is one, as it gets little load; otherwise any engine with free capacity;
+    /// otherwise one that the holder grants.
     fn choose(&mut self, node: usize, denials: u32) {
         let now = self.millis();
         let engines = self.limits.len();
@@ -335,20 +339,20 @@
         let known = &self.nodes[node];
         let mut order = (0..engines.min(64)).map(|step| (first + step) % engines);
         let has_room = |engine: &usize| known.rooms.has_token(tag(*engine), now);
-        let is_idle = |engine: &usize| known.limits.limit_of(tag(*engine)).is_some();
-        let idle = order
+        let is_limited = |engine: &usize| known.limits.limit_of(tag(*engine)).is_some();
+        let limited = order
             .clone()
-            .find(|engine| is_idle(engine) && has_room(engine));
-        let open = idle.or_else(|| order.clone().find(has_room));
+            .find(|engine| is_limited(engine) && has_room(engine));
+        let open = limited.or_else(|| order.clone().find(has_room));
         let is_unlimited = |engine: &usize| known.limits.limit_of(tag(*engine)).is_none();
-        let open = match denials < DENIALS_BEFORE_ANY {
+        let open = match denials < MAX_DENIALS {
             true => open,
             false => order.find(|engine| is_unlimited(engine) && has_room(engine)),
         };
         let Some(engine) = open else {
             let group = self.group(first);
             if self.nodes[node].limits.may_have_token(group, now) {
-                self.ask(node, group, Wanted::AnyBut(Vec::new()), denials);
+                self.request_token(node, group, Wanted::AnyBut(Vec::new()), denials);
             } else {
                 self.reject();
             }
@@ -359,13 +363,13 @@
         }
         let group = self.nodes[node].limits.group_of(tag(engine));
         let group = group.expect("a limited engine has a group");
-        self.ask(node, group, Wanted::Engine(tag(engine)), denials);
+        self.request_token(node, group, Wanted::Engine(tag(engine)), denials);
     }
 
-    fn ask(&mut self, node: usize, group: GroupTag, wanted: Wanted, denials: u32) {
-        self.counts.asks += 1;
-        let number = self.nodes[node].next_question;
-        self.nodes[node].next_question += 1;
+    fn request_token(&mut self, node: usize, group: GroupTag, wanted: Wanted, denials: u32) {
+        self.counts.token_requests += 1;
+        let number = self.nodes[node].next_request_number;
+        self.nodes[node].next_request_number += 1;
         let request = TokenRequest {
             sender: address_of(node).node,
             number,
@@ -380,43 +384,47 @@
                 self.take_answer(node, &request, answer, denials);
             }
             Granter::At(holder) => {
-                let question = Question {
+                let pending = PendingRequest {
                     request,
                     tries: 1,
                     denials,
                 };
-                self.questions.insert((node, number), question.clone());
-                self.send_question(node, index_of(holder), question.request);
+                self.pending_requests
+                    .insert((node, number), pending.clone());
+                self.send_request(node, index_of(holder), pending.request);
             }
             Granter::Nobody => self.reject(),
         }
     }
 
-    fn send_question(&mut self, node: usize, holder: usize, request: TokenRequest) {
+    fn send_request(&mut self, node: usize, holder: usize, request: TokenRequest) {
         let number = request.number;
-        let delay = self.hop_ms();
-        let ask = Event::Ask {
+        let delay = self.network_delay_ms();
+        let ask = Event::RequestToken {
             to: holder,
             from: node,
             request,
         };
         self.send(node, holder, delay, ask);
-        self.at(self.now + ANSWER_MS, Event::GiveUp { node, number });
+        self.at(
+            self.now + ANSWER_TIMEOUT_MS,
+            Event::TimeOut { node, number },
+        );
     }
 
-    fn give_up(&mut self, node: usize, number: u64) {
-        let Some(question) = self.questions.get_mut(&(node, number)) else {
+    fn time_out(&mut self, node: usize, number: u64) {
+        let Some(pending) = self.pending_requests.get_mut(&(node, number)) else {
             return;
         };
-        if question.tries == 1 {
-            question.tries = 2;
-            let request = question.request.clone();
+        if pending.tries == 1 {
+            pending.tries = 2;
+            let request = pending.request.clone();
             if let Granter::At(holder) = self.nodes[node].limits.granter(request.group) {
-                return self.send_question(node, index_of(holder), request);
+                return self.send_request(node, index_of(holder), request);
             }
         }
-        let question = self.questions.remove(&(node, number));
-        let request = question.expect("an open question").request;
+        let pending = self.pending_requests.remove(&(node, number));
+        let request = pending.expect("an open request").request;
         let now = self.millis();
         let known = &mut self.nodes[node];
         known
@@ -461,7 +469,7 @@
             engine,
             sent_at: self.now,
         };
-        self.at(self.now + WORK_MS, answered);
+        self.at(self.now + SERVICE_MS, answered);
     }
 
     fn observe(&mut self, node: usize, engine: usize, sent_at: u64) {
@@ -478,10 +486,10 @@
         let group = self.group(engine);
         let known = &mut self.nodes[node];
         let heard = known.limits.observe(&seen, group, &mut known.rooms, now);
-        if let Heard::ForHolder(holder) = heard {
+        if let ObservationOutcome::ForwardToHolder(holder) = heard {
             let holder = index_of(holder);
-            let delay = self.hop_ms();
-            let told = Event::Observe {
+            let delay = self.network_delay_ms();
+            let told = Event::ReceiveObservation {
                 node: holder,
                 seen,
                 group,
@@ -490,31 +498,31 @@
         }
     }
 
-    fn tell(&mut self, node: usize) {
-        // A large fleet looks less often here, so that the test stays short.
-        let look_ms = match self.nodes.len() <= MESH_NODES {
-            true => LOOK_MS,
-            false => 10 * LOOK_MS,
+    fn broadcast(&mut self, node: usize) {
+        // A large fleet checks less often, to keep the test short.
+        let check_ms = match self.nodes.len() <= MESH_NODES {
+            true => BROADCAST_CHECK_MS,
+            false => 10 * BROADCAST_CHECK_MS,
         };
-        self.at(self.now + look_ms, Event::Tell { node });
+        self.at(self.now + check_ms, Event::Broadcast { node });
         let now = self.millis();
         let known = &mut self.nodes[node];
         if !known.is_up || known.limits.is_empty() {
             return;
         }
-        let is_period = self.now - known.told_at >= PERIOD_MS;
+        let is_period = self.now - known.last_period_at >= PERIOD_MS;
         if is_period {
-            known.told_at = self.now;
+            known.last_period_at = self.now;
         }
-        for news in known.limits.news(is_period, now) {
+        for news in known.limits.updates_due(is_period, now) {
             for other in 0..self.nodes.len() {
                 if other != node {
-                    // Relays tell within some tens of milliseconds.
+                    // Relays forward within some tens of milliseconds.
                     let delay = match self.nodes.len() <= MESH_NODES {
-                        true => self.hop_ms(),
+                        true => self.network_delay_ms(),
                         false => self.random.u64(5..=60),
                     };
-                    let heard = Event::Hear {
+                    let heard = Event::ReceiveUpdate {
                         node: other,
                         news: news.clone(),
                     };
--- a/crates/quarantine/benches/decision.rs
+++ b/crates/quarantine/benches/decision.rs
@@ -1,4 +1,4 @@
-//! What each request costs: its fingerprint, and whether it may be sent.
+//! The cost per request of computing its fingerprint and checking its permission.
 
 use criterion::{criterion_group, criterion_main, Criterion};
 use ploverlift_balancing::names::EngineTag;
@@ -6,11 +6,11 @@
 use ploverlift_quarantine::evidence::EngineEnd;
 use ploverlift_quarantine::fingerprint::{RequestFingerprint, RequestParts};
 use ploverlift_quarantine::quarantine::Quarantine;
-use ploverlift_quarantine::room::MAX_REQUESTS;
+use ploverlift_quarantine::retention::MAX_REQUESTS;
 use ploverlift_routing::rate_limit::TenantTag;
 use std::hint::black_box;
 
-/// Bytes of a long prompt.
+/// Size of a long prompt, in bytes.
 const BODY_BYTES: usize = 34_000;
 
 fn decide(criterion: &mut Criterion) {
@@ -36,7 +36,7 @@
     criterion.bench_function("fingerprint_and_ask/34000", |bencher| {
         bencher.iter(|| {
             let request = RequestFingerprint::of(black_box(&parts));
-            black_box(quarantine.ask(request, false, now))
+            black_box(quarantine.permission_for(request, false, now))
         });
     });
 }
--- a/crates/quarantine/src/exchange.rs
+++ b/crates/quarantine/src/exchange.rs
@@ -1,51 +1,54 @@
-//! What a node tells the others, and what it takes in from them.
+//! Reports that a node sends to and merges from other nodes.
 
 use crate::evidence::EngineEnd;
 use crate::fingerprint::RequestFingerprint;
-use crate::news::{ToldClaim, ToldClearing, ToldEnd, ToldRefusal, ToldRequest, MAX_TOLD};
+use crate::node_messages::{
+    ReportedClaim, ReportedClearing, ReportedEnd, ReportedRefusal, ReportedRequest, MAX_REPORTED,
+};
 use crate::quarantine::Quarantine;
-use crate::suspect::{Claim, Cleared, Refusal, Suspect, CLAIM_HOLDS_MS};
+use crate::suspect::{Claim, Cleared, Refusal, Suspect, CLAIM_TIMEOUT_MS};
 use ploverlift_balancing::names::PeerId;
 use ploverlift_policy::ids::Millis;
 use ploverlift_policy::update_broadcast::UpdateBroadcast;
 use std::cmp::Reverse;
 
-/// Time for which a clearing is remembered, in milliseconds: whoever has not heard of it
-/// yet may tell for so long that the request is refused.
-pub(crate) const CLEARING_MS: u64 = 10_000;
+/// Time for which a clearing is kept, in milliseconds. Nodes that do not know of it yet may
+/// report the request as refused for that long.
+pub(crate) const CLEARING_RETENTION_MS: u64 = 10_000;
 
-/// When something is told.
+/// What to include in the reports.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Occasion {
-    /// Whether claims are told again.
+pub struct ReportOptions {
+    /// Whether claims are repeated.
     pub is_period: bool,
-    /// Whether some of what is refused is told again in turn, though it has not changed.
-    pub tells_refused: bool,
-    /// Whether this node passes on what others have claimed.
+    /// Whether some refused requests are repeated in rotation although they have not
+    /// changed.
+    pub includes_refused: bool,
+    /// Whether this node relays the claims of other nodes.
     pub passes_on: bool,
 }
 
-/// What another node's word changed here.
+/// The effect of a merged report on this node's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeardNews {
-    /// Nothing.
-    None,
-    /// Something, of which others should hear.
+pub enum MergeOutcome {
+    /// No change.
+    Unchanged,
+    /// The state changed; other nodes should be notified.
     Changed,
     /// The request is refused from now on.
     Refused,
 }
 
 impl Cleared {
-    fn told(&self, now: Millis) -> ToldRequest {
-        ToldRequest {
+    fn reported(&self, now: Millis) -> ReportedRequest {
+        ReportedRequest {
             request: self.request,
             tenant: self.tenant,
             ends: Vec::new(),
             software: Vec::new(),
             claim: None,
             refusal: None,
-            clearing: Some(ToldClearing {
+            clearing: Some(ReportedClearing {
                 is_answer: self.is_answer,
                 age_ms: now.since(self.at),
             }),
@@ -54,52 +57,57 @@
 }
 
 impl Quarantine {
-    /// What is told now: changes that are due, the most serious ones first, and what the
-    /// occasion asks for.
-    pub fn news(&mut self, own: PeerId, occasion: Occasion, now: Millis) -> Vec<ToldRequest> {
+    /// The reports to send now: due changes, the most serious ones first, and what
+    /// `options` ask for.
+    pub fn reports_due(
+        &mut self,
+        own: PeerId,
+        options: ReportOptions,
+        now: Millis,
+    ) -> Vec<ReportedRequest> {
         self.expire(now);
-        let mut told = self.due_requests(own, occasion, now);
-        if occasion.tells_refused {
-            told.extend(self.next_refused(MAX_TOLD - told.len()));
-            told.sort();
-            told.dedup();
+        let mut selected = self.due_requests(own, options, now);
+        if options.includes_refused {
+            selected.extend(self.next_refused(MAX_REPORTED - selected.len()));
+            selected.sort();
+            selected.dedup();
         }
-        let mut news = Vec::new();
-        for request in told {
+        let mut reports = Vec::new();
+        for request in selected {
             if let Some(suspect) = self.suspects.get_mut(&request) {
                 suspect.telling.record_broadcast(now);
                 if let Some(claim) = suspect.claim.as_mut().filter(|claim| claim.node == own) {
-                    claim.told_at = now;
+                    claim.reported_at = now;
                 }
             }
-            news.push(self.told(request, now));
+            reports.push(self.reported(request, now));
         }
         let cleared = self.cleared.iter_mut();
         let due = cleared.filter(|cleared| cleared.telling.is_due(now));
-        news.extend(due.take(MAX_TOLD).map(|cleared| {
+        reports.extend(due.take(MAX_REPORTED).map(|cleared| {
             cleared.telling.record_broadcast(now);
-            cleared.told(now)
+            cleared.reported(now)
         }));
-        news
+        reports
     }
 
     fn due_requests(
         &self,
         own: PeerId,
-        occasion: Occasion,
+        options: ReportOptions,
         now: Millis,
     ) -> Vec<RequestFingerprint> {
         let is_claimed = |suspect: &Suspect| {
             let claim = suspect.live_claim(now);
-            claim.is_some_and(|claim| claim.node == own || occasion.passes_on)
+            claim.is_some_and(|claim| claim.node == own || options.passes_on)
         };
         let is_due = |suspect: &Suspect| {
-            suspect.telling.is_due(now) || (occasion.is_period && is_claimed(suspect))
+            suspect.telling.is_due(now) || (options.is_period && is_claimed(suspect))
         };
         let due = self.suspects.iter().filter(|(_, suspect)| is_due(suspect));
         let mut due: Vec<RequestFingerprint> = due.map(|(request, _)| *request).collect();
-        due.sort_by_key(|request| Reverse((self.suspects[request].worth(), *request)));
-        due.truncate(MAX_TOLD);
+        due.sort_by_key(|request| Reverse((self.suspects[request].retention_rank(), *request)));
+        due.truncate(MAX_REPORTED);
         due
     }
 
@@ -108,31 +116,31 @@
         let refused = suspects.filter(|(_, known)| known.refusal.is_some());
         let mut refused: Vec<RequestFingerprint> = refused.map(|(request, _)| *request).collect();
         refused.sort();
-        let first = self.next_told % refused.len().max(1);
-        self.next_told = first + most;
+        let first = self.next_repeated % refused.len().max(1);
+        self.next_repeated = first + most;
         refused.rotate_left(first);
         refused.truncate(most);
         refused
     }
 
-    fn told(&self, request: RequestFingerprint, now: Millis) -> ToldRequest {
+    fn reported(&self, request: RequestFingerprint, now: Millis) -> ReportedRequest {
         let suspect = &self.suspects[&request];
-        let ends = suspect.evidence.ends().iter().map(|end| ToldEnd {
+        let ends = suspect.evidence.ends().iter().map(|end| ReportedEnd {
             engine: end.engine,
             begun_age_ms: now.since(end.begun),
             age_ms: now.since(end.at),
         });
-        ToldRequest {
+        ReportedRequest {
             request,
             tenant: suspect.tenant,
             ends: ends.collect(),
             software: suspect.software.iter().cloned().collect(),
-            claim: suspect.live_claim(now).map(|claim| ToldClaim {
+            claim: suspect.live_claim(now).map(|claim| ReportedClaim {
                 node: claim.node,
                 is_sent: claim.is_sent,
-                age_ms: now.since(claim.told_at),
+                age_ms: now.since(claim.reported_at),
             }),
-            refusal: suspect.refusal.map(|refusal| ToldRefusal {
+            refusal: suspect.refusal.map(|refusal| ReportedRefusal {
                 age_ms: now.since(refusal.since),
                 trials: refusal.trials,
                 is_stored: refusal.stored_at.is_some(),
@@ -141,47 +149,47 @@
         }
     }
 
-    /// Takes in what another node, `from`, tells; tells whether it was news. A relay
-    /// `passes_on` what is; others leave it to whoever found it out.
-    pub fn hear(
+    /// Merges a report of the node `from` and returns its effect. A relay sets `passes_on`
+    /// and forwards changes; other nodes leave that to the node that detected them.
+    pub fn merge(
         &mut self,
-        told: &ToldRequest,
+        report: &ReportedRequest,
         from: PeerId,
         own: PeerId,
         passes_on: bool,
         now: Millis,
-    ) -> HeardNews {
-        let request = told.request;
-        if let Some(clearing) = told.clearing {
-            return match self.hear_clearing(request, clearing, passes_on, now) {
-                true => HeardNews::Changed,
-                false => HeardNews::None,
+    ) -> MergeOutcome {
+        let request = report.request;
+        if let Some(clearing) = report.clearing {
+            return match self.merge_clearing(request, clearing, passes_on, now) {
+                true => MergeOutcome::Changed,
+                false => MergeOutcome::Unchanged,
             };
         }
         let known = self.suspects.contains_key(&request);
-        let known_before = known.then(|| self.told(request, now));
+        let known_before = known.then(|| self.reported(request, now));
         let telling = self.suspects.get(&request).map(|suspect| suspect.telling);
         let was_refused = self.is_refused(request);
-        for end in &told.ends {
+        for end in &report.ends {
             let end = EngineEnd {
                 engine: end.engine,
                 begun: now.before(end.begun_age_ms),
                 at: now.before(end.age_ms),
             };
-            self.note_end(request, told.tenant, end, None, now);
+            self.note_end(request, report.tenant, end, None, now);
         }
         if let Some(suspect) = self.suspects.get_mut(&request) {
             if let Some(refusal) = suspect.refusal.as_mut().filter(|_| !was_refused) {
                 refusal.is_own = false;
             }
-            suspect.software.extend(told.software.iter().cloned());
+            suspect.software.extend(report.software.iter().cloned());
         }
-        if let Some(refusal) = told.refusal {
-            self.hear_refusal(told, refusal, now);
+        if let Some(refusal) = report.refusal {
+            self.merge_refusal(report, refusal, now);
         }
-        self.hear_claim(told, from, own, now);
+        self.merge_claim(report, from, own, now);
         let is_known = self.suspects.contains_key(&request);
-        let known_now = is_known.then(|| self.told(request, now));
+        let known_now = is_known.then(|| self.reported(request, now));
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.telling = match passes_on && known_before != known_now {
                 true => UpdateBroadcast::begin(now),
@@ -189,47 +197,52 @@
             };
         }
         match (was_refused, self.is_refused(request)) {
-            (false, true) => HeardNews::Refused,
-            _ if known_before == known_now => HeardNews::None,
-            _ => HeardNews::Changed,
+            (false, true) => MergeOutcome::Refused,
+            _ if known_before == known_now => MergeOutcome::Unchanged,
+            _ => MergeOutcome::Changed,
         }
     }
 
-    fn hear_clearing(
+    fn merge_clearing(
         &mut self,
         request: RequestFingerprint,
-        told: ToldClearing,
+        report: ReportedClearing,
         passes_on: bool,
         now: Millis,
     ) -> bool {
-        let cleared_at = now.before(told.age_ms);
-        if told.is_answer {
+        let cleared_at = now.before(report.age_ms);
+        if report.is_answer {
             self.answers.note(request, cleared_at);
         }
-        let was_told = self.cleared.iter().any(|known| known.request == request);
-        if was_told {
+        let is_known_clearing = self.cleared.iter().any(|known| known.request == request);
+        if is_known_clearing {
             self.clear(request, cleared_at);
             return false;
         }
-        let is_news = self.clear_and_tell(request, told.is_answer, cleared_at);
-        if let Some(cleared) = self.cleared.last_mut().filter(|_| is_news) {
+        let is_changed = self.clear_and_report(request, report.is_answer, cleared_at);
+        if let Some(cleared) = self.cleared.last_mut().filter(|_| is_changed) {
             cleared.telling = match passes_on {
                 true => UpdateBroadcast::begin(now),
                 false => UpdateBroadcast::default(),
             };
         }
-        is_news
+        is_changed
     }
 
-    pub(crate) fn hear_refusal(&mut self, told: &ToldRequest, refusal: ToldRefusal, now: Millis) {
+    pub(crate) fn merge_refusal(
+        &mut self,
+        report: &ReportedRequest,
+        refusal: ReportedRefusal,
+        now: Millis,
+    ) {
         let since = now.before(refusal.age_ms);
         let mut cleared = self.cleared.iter();
-        let is_cleared = cleared.any(|known| known.request == told.request && known.at >= since);
-        if is_cleared || self.answers.clear(told.request, since) {
+        let is_cleared = cleared.any(|known| known.request == report.request && known.at >= since);
+        if is_cleared || self.answers.clear(report.request, since) {
             return;
         }
-        let suspect = self.suspect(told.request, told.tenant, now);
-        suspect.software.extend(told.software.iter().cloned());
+        let suspect = self.suspect(report.request, report.tenant, now);
+        suspect.software.extend(report.software.iter().cloned());
         let known = suspect.refusal.get_or_insert(Refusal {
             since,
             trials: refusal.trials,
@@ -246,29 +259,30 @@
         }
     }
 
-    /// A claim that is being sent goes before one that waits, and a lower name before a
-    /// higher one. Only the holder says that a claim is over; else it lapses.
-    fn hear_claim(&mut self, told: &ToldRequest, from: PeerId, own: PeerId, now: Millis) {
-        let Some(suspect) = self.suspects.get_mut(&told.request) else {
+    /// Merges a claim. A claim whose request is being sent has precedence over one that
+    /// waits, and otherwise the claim of the lower node identifier. Only the claiming node
+    /// can end its claim; otherwise the claim expires.
+    fn merge_claim(&mut self, report: &ReportedRequest, from: PeerId, own: PeerId, now: Millis) {
+        let Some(suspect) = self.suspects.get_mut(&report.request) else {
             return;
         };
-        let standing = suspect.live_claim(now);
-        let Some(claim) = told.claim else {
-            suspect.claim = standing.filter(|known| known.node != from);
+        let live = suspect.live_claim(now);
+        let Some(claim) = report.claim else {
+            suspect.claim = live.filter(|known| known.node != from);
             return;
         };
-        let told = Claim {
+        let other = Claim {
             node: claim.node,
             is_sent: claim.is_sent,
-            told_at: now.before(claim.age_ms),
+            reported_at: now.before(claim.age_ms),
         };
         let rank = |claim: Claim| (Reverse(claim.is_sent), claim.node);
-        let goes_first = standing.is_none_or(|known| rank(told) <= rank(known));
-        let is_lapsed = now.since(told.told_at) >= CLAIM_HOLDS_MS;
+        let has_precedence = live.is_none_or(|known| rank(other) <= rank(known));
+        let is_lapsed = now.since(other.reported_at) >= CLAIM_TIMEOUT_MS;
         let is_older =
-            standing.is_some_and(|known| known.node == told.node && known.told_at > told.told_at);
-        if claim.node != own && goes_first && !is_lapsed && !is_older {
-            suspect.claim = Some(told);
+            live.is_some_and(|old| old.node == other.node && old.reported_at > other.reported_at);
+        if claim.node != own && has_precedence && !is_lapsed && !is_older {
+            suspect.claim = Some(other);
         }
     }
 }
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -1,9 +1,9 @@
-//! Which requests may be sent to an engine, by what they did to engines before.
+//! Decides which requests may be sent to an engine, given the engines that ended under them.
 //!
 //! ```text
 //! no end ─▶ free ─▶ an engine ended ─▶ suspected: one copy at a time in the fleet
 //!             ▲                            │ ends at three moments
-//!             └── whole answer, operator ──┴─▶ refused everywhere, kept in the store
+//!             └── full answer, operator ───┴─▶ refused on all nodes, kept in the store
 //! ```
 
 use crate::answers::RecentAnswers;
@@ -17,65 +17,65 @@
 use ploverlift_routing::software::SoftwareVersion;
 use std::collections::{BTreeSet, HashMap};
 
-/// Moments at which engines ended under a request from which on it is refused.
+/// Number of separate moments with engine ends after which a request is refused.
 pub const MOMENTS_UNTIL_REFUSED: usize = 3;
-/// Time to come back while another copy of a suspected request runs, in milliseconds.
+/// Retry time while another copy of a suspected request runs, in milliseconds.
 const BUSY_RETRY_MS: u64 = 500;
 
 /// Whether a request may be sent to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permission {
-    /// Nothing speaks against it.
+    /// There is no evidence against it.
     Free,
-    /// An engine ended under it: a node that has claimed it may send it.
+    /// An engine ended while running it: only a node that has claimed it may send it.
     AfterClaim,
-    /// Another copy of it runs, or it is being found out what one did.
+    /// Another copy of it runs, or the outcome of one is still unknown.
     Busy {
-        /// Moments at which engines ended under it.
+        /// Number of separate moments at which engines ended under it.
         moments: usize,
-        /// When to come back, in milliseconds.
+        /// Time after which to retry, in milliseconds.
         retry_after_ms: u64,
     },
     /// Engines ended under it at three moments.
     Refused {
-        /// When it could work again, in milliseconds.
+        /// Time until its next trial, in milliseconds.
         retry_after_ms: u64,
     },
 }
 
-/// What an engine's end showed of a request.
+/// The effect of an engine's end on the state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndNews {
-    /// It was answered whole a short time ago: the engine ended for another reason.
+pub enum EndOutcome {
+    /// The request was fully answered recently, so the engine ended for another reason.
     Cleared,
-    /// It is known already.
+    /// The end is already known or the request is already refused.
     Known,
-    /// It is suspected; engines ended under it at so many moments.
+    /// The request is suspected.
     Suspected {
-        /// The moments.
+        /// Number of separate moments at which engines ended under it.
         moments: usize,
     },
-    /// It is refused from now on.
+    /// The request is refused from now on.
     Refused,
 }
 
-/// What this node knows of requests under which engines ended.
+/// The state of one node about requests under which engines ended.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     pub(crate) suspects: HashMap<RequestFingerprint, Suspect>,
     pub(crate) answers: RecentAnswers,
     pub(crate) cleared: Vec<Cleared>,
-    /// Refused requests that are stored and were released or forgotten.
+    /// Stored requests to be deleted from the store, as they were released or evicted.
     pub(crate) to_delete: Vec<RequestFingerprint>,
-    /// Whether the store's list is known.
-    pub(crate) is_known: bool,
-    pub(crate) next_told: usize,
+    /// Whether the list of refused requests in the store is known.
+    pub(crate) is_stored_list_known: bool,
+    pub(crate) next_repeated: usize,
 }
 
 impl Quarantine {
-    /// Whether a request may be sent. `has_new_software` tells whether its service has no
-    /// engine left of the software that ended under it.
-    pub fn ask(
+    /// Whether a request may be sent. `has_new_software` is whether its service has no
+    /// engine left with the software of the engines that ended under it.
+    pub fn permission_for(
         &self,
         request: RequestFingerprint,
         has_new_software: bool,
@@ -92,7 +92,7 @@
                 };
             }
         }
-        if suspect.unproven > 0 || suspect.live_claim(now).is_some() {
+        if suspect.undetermined > 0 || suspect.live_claim(now).is_some() {
             return Permission::Busy {
                 moments: suspect.evidence.moments(),
                 retry_after_ms: BUSY_RETRY_MS,
@@ -113,37 +113,38 @@
         suspect.refusal.map(|_| &suspect.software)
     }
 
-    /// Whether nothing at all is known against any request.
+    /// Whether there is no evidence against any request.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Requests of which something is known.
+    /// Number of requests with recorded state.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Requests that are refused.
+    /// Number of refused requests.
     pub fn refused(&self) -> usize {
         let suspects = self.suspects.values();
         suspects.filter(|known| known.refusal.is_some()).count()
     }
 
-    /// A node claims a request that it would send.
+    /// Claims a request for this node before it is sent.
     pub fn claim(&mut self, request: RequestFingerprint, own: PeerId, now: Millis) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.claim = Some(Claim {
                 node: own,
                 is_sent: false,
-                told_at: now,
+                reported_at: now,
             });
             suspect.change(now);
         }
     }
 
-    /// Whether the claim of this node still stands right before the request is sent, and
-    /// so may be sent. From then on no other claim goes before it.
-    pub fn begin(
+    /// Marks an attempt as sent if this node's claim is still valid right before sending.
+    /// Returns whether the request may be sent. From then on, this claim has precedence
+    /// over all others.
+    pub fn begin_attempt(
         &mut self,
         request: RequestFingerprint,
         own: PeerId,
@@ -157,7 +158,7 @@
             Some(refusal) => has_new_software || suspect.until_trial_ms(refusal, now) == 0,
             None => true,
         };
-        let may_be_sent = may_be_tried && suspect.unproven == 0;
+        let may_be_sent = may_be_tried && suspect.undetermined == 0;
         let is_live = suspect.live_claim(now).is_some();
         let own_claim = suspect.claim.as_mut();
         let own_claim = own_claim.filter(|claim| is_live && claim.node == own);
@@ -165,9 +166,10 @@
             return false;
         };
         claim.is_sent = true;
-        claim.told_at = now;
+        claim.reported_at = now;
         if let Some(refusal) = &mut suspect.refusal {
-            // Counted before it runs: whoever ends with it must not forget it.
+            // Counted before the request runs, so that the trial is recorded even if this
+            // node ends during it.
             refusal.trials += 1;
             refusal.since = now;
             refusal.stored_at = None;
@@ -177,19 +179,19 @@
         true
     }
 
-    /// Whether a node's claim stands.
+    /// Whether a node has claimed a request.
     pub fn is_claimed_by(&self, request: RequestFingerprint, node: PeerId) -> bool {
         let claim = self.suspects.get(&request).and_then(|known| known.claim);
         claim.is_some_and(|claim| claim.node == node)
     }
 
-    /// Whether the engine of a copy of this node may have ended, and it is not known yet.
-    pub fn is_being_found_out(&self, request: RequestFingerprint) -> bool {
+    /// Whether it is still unknown if the engine of a copy sent by this node has ended.
+    pub fn is_outcome_pending(&self, request: RequestFingerprint) -> bool {
         let suspect = self.suspects.get(&request);
-        suspect.is_some_and(|suspect| suspect.unproven > 0)
+        suspect.is_some_and(|suspect| suspect.undetermined > 0)
     }
 
-    /// The copy of this node that held the claim is over.
+    /// Releases the claim of this node after its copy has finished.
     pub fn release(&mut self, request: RequestFingerprint, own: PeerId, now: Millis) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
             if suspect.claim.is_some_and(|claim| claim.node == own) {
@@ -199,20 +201,25 @@
         }
     }
 
-    /// The engine of a copy may have ended: nobody here sends another one before that is
-    /// found out.
-    pub fn note_cut(&mut self, request: RequestFingerprint, tenant: TenantTag, now: Millis) {
-        self.suspect(request, tenant, now).unproven += 1;
+    /// Records that the engine of a copy may have ended. This node sends no other copy
+    /// until the outcome is determined.
+    pub fn note_undetermined_outcome(
+        &mut self,
+        request: RequestFingerprint,
+        tenant: TenantTag,
+        now: Millis,
+    ) {
+        self.suspect(request, tenant, now).undetermined += 1;
     }
 
-    /// It was found out of a copy that was cut.
-    pub fn note_found(&mut self, request: RequestFingerprint) {
+    /// Records that the outcome of a copy has been determined.
+    pub fn note_determined_outcome(&mut self, request: RequestFingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
-            suspect.unproven = suspect.unproven.saturating_sub(1);
+            suspect.undetermined = suspect.undetermined.saturating_sub(1);
         }
     }
 
-    /// An engine has ended under a request.
+    /// Records that an engine ended while running a request.
     pub fn note_end(
         &mut self,
         request: RequestFingerprint,
@@ -220,19 +227,19 @@
         end: EngineEnd,
         software: Option<SoftwareVersion>,
         now: Millis,
-    ) -> EndNews {
+    ) -> EndOutcome {
         if self.answers.clear(request, end.at) {
-            return EndNews::Cleared;
+            return EndOutcome::Cleared;
         }
         let suspect = self.suspect(request, tenant, now);
         if !suspect.evidence.add(end) {
-            return EndNews::Known;
+            return EndOutcome::Known;
         }
         suspect.change(now);
         suspect.software.extend(software);
         let moments = suspect.evidence.moments();
         match suspect.refusal {
-            Some(_) => EndNews::Known,
+            Some(_) => EndOutcome::Known,
             None if moments >= MOMENTS_UNTIL_REFUSED => {
                 suspect.refusal = Some(Refusal {
                     since: now,
@@ -240,25 +247,26 @@
                     stored_at: None,
                     is_own: true,
                 });
-                EndNews::Refused
+                EndOutcome::Refused
             }
-            None => EndNews::Suspected { moments },
+            None => EndOutcome::Suspected { moments },
         }
     }
 
-    /// A request was answered whole; tells whether it was suspected or refused.
+    /// Records that a request was fully answered. Returns whether it was suspected or
+    /// refused.
     pub fn note_answered(&mut self, request: RequestFingerprint, now: Millis) -> bool {
         self.answers.note(request, now);
-        self.clear_and_tell(request, true, now)
+        self.clear_and_report(request, true, now)
     }
 
-    /// An operator releases a request. That is no answer: engines that end under it from
-    /// now on count.
+    /// Records that an operator released a request. Unlike an answer, this does not excuse
+    /// later ends: engines that end under it from now on count.
     pub fn note_released(&mut self, request: RequestFingerprint, now: Millis) -> bool {
-        self.clear_and_tell(request, false, now)
+        self.clear_and_report(request, false, now)
     }
 
-    pub(crate) fn clear_and_tell(
+    pub(crate) fn clear_and_report(
         &mut self,
         request: RequestFingerprint,
         is_answer: bool,
@@ -290,7 +298,7 @@
             }
             suspect.refusal = None;
         }
-        let is_needed = suspect.unproven > 0 || suspect.refusal.is_some();
+        let is_needed = suspect.undetermined > 0 || suspect.refusal.is_some();
         if suspect.evidence.ends().is_empty() && !is_needed {
             self.suspects.remove(&request);
         }
--- a/crates/ratelimit/src/limiter.rs
+++ b/crates/ratelimit/src/limiter.rs
@@ -1,20 +1,20 @@
-//! Whether a request of a tenant may be sent.
+//! Admission of a tenant's requests at one node.
 
-use crate::accounts::{Accounts, FleetSize, UNSEEN_MS};
+use crate::accounts::{Accounts, FleetSize, UNREPORTED_MS};
 use crate::own_use::OwnUse;
-use crate::reports::{is_refreshed, LevelReport, PartId, TenantLevel, TenantUse, UseReport};
-use crate::standing::{Basis, Standing, SPENT_WITHIN_MS};
-use crate::told::{Allowance, ToldLevels};
+use crate::reports::{is_refresh_due, LevelReport, PartId, TenantLevel, TenantUse, UseReport};
+use crate::standing::{Basis, Standing, PROPAGATION_MS};
+use crate::tenant_levels::{Allowance, RelayLevels};
 use ploverlift_balancing::peer_loads::PeerId;
 use ploverlift_policy::ids::Millis;
 use ploverlift_routing::rate_limit::{RateLimit, TenantTag};
 use std::collections::HashMap;
 
-/// Part of a burst under which a relay tells a tenant's level in each report; others
-/// are told in turn.
+/// Share of the burst below which a relay includes a tenant's level in each report; the
+/// levels of other tenants are included in rotation.
 const NEAR_LIMIT_SHARE: f64 = 0.75;
 
-/// Requests whose costs differ by less than a factor of four.
+/// A class of requests whose costs differ by less than a factor of four.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct SizeClass(u32);
 
@@ -30,37 +30,38 @@
     limits: HashMap<TenantTag, RateLimit>,
     own: OwnUse,
     accounts: Option<Accounts>,
-    told: ToldLevels,
+    relay_levels: RelayLevels,
     level_reports: u64,
-    /// What the share of admitted requests of each tenant and size has left over, in
-    /// tokens.
-    turns: HashMap<(TenantTag, SizeClass), f64>,
+    /// Unused admission credit of each tenant and size class, in tokens.
+    share_credits: HashMap<(TenantTag, SizeClass), f64>,
 }
 
-/// What a zone has admitted, as its relay counts it.
+/// The use of a zone, as summed up by one of its relays.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneSum {
-    /// By tenant.
+    /// Use by tenant.
     pub uses: Vec<TenantUse>,
-    /// Nodes that are summed up.
+    /// Number of nodes in the sum.
     pub nodes: u32,
-    /// When this process began to count. Sums of different beginnings do not compare.
+    /// When this process began to count. Sums with different start times are not
+    /// comparable.
     pub begun_at: Millis,
 }
 
-/// How a node takes part in its fleet.
+/// The role of a node in its fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Membership {
-    /// Whether it hears all parts of the fleet itself.
+    /// Whether the node receives the reports of all parts of the fleet and keeps accounts
+    /// itself.
     pub keeps_accounts: bool,
-    /// Whether the fleet itself has just begun, so that nothing ran before.
+    /// Whether the fleet itself has just started, so that nothing ran before.
     pub is_first_start: bool,
-    /// The fleet.
+    /// The size of the fleet.
     pub size: FleetSize,
 }
 
 impl RateLimiter {
-    /// Puts other limits in force.
+    /// Replaces the limits of all tenants.
     pub fn set_limits(&mut self, limits: HashMap<TenantTag, RateLimit>) {
         self.limits = limits;
     }
@@ -75,11 +76,11 @@
         self.limits.get(&tenant).copied()
     }
 
-    /// Decides on a request of a tenant with this limit that counts `cost`.
+    /// Decides on a request of a tenant with this limit that costs `cost`.
     ///
-    /// While a fleet is whole, a request may run into debt, or large ones would never
-    /// get their turn beside small ones; a node that is on its own must have the whole
-    /// of it.
+    /// While a fleet is whole, a request may overdraw the bucket; otherwise large requests
+    /// would never be admitted beside small ones. A node that is isolated from its fleet
+    /// needs the full cost in its bucket.
     pub fn decide(
         &mut self,
         tenant: TenantTag,
@@ -88,10 +89,10 @@
         membership: &Membership,
         now: Millis,
     ) -> Standing {
-        self.own.ask(tenant, cost, now);
+        self.own.record_demand(tenant, cost, now);
         let mut standing = self.standing(tenant, cost, limit, membership, now);
         if standing.basis != Basis::OwnShare {
-            standing.is_admitted = self.has_turn(tenant, cost, standing.admitted_share);
+            standing.is_admitted = self.is_admitted_by_share(tenant, cost, standing.admitted_share);
         }
         if standing.is_admitted {
             self.charge(tenant, cost, now);
@@ -99,7 +100,7 @@
         standing
     }
 
-    /// What is known of a tenant before a request that counts `cost`.
+    /// The state of a tenant before a request that costs `cost`. Nothing is charged.
     pub fn standing(
         &mut self,
         tenant: TenantTag,
@@ -111,12 +112,12 @@
         let (basis, allowance) = self.allowance(tenant, limit, membership, now);
         let own_demand = self.own.demand(tenant).per_second(now);
         let others_demand = (allowance.fleet_demand - own_demand).max(0.0);
-        let asked_unseen = others_demand * SPENT_WITHIN_MS / 1_000.0;
+        let unreported_demand = others_demand * PROPAGATION_MS / 1_000.0;
         let admitted_share = match basis {
             Basis::OwnShare if allowance.available >= cost as f64 => 1.0,
             Basis::OwnShare => 0.0,
             _ if allowance.available <= 0.0 => 0.0,
-            _ => (allowance.available / asked_unseen.max(1.0)).min(1.0),
+            _ => (allowance.available / unreported_demand.max(1.0)).min(1.0),
         };
         Standing {
             basis,
@@ -128,24 +129,24 @@
         }
     }
 
-    /// Whether a request is among the share of its tenant's that are admitted: each
-    /// adds its share to what was left over, and an admitted one takes its cost.
-    /// Requests take turns with those of their size: otherwise a large one would leave
-    /// a debt that many small ones had to wait for.
-    fn has_turn(&mut self, tenant: TenantTag, cost: u64, share: f64) -> bool {
-        let turn = (tenant, SizeClass::of(cost));
+    /// Whether a request is in the admitted share of its tenant's requests. Each request
+    /// adds its share of its cost to a credit, and an admitted one deducts its cost. Each
+    /// size class has its own credit: otherwise a large request would leave a debt that
+    /// many small ones had to wait for.
+    fn is_admitted_by_share(&mut self, tenant: TenantTag, cost: u64, share: f64) -> bool {
+        let key = (tenant, SizeClass::of(cost));
         if share >= 1.0 {
-            self.turns.remove(&turn);
+            self.share_credits.remove(&key);
             return true;
         }
         let cost = cost as f64;
-        let left = self.turns.entry(turn).or_insert(0.0);
-        *left = (*left + cost * share).min(cost);
-        let has_turn = *left > 0.0 && share > 0.0;
-        if has_turn {
-            *left -= cost;
+        let credit = self.share_credits.entry(key).or_insert(0.0);
+        *credit = (*credit + cost * share).min(cost);
+        let is_in_share = *credit > 0.0 && share > 0.0;
+        if is_in_share {
+            *credit -= cost;
         }
-        has_turn
+        is_in_share
     }
 
     fn allowance(
@@ -155,14 +156,14 @@
         membership: &Membership,
         now: Millis,
     ) -> (Basis, Allowance) {
-        self.take_part(membership, now);
+        self.update_accounts(membership, now);
         if let Some(accounts) = &mut self.accounts {
             accounts.resume_after_pause(now);
             let standing = accounts.standing(tenant, limit, now);
-            let unseen = standing.others_per_second * UNSEEN_MS as f64 / 1_000.0;
+            let unreported = standing.others_per_second * UNREPORTED_MS as f64 / 1_000.0;
             let own_demand = self.own.demand(tenant).per_second(now);
             let allowance = Allowance {
-                available: standing.level - unseen,
+                available: standing.level - unreported,
                 refill_per_second: limit.per_second,
                 others_per_second: standing.others_per_second,
                 fleet_demand: standing.others_demand + own_demand,
@@ -170,26 +171,26 @@
             };
             return (Basis::Accounts, allowance);
         }
-        if let Some(allowance) = self.told.allowance(tenant, limit, &self.own, now) {
+        if let Some(allowance) = self.relay_levels.allowance(tenant, limit, &self.own, now) {
             return (Basis::Relays, allowance);
         }
         let started_at = membership.size.started_at;
-        let told = &mut self.told;
-        let allowance = told.own_share(tenant, limit, started_at, now);
+        let relay_levels = &mut self.relay_levels;
+        let allowance = relay_levels.own_share(tenant, limit, started_at, now);
         (Basis::OwnShare, allowance)
     }
 
-    /// Keeps accounts from now on, or no longer.
-    fn take_part(&mut self, membership: &Membership, now: Millis) {
+    /// Starts or stops keeping accounts according to the role of this node.
+    fn update_accounts(&mut self, membership: &Membership, now: Millis) {
         match (membership.keeps_accounts, &self.accounts) {
-            (true, None) => self.accounts = Some(self.first_accounts(membership, now)),
+            (true, None) => self.accounts = Some(self.new_accounts(membership, now)),
             (false, Some(_)) => self.accounts = None,
             _ => {}
         }
     }
 
-    fn first_accounts(&self, membership: &Membership, now: Millis) -> Accounts {
-        if let Some((levels, age_ms)) = self.told.handover(now) {
+    fn new_accounts(&self, membership: &Membership, now: Millis) -> Accounts {
+        if let Some((levels, age_ms)) = self.relay_levels.handover(now) {
             let mut accounts = Accounts::beginning_at(now);
             accounts.take_over(levels.into_iter(), age_ms, now);
             return accounts;
@@ -200,56 +201,57 @@
         }
     }
 
-    /// Counts tokens as admitted.
+    /// Counts tokens as admitted by this node.
     pub fn charge(&mut self, tenant: TenantTag, tokens: u64, now: Millis) {
         self.own.charge(tenant, tokens, now);
-        self.take_out(tenant, tokens as f64, now);
+        self.charge_bucket(tenant, tokens as f64, now);
     }
 
-    /// Tokens that were counted did not run.
+    /// Returns tokens of a request that was admitted but did not run.
     pub fn refund(&mut self, tenant: TenantTag, tokens: u64, now: Millis) {
         self.own.refund(tenant, tokens, now);
-        self.take_out(tenant, -(tokens as f64), now);
+        self.charge_bucket(tenant, -(tokens as f64), now);
     }
 
-    fn take_out(&mut self, tenant: TenantTag, tokens: f64, now: Millis) {
+    fn charge_bucket(&mut self, tenant: TenantTag, tokens: f64, now: Millis) {
         let Some(limit) = self.limit(tenant) else {
             return;
         };
         match &mut self.accounts {
             Some(accounts) => accounts.charge(tenant, &limit, tokens, now),
-            None => self.told.charge_share(tenant, tokens),
+            None => self.relay_levels.charge_share(tenant, tokens),
         }
     }
 
-    /// Takes in what a part of the fleet has admitted.
-    pub fn take_use(&mut self, part: PartId, report: &UseReport, now: Millis) {
+    /// Applies a report of the use of a part of the fleet. A node without accounts ignores
+    /// it.
+    pub fn apply_use_report(&mut self, part: PartId, report: &UseReport, now: Millis) {
         if let Some(accounts) = &mut self.accounts {
             accounts.apply(part, report, &self.limits, now);
         }
     }
 
-    /// Takes in levels that a relay tells. A node that keeps accounts itself, and for
-    /// a shorter time, goes on from them.
-    pub fn take_levels(&mut self, report: &LevelReport, now: Millis) {
-        self.told.apply(report, &self.own, now);
+    /// Applies the levels that a relay reports. A node that has kept accounts itself for a
+    /// shorter time than the relay continues from these levels.
+    pub fn apply_level_report(&mut self, report: &LevelReport, now: Millis) {
+        self.relay_levels.apply(report, &self.own, now);
         let Some(accounts) = &mut self.accounts else {
             return;
         };
         let ignores_reports = accounts.ignores_reports(now);
         if !ignores_reports && accounts.is_younger_than(report.accounts_age_ms, now) {
             let levels = report.levels.iter();
-            let levels = levels.map(|told| (told.tenant, told.level as f64));
+            let levels = levels.map(|reported| (reported.tenant, reported.level as f64));
             accounts.take_over(levels, report.accounts_age_ms, now);
         }
     }
 
-    /// What this node has admitted.
+    /// The use that this node has admitted, by tenant.
     pub fn own_uses(&self) -> impl Iterator<Item = TenantUse> + '_ {
         self.own.iter()
     }
 
-    /// What this node's zone has admitted; nothing where it keeps no accounts.
+    /// The use of this node's zone; `None` if this node keeps no accounts.
     pub fn zone_sum(&self) -> Option<ZoneSum> {
         let accounts = self.accounts.as_ref()?;
         Some(ZoneSum {
@@ -259,9 +261,9 @@
         })
     }
 
-    /// Brings the accounts up to date; each period of a node that keeps some.
+    /// Brings the accounts up to date. A node that keeps accounts calls it in each period.
     pub fn advance(&mut self, membership: &Membership, now: Millis) {
-        self.take_part(membership, now);
+        self.update_accounts(membership, now);
         let own = &self.own;
         if let Some(accounts) = &mut self.accounts {
             let own_rate = |tenant| own.rate(tenant).per_second(now);
@@ -269,8 +271,9 @@
         }
     }
 
-    /// The levels that a relay tells next, with 0 as what each receiver has reported.
-    pub fn levels_to_tell(&mut self, now: Millis) -> Vec<TenantLevel> {
+    /// The levels for a relay's next report. `counted` is 0; the caller sets it for each
+    /// receiver.
+    pub fn next_levels(&mut self, now: Millis) -> Vec<TenantLevel> {
         self.level_reports += 1;
         let Some(accounts) = &mut self.accounts else {
             return Vec::new();
@@ -283,7 +286,7 @@
             };
             let standing = accounts.standing(tenant, limit, now);
             let is_near = standing.level < limit.burst * NEAR_LIMIT_SHARE;
-            if is_near || is_refreshed(tenant, self.level_reports) {
+            if is_near || is_refresh_due(tenant, self.level_reports) {
                 let own_rate = self.own.rate(tenant).per_second(now);
                 let own_demand = self.own.demand(tenant).per_second(now);
                 levels.push(TenantLevel {
@@ -298,16 +301,16 @@
         levels
     }
 
-    /// What a reporter had admitted of each tenant in the last report that is counted.
-    pub fn counted_of(&self, sender: PeerId, tenants: &[TenantTag]) -> Vec<u64> {
+    /// The admitted total of each tenant in the last counted report of a reporter.
+    pub fn counted_use(&self, sender: PeerId, tenants: &[TenantTag]) -> Vec<u64> {
         let accounts = self.accounts.as_ref();
         let counted = |tenant: &TenantTag| {
-            accounts.map_or(0, |accounts| accounts.counted_of(sender, *tenant))
+            accounts.map_or(0, |accounts| accounts.counted_use(sender, *tenant))
         };
         tenants.iter().map(counted).collect()
     }
 
-    /// Time for which this node's accounts have run, in milliseconds.
+    /// Age of this node's accounts, in milliseconds; 0 if it keeps none.
     pub fn accounts_age_ms(&self, now: Millis) -> u64 {
         let accounts = self.accounts.as_ref();
         accounts.map_or(0, |accounts| accounts.age_ms(now))
--- a/crates/ratelimit/src/own_use.rs
+++ b/crates/ratelimit/src/own_use.rs
@@ -1,8 +1,8 @@
-//! What this node has admitted.
+//! The use that this node has admitted.
 
 use crate::parts::HEARTBEAT_MS;
 use crate::recent_rate::RecentRate;
-use crate::reports::{is_refreshed, TenantUse};
+use crate::reports::{is_refresh_due, TenantUse};
 use ploverlift_policy::ids::Millis;
 use ploverlift_routing::rate_limit::TenantTag;
 use std::collections::HashMap;
@@ -15,28 +15,28 @@
     demand: RecentRate,
 }
 
-/// Tokens admitted by this node in this life.
+/// The tokens requested from and admitted by this node since its start.
 #[derive(Clone, Debug, Default)]
 pub struct OwnUse {
     tenants: HashMap<TenantTag, TenantTotals>,
 }
 
 impl OwnUse {
-    /// Tokens were asked for.
-    pub fn ask(&mut self, tenant: TenantTag, tokens: u64, now: Millis) {
+    /// Records requested tokens.
+    pub fn record_demand(&mut self, tenant: TenantTag, tokens: u64, now: Millis) {
         let totals = self.tenants.entry(tenant).or_default();
         totals.asked += tokens;
         totals.demand.add(tokens as f64, now);
     }
 
-    /// Tokens were admitted.
+    /// Records admitted tokens.
     pub fn charge(&mut self, tenant: TenantTag, tokens: u64, now: Millis) {
         let totals = self.tenants.entry(tenant).or_default();
         totals.admitted += tokens;
         totals.rate.add(tokens as f64, now);
     }
 
-    /// Tokens that were admitted did not run.
+    /// Returns admitted tokens of a request that did not run.
     pub fn refund(&mut self, tenant: TenantTag, tokens: u64, now: Millis) {
         if let Some(totals) = self.tenants.get_mut(&tenant) {
             totals.admitted = totals.admitted.saturating_sub(tokens);
@@ -44,25 +44,25 @@
         }
     }
 
-    /// Tokens that a tenant was admitted.
+    /// The admitted tokens of a tenant.
     pub fn admitted(&self, tenant: TenantTag) -> u64 {
         let totals = self.tenants.get(&tenant);
         totals.map_or(0, |totals| totals.admitted)
     }
 
-    /// What a tenant uses here.
+    /// The recent use of a tenant at this node.
     pub fn rate(&self, tenant: TenantTag) -> RecentRate {
         let totals = self.tenants.get(&tenant);
         totals.map_or_else(RecentRate::default, |totals| totals.rate)
     }
 
-    /// What a tenant asks for here.
+    /// The recent demand of a tenant at this node.
     pub fn demand(&self, tenant: TenantTag) -> RecentRate {
         let totals = self.tenants.get(&tenant);
         totals.map_or_else(RecentRate::default, |totals| totals.demand)
     }
 
-    /// All that was admitted.
+    /// The totals of all tenants.
     pub fn iter(&self) -> impl Iterator<Item = TenantUse> + '_ {
         let tenants = self.tenants.iter();
         tenants.map(|(tenant, totals)| TenantUse {
@@ -73,17 +73,17 @@
     }
 }
 
-/// What a stream of reports has told already.
+/// The use that was already sent in a stream of reports.
 #[derive(Clone, Debug, Default)]
-pub struct ToldUse {
-    told: HashMap<TenantTag, (u64, u64)>,
+pub struct ReportedUse {
+    reported: HashMap<TenantTag, (u64, u64)>,
     reports: u64,
-    told_at: Option<Millis>,
+    reported_at: Option<Millis>,
 }
 
-impl ToldUse {
-    /// The uses to tell next: those that changed, and some others in turn. Nothing
-    /// where nothing changed and the last report is recent.
+impl ReportedUse {
+    /// The uses for the next report: those that changed, and some others in rotation.
+    /// `None` if nothing changed and the last report is recent.
     pub fn next(
         &mut self,
         uses: impl Iterator<Item = TenantUse>,
@@ -91,18 +91,19 @@
     ) -> Option<Vec<TenantUse>> {
         self.reports += 1;
         let is_due = |used: &TenantUse| {
-            is_refreshed(used.tenant, self.reports)
-                || self.told.get(&used.tenant) != Some(&(used.admitted, used.asked))
+            is_refresh_due(used.tenant, self.reports)
+                || self.reported.get(&used.tenant) != Some(&(used.admitted, used.asked))
         };
         let due: Vec<TenantUse> = uses.filter(is_due).collect();
         for used in &due {
-            self.told.insert(used.tenant, (used.admitted, used.asked));
+            self.reported
+                .insert(used.tenant, (used.admitted, used.asked));
         }
         let rested = |at| now.since(at) >= HEARTBEAT_MS;
-        if due.is_empty() && !self.told_at.is_none_or(rested) {
+        if due.is_empty() && !self.reported_at.is_none_or(rested) {
             return None;
         }
-        self.told_at = Some(now);
+        self.reported_at = Some(now);
         Some(due)
     }
 }
--- a/crates/ratelimit/src/told.rs
+++ b/crates/ratelimit/src/tenant_levels.rs
@@ -1,6 +1,6 @@
-//! Levels that relays tell, and the share of a node that hears none.
+//! Levels reported by relays, and the share of a node that receives no relay reports.
 
-use crate::accounts::{share_of, HOLD_MS, OLDER_MS, SETTLED_MS, UNSEEN_MS};
+use crate::accounts::{share_of, HOLD_MS, MIN_AGE_ADVANTAGE_MS, SETTLED_MS, UNREPORTED_MS};
 use crate::bucket::{granted_in, Bucket};
 use crate::own_use::OwnUse;
 use crate::reports::{LevelReport, TenantLevel};
@@ -10,62 +10,62 @@
 use ploverlift_routing::rate_limit::{RateLimit, TenantTag};
 use std::collections::{BTreeMap, HashMap};
 
-/// Silence after which a relay's levels are no longer relied on, in milliseconds: two
-/// of the reports that it sends at least, and some jitter. Where two relays report,
-/// that takes four lost datagrams in a row.
-const RELIED_ON_MS: u64 = 450;
+/// Time without a report after which a relay's levels are no longer used, in milliseconds:
+/// two of a relay's longest report periods and some jitter. With two reporting relays, that
+/// takes four lost datagrams in a row.
+const RELAY_TIMEOUT_MS: u64 = 450;
 
 #[derive(Clone, Copy, Debug)]
-struct ToldLevel {
+struct ReportedLevel {
     level: f64,
     fleet_rate: f64,
     fleet_demand: f64,
     counted: u64,
-    told_at: Millis,
-    /// What this node used a second then.
+    reported_at: Millis,
+    /// The use a second of this node at that time.
     own_rate: f64,
 }
 
 #[derive(Clone, Debug)]
-struct ToldBy {
+struct RelayReports {
     position: ReportPosition,
     accounts_age_ms: u64,
-    levels: HashMap<TenantTag, ToldLevel>,
+    levels: HashMap<TenantTag, ReportedLevel>,
 }
 
-/// This node's part of a limit while it hears no relay.
+/// This node's share of a limit while it receives no relay reports.
 #[derive(Clone, Copy, Debug)]
 struct OwnShare {
     share: f64,
     bucket: Bucket,
 }
 
-/// What relays told of all tenants.
+/// The levels of all tenants, as reported by relays.
 #[derive(Clone, Debug, Default)]
-pub struct ToldLevels {
-    relays: BTreeMap<PeerId, ToldBy>,
+pub struct RelayLevels {
+    relays: BTreeMap<PeerId, RelayReports>,
     nodes: u32,
     heard_at: Option<Millis>,
     shares: HashMap<TenantTag, OwnShare>,
 }
 
-/// What this node may admit of a tenant.
+/// The tokens of a tenant that this node may admit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// Tokens that are left, as far as is known; negative ones are owed.
+    /// Remaining tokens, as far as known. A negative number is a debt.
     pub available: f64,
     /// Tokens a second that become available to this node.
     pub refill_per_second: f64,
     /// Tokens a second that other nodes admit.
     pub others_per_second: f64,
-    /// Tokens a second that the whole fleet is asked for, admitted or not.
+    /// Tokens a second that are requested from the whole fleet, admitted or not.
     pub fleet_demand: f64,
-    /// Age of the knowledge, in milliseconds; nothing where there is none.
+    /// Age of the underlying report, in milliseconds; `None` if there is none.
     pub age_ms: Option<u64>,
 }
 
-impl ToldLevels {
-    /// Takes in a relay's report; one that was overtaken is left out.
+impl RelayLevels {
+    /// Applies a report of a relay. A report that arrives out of order is ignored.
     pub fn apply(&mut self, report: &LevelReport, own: &OwnUse, now: Millis) {
         let known = self.relays.get(&report.sender);
         let known = known.map(|relay| relay.position);
@@ -76,17 +76,20 @@
         if life != LifeChange::Same {
             self.relays.remove(&report.sender);
         }
-        let relay = self.relays.entry(report.sender).or_insert_with(|| ToldBy {
-            position,
-            accounts_age_ms: 0,
-            levels: HashMap::new(),
-        });
+        let relay = self
+            .relays
+            .entry(report.sender)
+            .or_insert_with(|| RelayReports {
+                position,
+                accounts_age_ms: 0,
+                levels: HashMap::new(),
+            });
         relay.position = position;
         relay.accounts_age_ms = report.accounts_age_ms;
-        for told in &report.levels {
-            let own_rate = own.rate(told.tenant).per_second(now);
-            let level = ToldLevel::of(told, own_rate, now);
-            relay.levels.insert(told.tenant, level);
+        for reported in &report.levels {
+            let own_rate = own.rate(reported.tenant).per_second(now);
+            let level = ReportedLevel::of(reported, own_rate, now);
+            relay.levels.insert(reported.tenant, level);
         }
         self.nodes = report.nodes;
         self.heard_at = Some(now);
@@ -95,18 +98,19 @@
             .retain(|_, relay| now.since(relay.position.heard_at()) < HOLD_MS);
     }
 
-    /// The relay that is relied on: the one whose accounts have run longest, or was
-    /// heard last.
-    fn relied_on(&self, now: Millis) -> Option<&ToldBy> {
+    /// The relay whose levels are used: the one with the oldest accounts, and among those
+    /// the one with the latest report.
+    fn preferred_relay(&self, now: Millis) -> Option<&RelayReports> {
         let relays = self.relays.values();
-        let heard = relays.filter(|relay| now.since(relay.position.heard_at()) < RELIED_ON_MS);
-        heard.max_by_key(|relay| {
+        let recent = relays.filter(|relay| now.since(relay.position.heard_at()) < RELAY_TIMEOUT_MS);
+        recent.max_by_key(|relay| {
             let age_ms = relay.accounts_age_ms.min(SETTLED_MS);
-            (age_ms / OLDER_MS, relay.position.heard_at())
+            (age_ms / MIN_AGE_ADVANTAGE_MS, relay.position.heard_at())
         })
     }
 
-    /// What may be admitted by what a relay tells; nothing when none is relied on.
+    /// The allowance by the levels of the preferred relay; `None` if no relay has reported
+    /// recently.
     pub fn allowance(
         &self,
         tenant: TenantTag,
@@ -114,10 +118,10 @@
         own: &OwnUse,
         now: Millis,
     ) -> Option<Allowance> {
-        let relay = self.relied_on(now)?;
+        let relay = self.preferred_relay(now)?;
         let own_rate = own.rate(tenant).per_second(now);
-        let Some(told) = relay.levels.get(&tenant) else {
-            // The relay knows of no use, or of none but this node's last requests.
+        let Some(reported) = relay.levels.get(&tenant) else {
+            // The relay knows no use, or only the last requests of this node.
             let refilled = granted_in(limit, relay.accounts_age_ms).min(limit.burst);
             return Some(Allowance {
                 available: refilled - own.rate(tenant).value(now),
@@ -127,22 +131,24 @@
                 age_ms: Some(now.since(relay.position.heard_at())),
             });
         };
-        let age_ms = now.since(told.told_at);
-        let others = (told.fleet_rate - own_rate).max(0.0);
-        let unseen = others * (age_ms + UNSEEN_MS) as f64 / 1_000.0;
-        let own_unseen = own.admitted(tenant).saturating_sub(told.counted);
-        let refilled = (told.level + granted_in(limit, age_ms)).min(limit.burst);
+        let age_ms = now.since(reported.reported_at);
+        let others = (reported.fleet_rate - own_rate).max(0.0);
+        let unreported = others * (age_ms + UNREPORTED_MS) as f64 / 1_000.0;
+        let own_unreported = own.admitted(tenant).saturating_sub(reported.counted);
+        let refilled = (reported.level + granted_in(limit, age_ms)).min(limit.burst);
         Some(Allowance {
-            available: refilled - unseen - own_unseen as f64,
+            available: refilled - unreported - own_unreported as f64,
             refill_per_second: limit.per_second,
             others_per_second: others,
-            fleet_demand: told.fleet_demand.max(own.demand(tenant).per_second(now)),
+            fleet_demand: reported
+                .fleet_demand
+                .max(own.demand(tenant).per_second(now)),
             age_ms: Some(age_ms),
         })
     }
 
-    /// What may be admitted while no relay is relied on: this node's share by its
-    /// last known use, and an even one once the others no longer hold that for it.
+    /// The allowance while no relay has reported recently: this node's share by its last
+    /// known use, and an even share once the other nodes no longer hold the former for it.
     pub fn own_share(
         &mut self,
         tenant: TenantTag,
@@ -157,12 +163,12 @@
             .values()
             .max_by_key(|relay| relay.position.heard_at());
         let last = last.and_then(|relay| relay.levels.get(&tenant));
-        let own_rate = last.map_or(0.0, |told| told.own_rate);
-        let fleet_rate = last.map_or(0.0, |told| told.fleet_rate.max(own_rate));
+        let own_rate = last.map_or(0.0, |reported| reported.own_rate);
+        let fleet_rate = last.map_or(0.0, |reported| reported.fleet_rate.max(own_rate));
         let share = share_of(limit, own_rate, 1.0, fleet_rate, nodes);
         let even = 1.0 / f64::from(nodes);
         let known = self.shares.entry(tenant).or_insert_with(|| {
-            let level = last.map_or(0.0, |told| told.level.clamp(0.0, limit.burst));
+            let level = last.map_or(0.0, |reported| reported.level.clamp(0.0, limit.burst));
             OwnShare {
                 share,
                 bucket: Bucket::with_level(level * share, now),
@@ -186,31 +192,31 @@
         }
     }
 
-    /// This node admits tokens while it hears no relay.
+    /// Charges tokens that this node admits while it receives no relay reports.
     pub fn charge_share(&mut self, tenant: TenantTag, tokens: f64) {
         if let Some(share) = self.shares.get_mut(&tenant) {
             share.bucket.take(tokens);
         }
     }
 
-    /// The levels of the relay that is relied on, and the age of its accounts; for a
-    /// node that keeps accounts itself from now on.
+    /// The levels of the preferred relay and the age of its accounts, for a node that
+    /// starts to keep accounts itself.
     pub fn handover(&self, now: Millis) -> Option<(Vec<(TenantTag, f64)>, u64)> {
-        let relay = self.relied_on(now)?;
+        let relay = self.preferred_relay(now)?;
         let levels = relay.levels.iter();
-        let levels = levels.map(|(tenant, told)| (*tenant, told.level));
+        let levels = levels.map(|(tenant, reported)| (*tenant, reported.level));
         Some((levels.collect(), relay.accounts_age_ms))
     }
 }
 
-impl ToldLevel {
-    fn of(told: &TenantLevel, own_rate: f64, now: Millis) -> Self {
+impl ReportedLevel {
+    fn of(reported: &TenantLevel, own_rate: f64, now: Millis) -> Self {
         Self {
-            level: told.level as f64,
-            fleet_rate: told.fleet_rate as f64,
-            fleet_demand: told.fleet_demand as f64,
-            counted: told.counted,
-            told_at: now,
+            level: reported.level as f64,
+            fleet_rate: reported.fleet_rate as f64,
+            fleet_demand: reported.fleet_demand as f64,
+            counted: reported.counted,
+            reported_at: now,
             own_rate,
         }
     }
