--- a/crates/gateway/src/assembly.rs
+++ b/crates/gateway/src/assembly.rs
@@ -17,7 +17,7 @@
 use crate::readiness::{answer_metrics, answer_readiness};
 use crate::rollouts::decider::decide_rollouts;
 use crate::rollouts::feed::follow_rollouts;
-use crate::rollouts::gates::keep_gates;
+use crate::rollouts::gates::advance_gates;
 use crate::settings::{GatewaySettings, SettingsError};
 use crate::state::Gateway;
 use crate::store::{follow_configuration, follow_engines};
@@ -112,7 +112,7 @@
         smol::spawn(renew_proof(Arc::clone(&gateway))),
         smol::spawn(follow_rollouts(Arc::clone(&gateway))),
         smol::spawn(decide_rollouts(Arc::clone(&gateway))),
-        smol::spawn(keep_gates(Arc::clone(&gateway))),
+        smol::spawn(advance_gates(Arc::clone(&gateway))),
         smol::spawn(follow_cache_stores(Arc::clone(&gateway))),
         smol::spawn(follow_engine_caches(Arc::clone(&gateway))),
         smol::spawn(roll_weights(Arc::clone(&gateway))),
--- a/crates/gateway/src/beliefs.rs
+++ b/crates/gateway/src/beliefs.rs
@@ -8,7 +8,7 @@
 use crate::peers::followed_relays::FollowedRelays;
 use crate::peers::relay_duties::RelayDuties;
 use crate::peers::weights_exchange::WeightsExchange;
-use crate::rollouts::{EngineCondition, OrderNews, RolloutBeliefs};
+use crate::rollouts::{EngineCondition, OrderUpdate, RolloutBeliefs};
 use crate::settings::GatewaySettings;
 use crate::store::outage::StoreOutage;
 use ploverlift_balancing::cache_stores::CacheStores;
@@ -257,9 +257,9 @@
         order: RolloutOrder,
         settings: RolloutSettings,
         now: Millis,
-    ) -> Option<OrderNews> {
+    ) -> Option<OrderUpdate> {
         let service = order.service.clone();
-        let news = self.rollouts.take_order(order, settings, now)?;
+        let news = self.rollouts.apply_order(order, settings, now)?;
         let is_complete = self.rollouts.of_service(&service)?.is_complete();
         if is_complete {
             let records = self.engines.of_service(&service);
--- a/crates/gateway/src/forward/answer_head.rs
+++ b/crates/gateway/src/forward/answer_head.rs
@@ -27,7 +27,7 @@
         let meaning = site.answer_meaning(&self.received.request.id, &answer.head);
         let signals = site.engine_signals(&answer.head);
         self.learn_weights(signals.weights, chosen);
-        if meaning.is_of(&chosen.instance) {
+        if meaning.is_from(&chosen.instance) {
             let origin = AnswerOrigin {
                 instance: &chosen.instance,
                 sent_at: in_flight.begun(),
--- a/crates/gateway/src/forward/choice.rs
+++ b/crates/gateway/src/forward/choice.rs
@@ -86,7 +86,7 @@
         let mut rates = self.gateway.cost_rates();
         let gateway = Arc::clone(&self.gateway);
         let service = &self.received.admission.service;
-        let has_rollout = gateway.beliefs().rollouts.concerns(service);
+        let has_rollout = gateway.beliefs().rollouts.knows_rollout_of(service);
         let own = has_rollout.then(|| gateway.own_seat());
         let mut beliefs = gateway.beliefs();
         rates.prefill_tokens_per_ms = beliefs.tokens_per_ms(service, rates.prefill_tokens_per_ms);
@@ -144,7 +144,11 @@
         now: Millis,
     ) -> Result<Choice, NoChoice> {
         let tried = self.progress.attempts.tried();
-        let not_spared: Vec<InstanceId> = tried.iter().chain(&software.spared).cloned().collect();
+        let not_spared: Vec<InstanceId> = tried
+            .iter()
+            .chain(&software.outside_canary)
+            .cloned()
+            .collect();
         let mut criteria = Criteria {
             service: &self.received.admission.service,
             zone: &self.gateway.zone,
@@ -160,7 +164,7 @@
         let views = self.store_views(&stores);
         let view = beliefs.fleet(&self.gateway.topology, views);
         let chosen = choose(&view, &criteria, rates, now);
-        let Some(otherwise) = software.otherwise.clone().filter(|_| chosen.is_err()) else {
+        let Some(otherwise) = software.fallback.clone().filter(|_| chosen.is_err()) else {
             return chosen;
         };
         criteria.software = otherwise;
--- a/crates/gateway/src/forward/record.rs
+++ b/crates/gateway/src/forward/record.rs
@@ -92,7 +92,7 @@
             gate_text(chosen),
             chosen.weights.unwrap_or(0),
             or_none(chosen.may_begin_ms),
-            chosen.cache.as_ref().map_or("none", CacheTransfer::in_words),
+            chosen.cache.as_ref().map_or("none", CacheTransfer::log_label),
             chosen.candidates,
             chosen.held_tokens,
             chosen.tokens_to_read,
--- a/crates/gateway/src/peers/follower.rs
+++ b/crates/gateway/src/peers/follower.rs
@@ -6,8 +6,8 @@
 use crate::beliefs::Beliefs;
 use crate::engine_log::{log_engine_updates, UpdateSource};
 use crate::engines_proof::engines_age_limit_ms;
-use crate::rollouts::feed::tell_news;
-use crate::rollouts::{rollout_settings, OrderNews};
+use crate::rollouts::feed::publish_order_updates;
+use crate::rollouts::{rollout_settings, OrderUpdate};
 use crate::state::Gateway;
 use crate::weights::knowledge::{hear_weights, NewsOrigin};
 use ploverlift_balancing::engine_losses::ReportSource;
@@ -76,7 +76,7 @@
     drop(beliefs);
     log_engine_updates(gateway, &changes, UpdateSource::Relay);
     hear_weights(gateway, &report.weights, sent_at, NewsOrigin::Relay);
-    tell_news(gateway, &order_news);
+    publish_order_updates(gateway, &order_news);
     gateway.site_learned.notify(usize::MAX);
     if !report.lost.is_empty() || !report.changes.is_empty() {
         gateway.engine_check_due.notify(usize::MAX);
@@ -87,21 +87,21 @@
 }
 
 /// Takes in what a relay tells of rollouts. `answers` is as for
-/// [`crate::rollouts::RolloutBeliefs::take_sums`].
+/// [`crate::rollouts::RolloutBeliefs::apply_sums`].
 pub(super) fn take_rollout_news(
     beliefs: &mut Beliefs,
     news: &RolloutNews,
     answers: Option<(u64, Millis)>,
     settings: RolloutSettings,
     now: Millis,
-) -> Vec<OrderNews> {
-    beliefs.rollouts.take_missing(news, now);
+) -> Vec<OrderUpdate> {
+    beliefs.rollouts.remove_missing(news, now);
     let mut taken = Vec::new();
     for order in &news.orders {
         taken.extend(beliefs.take_rollout_order(order.clone(), settings, now));
     }
     let (rollouts, engines) = (&mut beliefs.rollouts, &beliefs.engines);
-    rollouts.take_sums(news, answers, engines, now);
+    rollouts.apply_sums(news, answers, engines, now);
     taken
 }
 
--- a/crates/gateway/src/peers/incoming.rs
+++ b/crates/gateway/src/peers/incoming.rs
@@ -83,7 +83,7 @@
     let zone = report.loads.zone;
     beliefs
         .rollouts
-        .take_zone_report(zone, &report.rollouts, now);
+        .merge_zone_report(zone, &report.rollouts, now);
     hear_of_rollout_lease(&mut beliefs, report, now);
 }
 
@@ -95,7 +95,7 @@
     };
     beliefs
         .rollouts
-        .take_node_report(from, &report.rollouts, now);
+        .merge_node_report(from, &report.rollouts, now);
     hear_of_rollout_lease(beliefs, report, now);
 }
 
--- a/crates/gateway/src/peers/relay_contents.rs
+++ b/crates/gateway/src/peers/relay_contents.rs
@@ -116,7 +116,7 @@
         let mut reports = Vec::new();
         let tells_always = self.period % PERIODS_PER_MEMBERS == 0;
         let rollouts = &mut beliefs.rollouts;
-        let mut news = rollouts.news(self.reporter(), tells_always, now);
+        let mut news = rollouts.relay_broadcast(self.reporter(), tells_always, now);
         if rollouts.is_any_open() {
             // The counts fill a datagram of their own.
             let mut report = header.clone();
--- a/crates/gateway/src/peers/roles.rs
+++ b/crates/gateway/src/peers/roles.rs
@@ -196,7 +196,7 @@
 /// release tells none.
 pub fn are_orders_told(gateway: &Gateway) -> bool {
     let now = gateway.clock.now();
-    let told_at = gateway.beliefs().rollouts.orders.told_at();
+    let told_at = gateway.beliefs().rollouts.orders.relay_reported_at();
     relies_on_relay(gateway, now) && told_at.is_some_and(|at| now.since(at) < ORDERS_TOLD_MS)
 }
 
--- a/crates/gateway/src/peers/snapshot.rs
+++ b/crates/gateway/src/peers/snapshot.rs
@@ -14,8 +14,8 @@
 use crate::engines_proof::engines_age_limit_ms;
 use crate::ports::StoreObject;
 use crate::rollouts::exchange::Reporter;
-use crate::rollouts::feed::tell_news;
-use crate::rollouts::{rollout_settings, OrderNews};
+use crate::rollouts::feed::publish_order_updates;
+use crate::rollouts::{rollout_settings, OrderUpdate};
 use crate::state::Gateway;
 use crate::store::take_configuration;
 use crate::time::{sleep, within};
@@ -234,7 +234,7 @@
     });
     let count = beliefs.engines.len();
     drop(beliefs);
-    tell_news(gateway, &order_news);
+    publish_order_updates(gateway, &order_news);
     if was_listed {
         log_engine_updates(gateway, &news, UpdateSource::Snapshot);
     }
@@ -253,7 +253,7 @@
     snapshot: &peers::Snapshot,
     settings: RolloutSettings,
     now: Millis,
-) -> Vec<OrderNews> {
+) -> Vec<OrderUpdate> {
     let Some(news) = snapshot.rollouts.as_ref().map(read_news) else {
         return Vec::new();
     };
@@ -347,7 +347,7 @@
     let engines = request
         .wants_engines
         .then(|| encoding.present(&beliefs, now));
-    let news = beliefs.rollouts.news(own, true, now);
+    let news = beliefs.rollouts.relay_broadcast(own, true, now);
     let is_newer = beliefs.configuration_version() > Some(request.configuration);
     let stored = beliefs.stored_configuration.as_deref();
     let configuration = stored.filter(|_| is_newer).cloned();
--- a/crates/gateway/src/ports/engine.rs
+++ b/crates/gateway/src/ports/engine.rs
@@ -43,7 +43,7 @@
 
 impl CacheTransfer {
     /// What is fetched and saved, for logs.
-    pub fn in_words(&self) -> &'static str {
+    pub fn log_label(&self) -> &'static str {
         match (self.fetch_from, self.save_to) {
             (Some(_), Some(_)) => "fetch+save",
             (Some(_), None) => "fetch",
@@ -83,7 +83,7 @@
 impl AnswerMeaning {
     /// Whether the answer is the word of the engine that was meant. After a mismatch it
     /// must have named itself: what it says may not be told of another engine.
-    pub fn is_of(&self, instance: &InstanceId) -> bool {
+    pub fn is_from(&self, instance: &InstanceId) -> bool {
         match self {
             Self::Success | Self::Failure => true,
             Self::Refused(refused) => {
--- a/crates/gateway/src/rollouts/choice.rs
+++ b/crates/gateway/src/rollouts/choice.rs
@@ -37,9 +37,9 @@
     /// Versions that may serve it.
     pub rule: SoftwareRule,
     /// Versions that may serve it where no engine fits the rule.
-    pub otherwise: Option<SoftwareRule>,
+    pub fallback: Option<SoftwareRule>,
     /// Engines of the target that take no part in the canary.
-    pub spared: Vec<InstanceId>,
+    pub outside_canary: Vec<InstanceId>,
     /// What the gate said; nothing where there is no gate.
     pub reason: Option<GateReason>,
 }
@@ -90,9 +90,9 @@
         // target is held back, what served before serves.
         Some(SoftwareChoice {
             rule: rule.excluding(&held_back).or_else(established)?,
-            otherwise: is_canary.then(established).flatten(),
-            spared: match is_canary {
-                true => spared_engines(rollout, request.service, engines),
+            fallback: is_canary.then(established).flatten(),
+            outside_canary: match is_canary {
+                true => engines_outside_canary(rollout, request.service, engines),
                 false => Vec::new(),
             },
             reason: Some(decision.reason),
@@ -172,7 +172,7 @@
 
 /// Engines of the target beyond those that are enough for the canary's share: few
 /// engines carry as much as an established one does.
-fn spared_engines(
+fn engines_outside_canary(
     rollout: &ServiceRollout,
     service: &ServiceName,
     engines: &EngineCatalogue,
@@ -195,10 +195,10 @@
         .map(|engine| u64::from(engine.tag.0))
         .collect();
     let used = canary_subset(&tags, used, progress.rollout);
-    let spared = of_target
+    let outside_canary = of_target
         .iter()
         .filter(|engine| !used.contains(&u64::from(engine.tag.0)));
-    spared
+    outside_canary
         .map(|engine| engine.record.instance.clone())
         .collect()
 }
--- a/crates/gateway/src/rollouts/decider.rs
+++ b/crates/gateway/src/rollouts/decider.rs
@@ -6,9 +6,9 @@
 //! refusal or a lost answer the order is read again before anything else is decided, so
 //! each write ends as what the store holds.
 
-use super::feed::{read, take_order};
+use super::feed::{apply_order, read};
+use super::log_lines::{log_decision, reason_name};
 use super::service::ServiceRollout;
-use super::told::{log_decision, reason_name};
 use super::{exchange::Reporter, rollout_settings};
 use crate::leases::succession::{stands_for_leases, succession_ms, LAST_SUCCESSOR_MS};
 use crate::leases::{LeaseHolder, LeaseName};
@@ -146,13 +146,13 @@
             life: own.life,
         };
         beliefs.rollouts.count_own(reporter);
-        let own_word = beliefs.rollouts.own_word(service, reporter);
+        let own_stage_confirmation = beliefs.rollouts.own_stage_confirmation(service, reporter);
         let rollout = beliefs.rollouts.of_service(service)?;
         let mut members = members_of(rollout, &listed, own.node);
         members.push(Member {
             node: own.node,
             last_heard_at: Some(now),
-            confirmation: own_word,
+            confirmation: own_stage_confirmation,
         });
         let engines = supply(&beliefs.engines, service);
         let order = rollout.order().clone();
@@ -218,7 +218,7 @@
 
     fn take(&self, object: &StoreObject) {
         if let Some(order) = read(&self.gateway, object) {
-            take_order(&self.gateway, order);
+            apply_order(&self.gateway, order);
         }
     }
 
@@ -248,7 +248,7 @@
     });
     let heard = rollout.members.iter().map(|(id, member)| Member {
         node: *id,
-        last_heard_at: Some(member.heard_at).filter(|at| *at > Millis(0)),
+        last_heard_at: Some(member.last_report_at).filter(|at| *at > Millis(0)),
         confirmation: member.confirmation,
     });
     silent
--- a/crates/gateway/src/rollouts/exchange.rs
+++ b/crates/gateway/src/rollouts/exchange.rs
@@ -25,7 +25,7 @@
 const MAX_OWN_REPORTS: usize = 32;
 /// Time for which a change of orders is told in each report, in milliseconds: some
 /// reports are lost.
-const NEWS_TOLD_MS: u64 = 1_000;
+const REPEAT_CHANGE_MS: u64 = 1_000;
 /// Life of a zone's sums: its relays tell the same ones, and the highest counts stand.
 const ZONE_LIFE: u64 = 0;
 
@@ -66,13 +66,13 @@
         let mut counts = self.counts.iter().flat_map(counts_by_routes);
         let mut pieces = Vec::new();
         loop {
-            let (counted, said) = (counts.next(), confirmations.next());
-            if counted.is_none() && said.is_none() {
+            let (counted, confirmed) = (counts.next(), confirmations.next());
+            if counted.is_none() && confirmed.is_none() {
                 return pieces;
             }
             pieces.push(RolloutReport {
                 counts: counted.into_iter().collect(),
-                confirmations: said.unwrap_or_default().to_vec(),
+                confirmations: confirmed.unwrap_or_default().to_vec(),
                 lease,
             });
         }
@@ -108,7 +108,7 @@
     pub fn count_own(&mut self, own: Reporter) {
         for rollout in self.services.values_mut() {
             if let Some(report) = rollout.own_report(own.node, own.life) {
-                rollout.take_counts(&report);
+                rollout.merge_counts(&report);
             }
         }
     }
@@ -120,17 +120,17 @@
         let mut confirmations = Vec::new();
         let rollouts = self.services.values_mut();
         for rollout in rollouts.filter(|rollout| rollout.is_open()) {
-            let Some(said) = own_confirmation(rollout, &self.running, own) else {
+            let Some(confirmed) = own_confirmation(rollout, &self.running, own) else {
                 continue;
             };
             if let Some(counted) = rollout.own_report(own.node, own.life) {
                 counts.push(ServiceCounts {
-                    service: said.service,
+                    service: confirmed.service,
                     rollout: counted.rollout,
                     counts: counted.counts,
                 });
             }
-            confirmations.push(said);
+            confirmations.push(confirmed);
         }
         if !counts.is_empty() {
             self.own_reports.note(sequence, counts.clone());
@@ -143,58 +143,62 @@
     }
 
     /// What this node says of a service's present stage.
-    pub fn own_word(&mut self, service: &ServiceName, own: Reporter) -> Option<Confirmation> {
+    pub fn own_stage_confirmation(
+        &mut self,
+        service: &ServiceName,
+        own: Reporter,
+    ) -> Option<Confirmation> {
         let rollout = self.services.get_mut(service)?;
-        let said = own_confirmation(rollout, &self.running, own)?;
-        Some(said.confirmation)
+        let confirmed = own_confirmation(rollout, &self.running, own)?;
+        Some(confirmed.confirmation)
     }
 
-    /// What this node's zone has counted, and what its nodes have said, for relays of
+    /// What this node's zone has counted, and what its nodes have confirmed, for relays of
     /// other zones.
     pub fn zone_report(&mut self, own: Reporter, now: Millis) -> RolloutReport {
         self.count_own(own);
         let mut report = RolloutReport::default();
         let rollouts = self.services.values_mut();
         for rollout in rollouts.filter(|rollout| rollout.is_open()) {
-            let Some(said) = own_confirmation(rollout, &self.running, own) else {
+            let Some(confirmed) = own_confirmation(rollout, &self.running, own) else {
                 continue;
             };
-            let service = said.service;
+            let service = confirmed.service;
             report.counts.push(ServiceCounts {
                 service,
-                rollout: said.confirmation.rollout,
+                rollout: confirmed.confirmation.rollout,
                 counts: rollout.zone_sums().clone(),
             });
-            report.confirmations.push(said);
+            report.confirmations.push(confirmed);
             let members = rollout
                 .members
                 .iter()
-                .filter(|(_, member)| member.is_of_zone);
-            let said = members.map(|(node, member)| NodeConfirmation {
+                .filter(|(_, member)| member.is_in_own_zone);
+            let confirmed = members.map(|(node, member)| NodeConfirmation {
                 node: *node,
                 service,
-                confirmation: member.confirmation.unwrap_or(NOTHING_SAID),
-                age_ms: now.since(member.heard_at),
+                confirmation: member.confirmation.unwrap_or(NO_CONFIRMATION),
+                age_ms: now.since(member.last_report_at),
             });
-            report.confirmations.extend(said);
+            report.confirmations.extend(confirmed);
         }
         report
     }
 
     /// Takes in the report of a node of this zone, or of a small fleet.
-    pub fn take_node_report(&mut self, from: Reporter, report: &RolloutReport, now: Millis) {
+    pub fn merge_node_report(&mut self, from: Reporter, report: &RolloutReport, now: Millis) {
         for rollout in self
             .services
             .values_mut()
             .filter(|rollout| rollout.is_open())
         {
             let member = rollout.members.entry(from.node).or_default();
-            member.heard_at = now;
-            member.is_of_zone = true;
+            member.last_report_at = now;
+            member.is_in_own_zone = true;
         }
         for counted in &report.counts {
             if let Some(rollout) = self.by_tag(counted.service) {
-                rollout.take_counts(&CountReport {
+                rollout.merge_counts(&CountReport {
                     rollout: counted.rollout,
                     node: from.node,
                     life: from.life,
@@ -206,10 +210,10 @@
     }
 
     /// Takes in the report of another zone's relay.
-    pub fn take_zone_report(&mut self, zone: ZoneTag, report: &RolloutReport, now: Millis) {
+    pub fn merge_zone_report(&mut self, zone: ZoneTag, report: &RolloutReport, now: Millis) {
         for counted in &report.counts {
             if let Some(rollout) = self.by_tag(counted.service) {
-                rollout.take_zone_counts(&CountReport {
+                rollout.merge_zone_counts(&CountReport {
                     rollout: counted.rollout,
                     node: PeerId(u64::from(zone.0)),
                     life: ZONE_LIFE,
@@ -221,24 +225,29 @@
     }
 
     fn take_confirmations(&mut self, confirmations: &[NodeConfirmation], now: Millis) {
-        for said in confirmations {
-            let Some(rollout) = self.by_tag(said.service) else {
+        for confirmed in confirmations {
+            let Some(rollout) = self.by_tag(confirmed.service) else {
                 continue;
             };
-            let heard_at = now.before(said.age_ms);
-            let member = rollout.members.entry(said.node).or_default();
-            member.heard_at = member.heard_at.max(heard_at);
-            member.take(said.confirmation);
+            let last_report_at = now.before(confirmed.age_ms);
+            let member = rollout.members.entry(confirmed.node).or_default();
+            member.last_report_at = member.last_report_at.max(last_report_at);
+            member.update_confirmation(confirmed.confirmation);
         }
     }
 
     /// What a relay tells its zone; nothing where there is no news and the report is
     /// none of those that tell always.
-    pub fn news(&mut self, own: Reporter, tells_always: bool, now: Millis) -> Option<RolloutNews> {
+    pub fn relay_broadcast(
+        &mut self,
+        own: Reporter,
+        is_always_due: bool,
+        now: Millis,
+    ) -> Option<RolloutNews> {
         let known_through = self.orders.known_through()?;
         let changed_at = self.orders.changed_at();
-        let is_new = changed_at.is_some_and(|at| now.since(at) < NEWS_TOLD_MS);
-        if !(tells_always || is_new || self.is_any_open()) {
+        let is_new = changed_at.is_some_and(|at| now.since(at) < REPEAT_CHANGE_MS);
+        if !(is_always_due || is_new || self.is_any_open()) {
             return None;
         }
         self.count_own(own);
@@ -260,8 +269,8 @@
     }
 
     /// A relay tells of orders: those that it lacks are gone.
-    pub fn take_missing(&mut self, news: &RolloutNews, now: Millis) {
-        self.orders.note_told(now);
+    pub fn remove_missing(&mut self, news: &RolloutNews, now: Millis) {
+        self.orders.note_relay_report(now);
         if self.orders.known_through() <= Some(news.known_through) {
             for service in self.orders.missing_in(&news.orders) {
                 self.remove_order(&service, news.known_through, now);
@@ -272,7 +281,7 @@
     /// Takes in what a relay tells besides its orders, which were taken in. `answers` is
     /// the newest of this node's own reports that the relay had taken in, and when it
     /// was sent.
-    pub fn take_sums(
+    pub fn apply_sums(
         &mut self,
         news: &RolloutNews,
         answers: Option<(u64, Millis)>,
@@ -291,7 +300,7 @@
             let own = own.filter(|own| own.rollout == counted.rollout);
             let own: Option<Counts> = own.map(|own| own.counts.clone());
             if let Some(rollout) = self.by_tag(counted.service) {
-                rollout.take_sums(counted.rollout, &counted.counts, own, now);
+                rollout.apply_sums(counted.rollout, &counted.counts, own, now);
             }
         }
     }
@@ -319,8 +328,8 @@
     })
 }
 
-/// A node that was heard and said nothing of a rollout.
-const NOTHING_SAID: Confirmation = Confirmation {
+/// A node that was heard and confirmed nothing of a rollout.
+const NO_CONFIRMATION: Confirmation = Confirmation {
     rollout: RolloutNumber(0),
     epoch: Epoch(0),
     has_left_established: false,
--- a/crates/gateway/src/rollouts/feed.rs
+++ b/crates/gateway/src/rollouts/feed.rs
@@ -1,7 +1,7 @@
 //! Orders of rollouts as they are stored: a list, then each change.
 
-use super::told::log_news;
-use super::{rollout_settings, OrderNews};
+use super::log_lines::log_order_updates;
+use super::{rollout_settings, OrderUpdate};
 use crate::ports::{StoreKind, StoreObject, WatchEvent};
 use crate::state::Gateway;
 use crate::store::backoff::Backoff;
@@ -99,7 +99,7 @@
         beliefs.rollouts.remove_order(&service, revision, now);
     }
     for order in orders {
-        take_order(gateway, order);
+        apply_order(gateway, order);
     }
     note_known(gateway, revision, sent);
 }
@@ -111,7 +111,7 @@
     }
     if !event.is_gone {
         if let Some(order) = read(gateway, &event.object) {
-            take_order(gateway, order);
+            apply_order(gateway, order);
         }
         return;
     }
@@ -153,19 +153,19 @@
 }
 
 /// Takes in an order, from the store or as this node has just written its status.
-pub fn take_order(gateway: &Gateway, order: RolloutOrder) {
+pub fn apply_order(gateway: &Gateway, order: RolloutOrder) {
     let settings = rollout_settings(&gateway.settings());
     let now = gateway.clock.now();
     let news = gateway.beliefs().take_rollout_order(order, settings, now);
-    tell_news(gateway, news.as_slice());
+    publish_order_updates(gateway, news.as_slice());
 }
 
 /// Logs what orders have brought, and tells those who wait for it.
-pub fn tell_news(gateway: &Gateway, news: &[OrderNews]) {
+pub fn publish_order_updates(gateway: &Gateway, news: &[OrderUpdate]) {
     if news.is_empty() {
         return;
     }
-    log_news(gateway, news);
+    log_order_updates(gateway, news);
     gateway.order_changed.notify(usize::MAX);
     gateway.report_due.notify(usize::MAX);
 }
--- a/crates/gateway/src/rollouts/gates.rs
+++ b/crates/gateway/src/rollouts/gates.rs
@@ -1,6 +1,6 @@
 //! Keeps this node's gates up to date while a rollout is open.
 
-use super::told::log_own_stop;
+use super::log_lines::log_own_stop;
 use crate::state::Gateway;
 use crate::time::{sleep, within};
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 const IDLE_PERIOD_MS: u64 = 1_000;
 
 /// Tells the gates of the passing time, until the task is dropped.
-pub async fn keep_gates(gateway: Arc<Gateway>) {
+pub async fn advance_gates(gateway: Arc<Gateway>) {
     loop {
         let changed = gateway.order_changed.listen();
         if !gateway.beliefs().rollouts.is_any_open() {
--- a/crates/gateway/src/rollouts/left_versions.rs
+++ b/crates/gateway/src/rollouts/held_back_versions.rs
@@ -52,7 +52,7 @@
         if self.is_withdrawn && !self.is_ended() {
             held_back.push(&self.gate_target);
         }
-        held_back.extend(self.left_versions(records));
+        held_back.extend(self.replaced_versions(records));
         let mut held_back: Vec<SoftwareVersion> = held_back.into_iter().cloned().collect();
         held_back.sort();
         held_back.dedup();
@@ -70,7 +70,7 @@
     /// Versions that served before a rollout that is complete: by their records, so that
     /// one that comes back later is none of them. A node that has not seen when it was
     /// complete goes by what is recorded.
-    fn left_versions<'a>(
+    fn replaced_versions<'a>(
         &'a self,
         records: &[(&'a SoftwareVersion, u64)],
     ) -> Vec<&'a SoftwareVersion> {
--- a/crates/gateway/src/rollouts/told.rs
+++ b/crates/gateway/src/rollouts/log_lines.rs
@@ -1,7 +1,7 @@
 //! Log lines on rollouts.
 
 use super::service::StageChange;
-use super::OrderNews;
+use super::OrderUpdate;
 use crate::state::Gateway;
 use ploverlift_rollout::decider::Reason;
 use ploverlift_rollout::evidence::Finding;
@@ -32,7 +32,7 @@
 }
 
 /// Says what orders have brought.
-pub fn log_news(gateway: &Gateway, news: &[OrderNews]) {
+pub fn log_order_updates(gateway: &Gateway, news: &[OrderUpdate]) {
     for news in news {
         match &news.stage {
             Ok(Some(change)) => log_stage(gateway, &news.order, change),
--- a/crates/gateway/src/rollouts/mod.rs
+++ b/crates/gateway/src/rollouts/mod.rs
@@ -11,25 +11,25 @@
 //! | [`service`] | one service's gate, counts and confirmations |
 //! | [`choice`] | which versions may serve a request |
 //! | [`feed`] | orders as they are stored |
-//! | [`left_versions`] | what must get nothing, whatever the gate says |
+//! | [`held_back_versions`] | what must get nothing, whatever the gate says |
 //! | [`gates`] | the passing time of gates |
 //! | [`seat`] | this node, as the fleet counts it |
 //! | [`running`] | requests at engines by version |
 //! | [`exchange`] | what reports between nodes tell of rollouts |
 //! | [`decider`] | the holder of the lease on rollouts |
-//! | [`told`] | log lines |
+//! | [`log_lines`] | log lines |
 
 pub mod choice;
 pub mod decider;
 pub mod exchange;
 pub mod feed;
 pub mod gates;
-pub mod left_versions;
+pub mod held_back_versions;
+pub mod log_lines;
 pub mod orders;
 pub mod running;
 pub mod seat;
 pub mod service;
-pub mod told;
 
 use crate::outcomes::ObservedAttempt;
 use crate::settings::GatewaySettings;
@@ -77,7 +77,7 @@
 
 /// This node sends a target nothing by what it saw alone.
 #[derive(Clone, Debug, PartialEq)]
-pub struct OwnStopNews {
+pub struct OwnEvidenceStop {
     /// The service.
     pub service: ServiceName,
     /// The target.
@@ -88,7 +88,7 @@
 
 /// What came of an order that was taken in.
 #[derive(Debug)]
-pub struct OrderNews {
+pub struct OrderUpdate {
     /// The order.
     pub order: RolloutOrder,
     /// A stage that is new here, or why the recorded one can't be read.
@@ -97,21 +97,21 @@
 
 impl RolloutBeliefs {
     /// Takes in an order with its status; nothing when it is no news.
-    pub fn take_order(
+    pub fn apply_order(
         &mut self,
         order: RolloutOrder,
         settings: RolloutSettings,
         now: Millis,
-    ) -> Option<OrderNews> {
-        if !self.orders.take(order.clone(), now) {
+    ) -> Option<OrderUpdate> {
+        if !self.orders.insert_newer(order.clone(), now) {
             return None;
         }
         let first_known = self.orders.first_known();
         let new = || ServiceRollout::new(order.clone(), now);
         let rollout = self.services.entry(order.service.clone());
         let rollout = rollout.or_insert_with(new);
-        let stage = rollout.take_order(order.clone(), settings, first_known, now);
-        Some(OrderNews { order, stage })
+        let stage = rollout.apply_order(order.clone(), settings, first_known, now);
+        Some(OrderUpdate { order, stage })
     }
 
     /// An order is gone; tells whether that was news. Until another comes its target
@@ -223,13 +223,13 @@
 
     /// Tells the gates of open rollouts of the passing time; tells of those that have
     /// stopped since.
-    pub fn advance(&mut self, own: &OwnSeat, now: Millis) -> Vec<OwnStopNews> {
+    pub fn advance(&mut self, own: &OwnSeat, now: Millis) -> Vec<OwnEvidenceStop> {
         let stage_heard_at = self.orders.proven_at().unwrap_or(Millis(0));
         let open = self.services.values_mut();
         let open = open.filter(|rollout| rollout.is_open());
         let stopped = open.filter_map(|rollout| {
             let finding = rollout.advance(own, stage_heard_at, now)?;
-            Some(OwnStopNews {
+            Some(OwnEvidenceStop {
                 service: rollout.order().service.clone(),
                 target: rollout.gate_target().clone(),
                 finding,
@@ -248,7 +248,7 @@
     pub fn are_stages_proven(&self) -> bool {
         let proven_at = self.orders.proven_at();
         let mut services = self.services.values();
-        services.all(|rollout| rollout.is_settled(proven_at))
+        services.all(|rollout| rollout.is_stage_proven(proven_at))
     }
 
     /// Whether any rollout is open.
@@ -257,7 +257,7 @@
     }
 
     /// Whether a service has a rollout, open or ended.
-    pub fn concerns(&self, service: &ServiceName) -> bool {
+    pub fn knows_rollout_of(&self, service: &ServiceName) -> bool {
         self.services.contains_key(service)
     }
 
--- a/crates/gateway/src/rollouts/orders.rs
+++ b/crates/gateway/src/rollouts/orders.rs
@@ -15,13 +15,13 @@
     first_known: Option<u64>,
     known_through: Option<u64>,
     proven_at: Option<Millis>,
-    told_at: Option<Millis>,
+    relay_reported_at: Option<Millis>,
     changed_at: Option<Millis>,
 }
 
 impl KnownOrders {
     /// Takes in an order; tells whether it was news.
-    pub fn take(&mut self, order: RolloutOrder, now: Millis) -> bool {
+    pub fn insert_newer(&mut self, order: RolloutOrder, now: Millis) -> bool {
         let known = self.orders.get(&order.service);
         if known.is_some_and(|known| known.revision >= order.revision) {
             return false;
@@ -88,13 +88,13 @@
     }
 
     /// A relay told of orders.
-    pub fn note_told(&mut self, now: Millis) {
-        self.told_at = Some(now);
+    pub fn note_relay_report(&mut self, now: Millis) {
+        self.relay_reported_at = Some(now);
     }
 
     /// When a relay last told of orders.
-    pub fn told_at(&self) -> Option<Millis> {
-        self.told_at
+    pub fn relay_reported_at(&self) -> Option<Millis> {
+        self.relay_reported_at
     }
 
     /// Revision of the store up to which all orders are known.
--- a/crates/gateway/src/rollouts/service.rs
+++ b/crates/gateway/src/rollouts/service.rs
@@ -26,10 +26,10 @@
 
 /// Sums over the fleet as a relay told them.
 #[derive(Clone, Debug)]
-struct ToldSums {
+struct ReportedSums {
     counts: Counts,
     own: Option<Counts>,
-    told_at: Millis,
+    reported_at: Millis,
 }
 
 /// Sums over the fleet, and what of them is this node's.
@@ -42,19 +42,19 @@
 
 /// What is known of another node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct MemberNews {
+pub struct MemberState {
     /// When it was heard last.
-    pub heard_at: Millis,
+    pub last_report_at: Millis,
     /// What it said last of the present rollout.
     pub confirmation: Option<Confirmation>,
     /// Whether it reports to this node itself.
-    pub is_of_zone: bool,
+    pub is_in_own_zone: bool,
 }
 
-impl MemberNews {
+impl MemberState {
     /// Takes in what the node said, by itself or through relays: the later epoch
     /// stands, and of one epoch the last word.
-    pub fn take(&mut self, said: Confirmation) {
+    pub fn update_confirmation(&mut self, said: Confirmation) {
         let known = self.confirmation.map(|known| (known.rollout, known.epoch));
         if known <= Some((said.rollout, said.epoch)) {
             self.confirmation = Some(said);
@@ -92,16 +92,16 @@
     /// Whether the operator has taken the order away before its end.
     pub(super) is_withdrawn: bool,
     /// Whether it was told that this node stops by what it saw alone.
-    has_told_stop: bool,
+    has_reported_stop: bool,
     /// Counts of all nodes; other zones' relays are one node each.
     fleet: FleetCounts,
     /// Counts of this zone's nodes.
     zone: FleetCounts,
-    told: Option<ToldSums>,
+    reported: Option<ReportedSums>,
     /// Times of requests at established engines, whole.
     established_ms: FirstByteHistogram,
     /// Other nodes.
-    pub members: BTreeMap<PeerId, MemberNews>,
+    pub members: BTreeMap<PeerId, MemberState>,
 }
 
 impl ServiceRollout {
@@ -118,10 +118,10 @@
             completed_at: None,
             retired: BTreeSet::new(),
             is_withdrawn: false,
-            has_told_stop: false,
+            has_reported_stop: false,
             fleet: FleetCounts::default(),
             zone: FleetCounts::default(),
-            told: None,
+            reported: None,
             established_ms: FirstByteHistogram::default(),
             members: BTreeMap::new(),
         }
@@ -131,7 +131,7 @@
     ///
     /// # Errors
     /// When the status can't be read: the target then gets nothing.
-    pub fn take_order(
+    pub fn apply_order(
         &mut self,
         order: RolloutOrder,
         settings: RolloutSettings,
@@ -206,8 +206,8 @@
     /// Another rollout takes the place of the gate's.
     fn supersede(&mut self) {
         self.completed_at = None;
-        self.told = None;
-        self.has_told_stop = false;
+        self.reported = None;
+        self.has_reported_stop = false;
         self.members.values_mut().for_each(|member| {
             member.confirmation = None;
         });
@@ -240,7 +240,7 @@
 
     /// Whether the stage has been proven since this node knew of the rollout, where a
     /// former life of it may have acted on a later one.
-    pub fn is_settled(&self, proven_at: Option<Millis>) -> bool {
+    pub fn is_stage_proven(&self, proven_at: Option<Millis>) -> bool {
         !self.is_open() || proven_at >= Some(self.status_seen_at)
     }
 
@@ -281,19 +281,19 @@
     }
 
     /// Takes in what a node of this zone, or this one, has counted.
-    pub fn take_counts(&mut self, report: &CountReport) {
+    pub fn merge_counts(&mut self, report: &CountReport) {
         self.zone.merge_report(report);
         self.fleet.merge_report(report);
     }
 
     /// Takes in what another zone has counted.
-    pub fn take_zone_counts(&mut self, report: &CountReport) {
+    pub fn merge_zone_counts(&mut self, report: &CountReport) {
         self.fleet.merge_report(report);
     }
 
     /// Takes in what a relay says that the fleet has counted; `own` is what this node
     /// had told it.
-    pub fn take_sums(
+    pub fn apply_sums(
         &mut self,
         rollout: RolloutNumber,
         counts: &Counts,
@@ -302,10 +302,10 @@
     ) {
         let present = self.gate.as_ref().map(|gate| gate.progress().rollout);
         if present == Some(rollout) {
-            self.told = Some(ToldSums {
+            self.reported = Some(ReportedSums {
                 counts: counts.clone(),
                 own,
-                told_at: now,
+                reported_at: now,
             });
         }
     }
@@ -354,18 +354,20 @@
         gate.advance(&view, now);
         let finding = gate.own_finding().copied();
         self.gate = Some(gate);
-        let finding = finding.filter(|_| !self.has_told_stop);
-        self.has_told_stop |= finding.is_some();
+        let finding = finding.filter(|_| !self.has_reported_stop);
+        self.has_reported_stop |= finding.is_some();
         finding
     }
 
     /// The fleet's sums as this node knows them best.
     pub fn known_sums(&self, own: PeerId, life: u64, now: Millis) -> KnownSums<'_> {
-        let told = self.told.as_ref();
-        if let Some(told) = told.filter(|told| now.since(told.told_at) < SUMS_AGE_MS) {
+        let reported = self.reported.as_ref();
+        if let Some(reported) =
+            reported.filter(|reported| now.since(reported.reported_at) < SUMS_AGE_MS)
+        {
             return KnownSums {
-                sums: &told.counts,
-                own: told.own.as_ref(),
+                sums: &reported.counts,
+                own: reported.own.as_ref(),
             };
         }
         KnownSums {
--- a/crates/gateway/tests/rollout_reports/sums.rs
+++ b/crates/gateway/tests/rollout_reports/sums.rs
@@ -15,33 +15,33 @@
     let mut far = node_with_requests(3);
     let told = member.own_report(reporter(10), 1);
     for (index, relay) in relays.iter_mut().enumerate() {
-        relay.take_node_report(reporter(10), &told, NOW);
-        relay.take_node_report(reporter(10), &told, NOW);
+        relay.merge_node_report(reporter(10), &told, NOW);
+        relay.merge_node_report(reporter(10), &told, NOW);
         let own = reporter(20 + index as u64);
         relay.count_own(own);
     }
     // The relays of a zone hear each other as nodes.
     let first = relays[0].own_report(reporter(20), 1);
     let second = relays[1].own_report(reporter(21), 1);
-    relays[0].take_node_report(reporter(21), &second, NOW);
-    relays[1].take_node_report(reporter(20), &first, NOW);
+    relays[0].merge_node_report(reporter(21), &second, NOW);
+    relays[1].merge_node_report(reporter(20), &first, NOW);
     for (index, relay) in relays.iter_mut().enumerate() {
         let zone = relay.zone_report(reporter(20 + index as u64), NOW);
         assert_eq!(zone.counts[0].counts.requests(), 8);
-        far.take_zone_report(ZoneTag(1), &zone, NOW);
+        far.merge_zone_report(ZoneTag(1), &zone, NOW);
     }
     far.count_own(reporter(30));
     let rollout = far.of_service(&service()).expect("a rollout");
     assert_eq!(rollout.fleet().sums().requests(), 11);
     // An earlier report that comes late changes nothing; a later life is added.
-    far.take_zone_report(ZoneTag(1), &told, NOW);
+    far.merge_zone_report(ZoneTag(1), &told, NOW);
     let rollout = far.of_service(&service()).expect("a rollout");
     assert_eq!(rollout.fleet().sums().requests(), 11);
     let restarted = Reporter {
         node: PeerId(10),
         life: 2,
     };
-    relays[0].take_node_report(restarted, &told, NOW);
+    relays[0].merge_node_report(restarted, &told, NOW);
     let zone = relays[0].zone_report(reporter(20), NOW);
     assert_eq!(zone.counts[0].counts.requests(), 13);
 }
@@ -51,11 +51,13 @@
     let mut relay = node_with_requests(0);
     let mut follower = node_with_requests(4);
     let told = follower.own_report(reporter(10), 77);
-    relay.take_node_report(reporter(10), &told, NOW);
+    relay.merge_node_report(reporter(10), &told, NOW);
     follower.note_request(&service(), &route("a"));
-    let news = relay.news(reporter(20), false, NOW).expect("news");
+    let news = relay
+        .relay_broadcast(reporter(20), false, NOW)
+        .expect("news");
     let catalogue = EngineCatalogue::default();
-    follower.take_sums(&news, Some((77, NOW)), &catalogue, NOW);
+    follower.apply_sums(&news, Some((77, NOW)), &catalogue, NOW);
     let rollout = follower.of_service(&service()).expect("a rollout");
     let known = rollout.known_sums(PeerId(10), 1, NOW);
     assert_eq!(known.sums.requests(), 4);
@@ -70,12 +72,14 @@
 #[test]
 fn without_an_open_rollout_nothing_is_told_but_now_and_then_a_revision() {
     let mut node = RolloutBeliefs::default();
-    assert_eq!(node.news(reporter(1), true, NOW), None);
+    assert_eq!(node.relay_broadcast(reporter(1), true, NOW), None);
     node.note_orders_known(3, Some(NOW), &EngineCatalogue::default(), NOW);
     assert_eq!(node.own_report(reporter(1), 1), RolloutReport::default());
     assert_eq!(node.zone_report(reporter(1), NOW), RolloutReport::default());
     let later = NOW.plus(1_500);
-    assert_eq!(node.news(reporter(1), false, later), None);
-    let news = node.news(reporter(1), true, later).expect("news");
+    assert_eq!(node.relay_broadcast(reporter(1), false, later), None);
+    let news = node
+        .relay_broadcast(reporter(1), true, later)
+        .expect("news");
     assert_eq!((news.known_through, news.orders.len()), (3, 0));
 }
--- a/crates/gateway/tests/rollout_reports/unplaced.rs
+++ b/crates/gateway/tests/rollout_reports/unplaced.rs
@@ -69,7 +69,7 @@
     let mut ordered = order(8);
     let status = progress(Stage::CuttingOver).status(&ordered);
     ordered.status = Some(status);
-    let given = node.take_order(ordered.clone(), RolloutSettings::default(), NOW);
+    let given = node.apply_order(ordered.clone(), RolloutSettings::default(), NOW);
     assert!(given.is_some());
     let own = OwnSeat {
         node: PeerId(1),
@@ -92,7 +92,7 @@
     assert_eq!(allowed(&node), [false, true]);
     ordered.duration_ms *= 2;
     ordered.revision += 1;
-    let given = node.take_order(ordered, RolloutSettings::default(), NOW);
+    let given = node.apply_order(ordered, RolloutSettings::default(), NOW);
     assert!(given.is_some());
     assert_eq!(allowed(&node), [true, false]);
 }
