--- a/crates/gateway/src/rollouts/choice.rs
+++ b/crates/gateway/src/rollouts/choice.rs
@@ -117,14 +117,14 @@
             seat: own.seat,
         };
         let target = rollout.gate_target();
-        let asked = CanaryRequest {
+        let canary_request = CanaryRequest {
             route: RouteTag::of(&request.route.name),
             is_repeatable: request.route.delivery.is_repeatable(),
             prompt: request.prompt,
             was_failed_by_target: tried_target(request, target, engines),
             is_retry: request.is_sent_before || !request.tried.is_empty(),
         };
-        Some(rollout.gate()?.decide(&asked, &view, now))
+        Some(rollout.gate()?.decide(&canary_request, &view, now))
     }
 
     /// Versions of a service's engines that can't be placed yet. At a node that has placed
@@ -147,9 +147,9 @@
         let (placed, unplaced): (Vec<&Engine>, Vec<&Engine>) =
             engines.of_service(service).partition(is_placed);
         let are_orders_known = self.orders.known_through().is_some();
-        let is_start = !ledger.is_some_and(VersionLedger::has_placed_any);
+        let has_placed_none = !ledger.is_some_and(VersionLedger::has_placed_any);
         let first = unplaced.iter().min_by_key(|engine| engine.record.revision);
-        let first = first.filter(|_| placed.is_empty() && is_start && are_orders_known);
+        let first = first.filter(|_| placed.is_empty() && has_placed_none && are_orders_known);
         let first = first.map(|engine| &engine.record.software);
         let unplaced = unplaced.iter().map(|engine| &engine.record.software);
         let unplaced = unplaced.filter(|version| Some(*version) != first);
--- a/crates/gateway/src/rollouts/decider.rs
+++ b/crates/gateway/src/rollouts/decider.rs
@@ -6,7 +6,7 @@
 //! refusal or a lost answer the order is read again before anything else is decided, so
 //! each write ends as what the store holds.
 
-use super::feed::{apply_order, read};
+use super::feed::{apply_order, read_order};
 use super::log_lines::{log_decision, reason_name};
 use super::service::ServiceRollout;
 use super::{exchange::Reporter, rollout_settings};
@@ -34,22 +34,22 @@
 const WRITE_TIMEOUT_MS: u64 = 450;
 /// Time until all nodes have confirmed a stage once nothing runs on established
 /// engines, in milliseconds: the watch, two reports each way, and the decision.
-const NEWS_MS: u64 = 800;
+const CONFIRMATION_DELAY_MS: u64 = 800;
 
 /// Decides on rollouts while this node holds the lease, until the task is dropped.
 pub async fn decide_rollouts(gateway: Arc<Gateway>) {
     let holder = LeaseHolder::new(&gateway, LeaseName::Rollouts);
-    let mut deciding = Deciding::new(&gateway);
+    let mut decision_loop = DecisionLoop::new(&gateway);
     loop {
         let changed = gateway.order_changed.listen();
         let is_open = gateway.beliefs().rollouts.is_any_open();
-        let waits_ms = match holder.is_own() {
+        let wait_ms = match holder.is_own() {
             true => 0,
             false => succession_ms(&gateway),
         };
-        if !is_open || waits_ms > LAST_SUCCESSOR_MS || gateway.is_stopping() {
+        if !is_open || wait_ms > LAST_SUCCESSOR_MS || gateway.is_stopping() {
             holder.rest();
-            deciding.deciders.clear();
+            decision_loop.deciders.clear();
             if stands_for_leases(&gateway) {
                 holder.observe_unread().await;
             }
@@ -57,47 +57,47 @@
             continue;
         }
         holder.observe_once().await;
-        sleep(waits_ms).await;
+        sleep(wait_ms).await;
         if !holder.keep().await {
-            deciding.deciders.clear();
+            decision_loop.deciders.clear();
             sleep(PERIOD_MS).await;
             continue;
         }
-        deciding.decide_all(&holder).await;
+        decision_loop.decide_all(&holder).await;
         sleep(PERIOD_MS).await;
     }
 }
 
 /// What the decider works with.
-struct Deciding {
+struct DecisionLoop {
     gateway: Arc<Gateway>,
     client: StoreClient,
     deciders: BTreeMap<ServiceName, Decider>,
     /// The reason that was logged last, by service.
     reasons: BTreeMap<ServiceName, String>,
     /// Services whose order must be read before anything is decided.
-    unread: Vec<ServiceName>,
+    unread_orders: Vec<ServiceName>,
 }
 
 /// What one decision is made from.
-struct Question {
+struct PendingDecision {
     order: RolloutOrder,
     decision: Decision,
 }
 
-impl Deciding {
+impl DecisionLoop {
     fn new(gateway: &Arc<Gateway>) -> Self {
         Self {
             gateway: Arc::clone(gateway),
             client: StoreClient::with_timeout(gateway, WRITE_TIMEOUT_MS),
             deciders: BTreeMap::new(),
             reasons: BTreeMap::new(),
-            unread: Vec::new(),
+            unread_orders: Vec::new(),
         }
     }
 
     async fn decide_all(&mut self, holder: &LeaseHolder) {
-        for service in std::mem::take(&mut self.unread) {
+        for service in std::mem::take(&mut self.unread_orders) {
             self.read_again(service).await;
         }
         let services: Vec<ServiceName> = {
@@ -108,29 +108,29 @@
                 .collect()
         };
         for service in services {
-            if self.unread.contains(&service) {
+            if self.unread_orders.contains(&service) {
                 continue;
             }
-            let Some(question) = self.ask(&service) else {
+            let Some(pending) = self.make_decision(&service) else {
                 continue;
             };
-            self.note_reason(&service, &question.decision);
+            self.log_reason(&service, &pending.decision);
             // The lease may have lapsed while another service's status was written.
-            if let (Some(next), true) = (&question.decision.next, holder.token().is_some()) {
+            if let (Some(next), true) = (&pending.decision.next, holder.token().is_some()) {
                 log_decision(
                     &self.gateway,
-                    &question.order,
+                    &pending.order,
                     next,
-                    &question.decision.reason,
+                    &pending.decision.reason,
                 );
-                let status = next.status(&question.order);
+                let status = next.status(&pending.order);
                 let content = self.gateway.site.rollout_status_content(&status);
-                self.store(&question.order, content).await;
+                self.store(&pending.order, content).await;
             }
         }
     }
 
-    fn ask(&mut self, service: &ServiceName) -> Option<Question> {
+    fn make_decision(&mut self, service: &ServiceName) -> Option<PendingDecision> {
         let gateway = Arc::clone(&self.gateway);
         let own = gateway.own_seat();
         let listed: Vec<PeerId> = {
@@ -166,10 +166,10 @@
             counts: rollout.fleet(),
             members: &members,
             engines: &engines,
-            barrier_ms: NEWS_MS + rollout.longest_request_ms(),
+            barrier_ms: CONFIRMATION_DELAY_MS + rollout.longest_request_ms(),
         });
         match decided {
-            Ok(decision) => Some(Question { order, decision }),
+            Ok(decision) => Some(PendingDecision { order, decision }),
             Err(error) => {
                 let text = error.to_string();
                 if self.reasons.get(service) != Some(&text) {
@@ -183,7 +183,7 @@
     }
 
     /// Logs why a rollout stays as it is, once for each reason.
-    fn note_reason(&mut self, service: &ServiceName, decision: &Decision) {
+    fn log_reason(&mut self, service: &ServiceName, decision: &Decision) {
         let name = reason_name(&decision.reason);
         let kind = name.split([' ', '{', '(']).next().unwrap_or_default();
         if self.reasons.get(service).map(String::as_str) != Some(kind) {
@@ -200,7 +200,7 @@
             .replace_status(StoreKind::Rollouts, name, order.revision, content)
             .await;
         match written {
-            Ok(object) => self.take(&object),
+            Ok(object) => self.apply_object(&object),
             Err(error) => {
                 slog::warn!(self.gateway.log, "rollout status not written";
                     "service" => name, "revision" => order.revision,
@@ -209,15 +209,15 @@
                 match error {
                     StoreError::Conflict {
                         current: Some(current),
-                    } => self.take(&current),
+                    } => self.apply_object(&current),
                     _ => self.read_again(order.service.clone()).await,
                 }
             }
         }
     }
 
-    fn take(&self, object: &StoreObject) {
-        if let Some(order) = read(&self.gateway, object) {
+    fn apply_object(&self, object: &StoreObject) {
+        if let Some(order) = read_order(&self.gateway, object) {
             apply_order(&self.gateway, order);
         }
     }
@@ -226,13 +226,13 @@
     /// nothing is decided on it.
     async fn read_again(&mut self, service: ServiceName) {
         match self.client.get(StoreKind::Rollouts, &service.0).await {
-            Ok(Some(object)) => self.take(&object),
+            Ok(Some(object)) => self.apply_object(&object),
             Ok(None) => {}
             Err(error) => {
                 slog::warn!(self.gateway.log, "rollout order not read";
                     "service" => &service.0, "error" => error.to_string());
                 self.client.reset();
-                self.unread.push(service);
+                self.unread_orders.push(service);
             }
         }
     }
--- a/crates/gateway/src/rollouts/feed.rs
+++ b/crates/gateway/src/rollouts/feed.rs
@@ -22,7 +22,7 @@
 /// hearing the verdict.
 const ORDERS_AGE_SHARE: f64 = 0.5;
 /// Shortest time between two lists, in milliseconds: engines come in groups.
-const BETWEEN_LISTS_MS: u64 = 100;
+const MIN_LIST_INTERVAL_MS: u64 = 100;
 
 /// How long a watch of orders waits now, in milliseconds.
 pub fn order_watch_ms(gateway: &Gateway) -> u64 {
@@ -69,9 +69,9 @@
             // There was no order when it was asked, so none is older than the engines
             // that were known then. One may come at any time, and the kind with it.
             take_list(&gateway, &objects, engines_revision, sent);
-            let look_ms = closed_watch_ms(&gateway);
-            within(look_ms, wait_until_order_is_lacking(&gateway)).await;
-            sleep(BETWEEN_LISTS_MS).await;
+            let poll_ms = closed_watch_ms(&gateway);
+            within(poll_ms, wait_until_order_is_lacking(&gateway)).await;
+            sleep(MIN_LIST_INTERVAL_MS).await;
             continue;
         }
         take_list(&gateway, &objects, revision, sent);
@@ -79,16 +79,18 @@
             for event in &events {
                 take_event(&gateway, event);
             }
-            note_known(&gateway, next, sent);
+            note_known_through(&gateway, next, sent);
             revision = next;
         }
         let passed_ms = gateway.clock.now().since(sent);
-        sleep(BETWEEN_LISTS_MS.saturating_sub(passed_ms)).await;
+        sleep(MIN_LIST_INTERVAL_MS.saturating_sub(passed_ms)).await;
     }
 }
 
 fn take_list(gateway: &Gateway, objects: &[StoreObject], revision: u64, sent: Millis) {
-    let orders = objects.iter().filter_map(|object| read(gateway, object));
+    let orders = objects
+        .iter()
+        .filter_map(|object| read_order(gateway, object));
     let orders: Vec<RolloutOrder> = orders.collect();
     let listed = objects.iter().map(|object| object.name.as_str());
     gateway.beliefs().rollouts.orders.forget_unlisted(listed);
@@ -101,7 +103,7 @@
     for order in orders {
         apply_order(gateway, order);
     }
-    note_known(gateway, revision, sent);
+    note_known_through(gateway, revision, sent);
 }
 
 fn take_event(gateway: &Gateway, event: &WatchEvent) {
@@ -110,7 +112,7 @@
         beliefs.rollouts.orders.note_readable(&event.object.name);
     }
     if !event.is_gone {
-        if let Some(order) = read(gateway, &event.object) {
+        if let Some(order) = read_order(gateway, &event.object) {
             apply_order(gateway, order);
         }
         return;
@@ -120,11 +122,11 @@
     };
     let now = gateway.clock.now();
     let mut beliefs = gateway.beliefs();
-    let is_news = beliefs
+    let is_removed = beliefs
         .rollouts
         .remove_order(&order.service, order.revision, now);
     drop(beliefs);
-    if is_news {
+    if is_removed {
         slog::warn!(gateway.log, "rollout withdrawn";
             "service" => &order.service.0, "target" => &order.target.0,
             "revision" => order.revision);
@@ -133,7 +135,7 @@
 
 /// Reads an order. One that does not fit is logged; versions that came after it can't be
 /// placed until it is corrected or gone.
-pub fn read(gateway: &Gateway, object: &StoreObject) -> Option<RolloutOrder> {
+pub fn read_order(gateway: &Gateway, object: &StoreObject) -> Option<RolloutOrder> {
     match gateway.site.rollout_order(object) {
         Ok(order) => {
             let mut beliefs = gateway.beliefs();
@@ -156,22 +158,22 @@
 pub fn apply_order(gateway: &Gateway, order: RolloutOrder) {
     let settings = rollout_settings(&gateway.settings());
     let now = gateway.clock.now();
-    let news = gateway.beliefs().take_rollout_order(order, settings, now);
-    publish_order_updates(gateway, news.as_slice());
+    let update = gateway.beliefs().take_rollout_order(order, settings, now);
+    publish_order_updates(gateway, update.as_slice());
 }
 
 /// Logs what orders have brought, and tells those who wait for it.
-pub fn publish_order_updates(gateway: &Gateway, news: &[OrderUpdate]) {
-    if news.is_empty() {
+pub fn publish_order_updates(gateway: &Gateway, updates: &[OrderUpdate]) {
+    if updates.is_empty() {
         return;
     }
-    log_order_updates(gateway, news);
+    log_order_updates(gateway, updates);
     gateway.order_changed.notify(usize::MAX);
     gateway.report_due.notify(usize::MAX);
 }
 
 /// A call that was sent at `sent` told all orders up to a revision.
-fn note_known(gateway: &Gateway, revision: u64, sent: Millis) {
+fn note_known_through(gateway: &Gateway, revision: u64, sent: Millis) {
     let now = gateway.clock.now();
     let mut beliefs = gateway.beliefs();
     let beliefs = &mut *beliefs;
--- a/crates/gateway/src/rollouts/log_lines.rs
+++ b/crates/gateway/src/rollouts/log_lines.rs
@@ -32,19 +32,19 @@
 }
 
 /// Says what orders have brought.
-pub fn log_order_updates(gateway: &Gateway, news: &[OrderUpdate]) {
-    for news in news {
-        match &news.stage {
-            Ok(Some(change)) => log_stage(gateway, &news.order, change),
+pub fn log_order_updates(gateway: &Gateway, updates: &[OrderUpdate]) {
+    for update in updates {
+        match &update.stage {
+            Ok(Some(change)) => log_stage(gateway, &update.order, change),
             Ok(None) => {
                 slog::info!(gateway.log, "rollout order";
-                    "service" => &news.order.service.0, "target" => &news.order.target.0,
-                    "duration_ms" => news.order.duration_ms, "revision" => news.order.revision);
+                    "service" => &update.order.service.0, "target" => &update.order.target.0,
+                    "duration_ms" => update.order.duration_ms, "revision" => update.order.revision);
             }
             Err(error) => {
                 slog::error!(gateway.log, "rollout status can't be read, its target is held back";
-                    "service" => &news.order.service.0, "target" => &news.order.target.0,
-                    "revision" => news.order.revision, "error" => error.to_string());
+                    "service" => &update.order.service.0, "target" => &update.order.target.0,
+                    "revision" => update.order.revision, "error" => error.to_string());
             }
         }
     }
--- a/crates/gateway/src/rollouts/mod.rs
+++ b/crates/gateway/src/rollouts/mod.rs
@@ -117,11 +117,11 @@
     /// An order is gone; tells whether that was news. Until another comes its target
     /// gets nothing, unless it had ended.
     pub fn remove_order(&mut self, service: &ServiceName, revision: u64, now: Millis) -> bool {
-        let is_news = self.orders.remove(service, revision, now);
-        if let Some(rollout) = self.services.get_mut(service).filter(|_| is_news) {
+        let has_changed = self.orders.remove(service, revision, now);
+        if let Some(rollout) = self.services.get_mut(service).filter(|_| has_changed) {
             rollout.withdraw();
         }
-        is_news
+        has_changed
     }
 
     /// All orders up to a revision of the store are known: engines that were recorded
@@ -133,10 +133,10 @@
         engines: &EngineCatalogue,
         now: Millis,
     ) {
-        let is_news = self.orders.known_through() < Some(revision);
+        let has_changed = self.orders.known_through() < Some(revision);
         self.orders.advance(revision, proven_at, now);
         self.has_begun |= self.are_stages_proven();
-        if !is_news {
+        if !has_changed {
             return;
         }
         let revision = self.orders.known_through().unwrap_or(0);
@@ -224,11 +224,11 @@
     /// Tells the gates of open rollouts of the passing time; tells of those that have
     /// stopped since.
     pub fn advance(&mut self, own: &OwnSeat, now: Millis) -> Vec<OwnEvidenceStop> {
-        let stage_heard_at = self.orders.proven_at().unwrap_or(Millis(0));
+        let stage_proven_at = self.orders.proven_at().unwrap_or(Millis(0));
         let open = self.services.values_mut();
         let open = open.filter(|rollout| rollout.is_open());
         let stopped = open.filter_map(|rollout| {
-            let finding = rollout.advance(own, stage_heard_at, now)?;
+            let finding = rollout.advance(own, stage_proven_at, now)?;
             Some(OwnEvidenceStop {
                 service: rollout.order().service.clone(),
                 target: rollout.gate_target().clone(),
--- a/crates/gateway/src/rollouts/service.rs
+++ b/crates/gateway/src/rollouts/service.rs
@@ -18,11 +18,11 @@
 
 /// Age of a relay's sums after which this node's own knowledge goes before them, in
 /// milliseconds: as long as a relay counts that is silent.
-const SUMS_AGE_MS: u64 = 800;
+const MAX_SUMS_AGE_MS: u64 = 800;
 
 /// Part of the requests that may take longer than the time in which nearly all end: one
 /// of so many.
-const SLOWEST_PART: u64 = 100;
+const SLOWEST_ONE_IN: u64 = 100;
 
 /// Sums over the fleet as a relay told them.
 #[derive(Clone, Debug)]
@@ -45,19 +45,19 @@
 pub struct MemberState {
     /// When it was heard last.
     pub last_report_at: Millis,
-    /// What it said last of the present rollout.
+    /// What it reported last of the present rollout.
     pub confirmation: Option<Confirmation>,
     /// Whether it reports to this node itself.
     pub is_in_own_zone: bool,
 }
 
 impl MemberState {
-    /// Takes in what the node said, by itself or through relays: the later epoch
+    /// Takes in what the node reported, by itself or through relays: the later epoch
     /// stands, and of one epoch the last word.
-    pub fn update_confirmation(&mut self, said: Confirmation) {
+    pub fn update_confirmation(&mut self, announced: Confirmation) {
         let known = self.confirmation.map(|known| (known.rollout, known.epoch));
-        if known <= Some((said.rollout, said.epoch)) {
-            self.confirmation = Some(said);
+        if known <= Some((announced.rollout, announced.epoch)) {
+            self.confirmation = Some(announced);
         }
     }
 }
@@ -182,8 +182,8 @@
         if let Some(gate) = present.filter(|gate| gate.progress().rollout == progress.rollout) {
             let before = gate.progress().clone();
             gate.update_progress(progress.clone());
-            let is_news = before.epoch != gate.progress().epoch;
-            return is_news.then_some(StageChange {
+            let is_new_epoch = before.epoch != gate.progress().epoch;
+            return is_new_epoch.then_some(StageChange {
                 before: Some(before.stage),
                 progress,
             });
@@ -318,7 +318,7 @@
     /// Time in which nearly all requests at established engines end, in milliseconds, by
     /// what this node has seen.
     pub fn longest_request_ms(&self) -> u64 {
-        let longer = self.established_ms.total() / SLOWEST_PART;
+        let longer = self.established_ms.total() / SLOWEST_ONE_IN;
         let buckets = 0..BUCKETS;
         let slowest = buckets
             .rev()
@@ -363,7 +363,7 @@
     pub fn known_sums(&self, own: PeerId, life: u64, now: Millis) -> KnownSums<'_> {
         let reported = self.reported.as_ref();
         if let Some(reported) =
-            reported.filter(|reported| now.since(reported.reported_at) < SUMS_AGE_MS)
+            reported.filter(|reported| now.since(reported.reported_at) < MAX_SUMS_AGE_MS)
         {
             return KnownSums {
                 sums: &reported.counts,
--- a/crates/gateway/tests/engines_proof.rs
+++ b/crates/gateway/tests/engines_proof.rs
@@ -12,7 +12,7 @@
 use ploverlift_routing::software::SoftwareVersion;
 
 const NOW: Millis = Millis(2_000_000);
-const BORN: u64 = 1_700_000_000_000;
+const STARTED_AT_MS: u64 = 1_700_000_000_000;
 
 fn instance(name: &str) -> InstanceId {
     InstanceId(name.to_owned())
@@ -38,13 +38,13 @@
 }
 
 #[test]
-fn what_is_kept_though_it_is_gone_ages_what_others_are_told() {
+fn keeping_a_removed_engine_ages_the_reported_proof() {
     let mut proof = EnginesProof::default();
     assert_eq!(proof.reported_age_ms(NOW), None);
     proof.read(NOW, NOW, 1_000);
     proof.keep(instance("e-1"), NOW.plus(100));
     proof.keep(instance("e-1"), NOW.plus(300));
-    // Reading goes on; the engine stays one that is known to be gone.
+    // Reading goes on; the engine stays one that is known to be restarted.
     proof.read(NOW.plus(900), NOW.plus(950), 1_000);
     assert!(proof.is_kept(&instance("e-1")));
     assert_eq!(proof.reported_age_ms(NOW.plus(1_000)), Some(900));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_last_word_counts_from_an_answer_or_as_of_what_a_relay_vouches_for() {
+fn the_newest_proof_comes_from_a_store_answer_or_a_relay() {
     let mut proof = EnginesProof::default();
     proof.read(NOW, NOW.plus(700), 1_000);
     let last = proof.last_heard().expect("a word");
@@ -78,26 +78,32 @@
 }
 
 #[test]
-fn a_relay_that_lags_behind_brings_back_no_engine_that_a_list_lacked() {
+fn a_lagging_relay_restores_no_engine_missing_from_a_newer_list() {
     let mut beliefs = Beliefs::default();
-    beliefs.upsert_engine(record("e-1", 4, BORN), NOW);
+    beliefs.upsert_engine(record("e-1", 4, STARTED_AT_MS), NOW);
     beliefs.listed_revision = 10;
     // The relay's engines are those of an earlier revision.
-    let of_relay = vec![record("e-1", 4, BORN), record("e-2", 5, BORN)];
-    let news = beliefs.replace_engines(of_relay, 8, NOW);
+    let relay_engines = vec![
+        record("e-1", 4, STARTED_AT_MS),
+        record("e-2", 5, STARTED_AT_MS),
+    ];
+    let news = beliefs.replace_engines(relay_engines, 8, NOW);
     assert!(news.is_empty());
     assert!(beliefs.engines.get(&instance("e-2")).is_none());
     // One that came since is news, and so is what this node reads by itself.
-    let since = vec![record("e-1", 4, BORN), record("e-3", 11, BORN)];
+    let since = vec![
+        record("e-1", 4, STARTED_AT_MS),
+        record("e-3", 11, STARTED_AT_MS),
+    ];
     assert_eq!(beliefs.replace_engines(since, 11, NOW).len(), 1);
-    assert!(beliefs.upsert_engine(record("e-4", 9, BORN), NOW));
+    assert!(beliefs.upsert_engine(record("e-4", 9, STARTED_AT_MS), NOW));
 }
 
 #[test]
-fn nothing_that_was_seen_of_a_former_life_outlives_it() {
+fn an_engine_restart_discards_observations_of_the_former_incarnation() {
     let mut beliefs = Beliefs::default();
-    beliefs.upsert_engine(record("e-1", 4, BORN), NOW);
-    beliefs.upsert_engine(record("e-2", 5, BORN), NOW);
+    beliefs.upsert_engine(record("e-1", 4, STARTED_AT_MS), NOW);
+    beliefs.upsert_engine(record("e-2", 5, STARTED_AT_MS), NOW);
     let part = PartKey(77);
     for name in ["e-1", "e-2"] {
         let engine = EngineTag::of(&instance(name));
@@ -112,35 +118,35 @@
     }
     beliefs.note_loaded(&instance("e-1"), "m", 9, NOW);
     beliefs.loading.push(instance("e-1"));
-    assert!(beliefs.upsert_engine(record("e-1", 6, BORN + 5_000), NOW));
-    let (gone, other) = (
+    assert!(beliefs.upsert_engine(record("e-1", 6, STARTED_AT_MS + 5_000), NOW));
+    let (restarted, other) = (
         EngineTag::of(&instance("e-1")),
         EngineTag::of(&instance("e-2")),
     );
     let holders: Vec<EngineTag> = beliefs.holders.holders_of(part, NOW).collect();
     assert_eq!(holders, [other]);
-    assert!(beliefs.engine_caches.of(gone).is_none());
+    assert!(beliefs.engine_caches.of(restarted).is_none());
     assert!(beliefs.engine_caches.of(other).is_some());
-    assert_eq!(beliefs.moves.wait_ms(gone, NOW), 0.0);
+    assert_eq!(beliefs.moves.wait_ms(restarted, NOW), 0.0);
     assert!(beliefs.loading.is_empty() && beliefs.loaded_lately(NOW).is_empty());
     let engine = beliefs.engines.get(&instance("e-1")).expect("the engine");
     assert_eq!(engine.weights_of("m"), 3);
 }
 
 #[test]
-fn an_engines_own_report_of_its_life_counts_before_its_record_comes() {
+fn an_engine_report_of_a_new_incarnation_precedes_its_record() {
     let mut beliefs = Beliefs::default();
-    beliefs.upsert_engine(record("e-1", 4, BORN), NOW);
+    beliefs.upsert_engine(record("e-1", 4, STARTED_AT_MS), NOW);
     beliefs.note_loaded(&instance("e-1"), "m", 9, NOW);
-    beliefs.note_engine_life(&instance("e-1"), BORN + 5_000);
+    beliefs.note_engine_life(&instance("e-1"), STARTED_AT_MS + 5_000);
     assert!(beliefs.loaded_lately(NOW).is_empty());
     // What other nodes still tell of the former life is a hint alone; its record is late.
-    assert!(!beliefs.upsert_engine(record("e-1", 5, BORN), NOW));
+    assert!(!beliefs.upsert_engine(record("e-1", 5, STARTED_AT_MS), NOW));
     let loaded = ploverlift_balancing::catalogue::LoadedWeights {
         engine: EngineTag::of(&instance("e-1")),
         model: ModelTag::of("m"),
         version: 9,
     };
     beliefs.pass_on_loaded(loaded, NOW);
-    assert!(beliefs.upsert_engine(record("e-1", 6, BORN + 5_000), NOW));
+    assert!(beliefs.upsert_engine(record("e-1", 6, STARTED_AT_MS + 5_000), NOW));
 }
--- a/crates/gateway/tests/pages.rs
+++ b/crates/gateway/tests/pages.rs
@@ -58,22 +58,23 @@
 }
 
 #[test]
-fn the_table_of_settings_has_every_key_with_its_default() {
+fn the_settings_page_lists_every_key_with_its_default() {
     let settings = GatewaySettings::parse(ALL_ADDRESSES, Path::new("t.toml")).expect("settings");
     let value = toml::Value::try_from(&settings).expect("a table");
     let mut keys = BTreeMap::new();
     flatten("", &value, &mut keys);
     let documented = table(CONFIGURATION, "## Gateway settings");
     for (key, default) in &keys {
-        let told = documented.get(key);
-        let told = told.unwrap_or_else(|| panic!("'{key}' is not on the page"));
+        let documented_default = documented.get(key);
+        let documented_default =
+            documented_default.unwrap_or_else(|| panic!("'{key}' is not on the page"));
         let has_no_default = ["node.", "listen."]
             .iter()
             .any(|start| key.starts_with(start))
             || key == "store.address";
         assert!(
-            has_no_default || told == default,
-            "'{key}': {told}, not {default}"
+            has_no_default || documented_default == default,
+            "'{key}': {documented_default}, not {default}"
         );
     }
     for key in documented.keys() {
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn request_lines_have_the_fields_that_the_page_uses() {
+fn request_log_lines_have_the_documented_fields() {
     let captured = Captured::default();
     let log = ploverlift_telemetry::json_logger_to(captured.clone(), slog::o!("node" => "n"));
     smol::block_on(async {
@@ -138,15 +139,18 @@
     assert_eq!(outcome("r-late"), "timed_out");
     assert_eq!(outcome("r-broken"), "broken_off");
     assert_eq!(outcome("r-unknown"), "not_admitted");
-    let has: BTreeSet<&String> = lines
+    let logged_fields: BTreeSet<&String> = lines
         .iter()
         .filter_map(serde_json::Value::as_object)
         .flat_map(|line| line.keys())
         .collect();
-    let told = table(OPERATIONS, "## From a request's id to its cause");
-    assert!(told.len() > 10);
-    for field in told.keys() {
-        assert!(has.contains(field), "no line has the field '{field}'");
+    let documented_fields = table(OPERATIONS, "## From a request's id to its cause");
+    assert!(documented_fields.len() > 10);
+    for field in documented_fields.keys() {
+        assert!(
+            logged_fields.contains(field),
+            "no line has the field '{field}'"
+        );
     }
     assert!(!text.contains("key-a"), "a key was logged");
 }
--- a/crates/gateway/tests/rollout_reports/evidence.rs
+++ b/crates/gateway/tests/rollout_reports/evidence.rs
@@ -9,7 +9,7 @@
 use ploverlift_routing::software::SoftwareVersion;
 
 #[test]
-fn what_is_no_evidence_on_a_version_is_not_counted() {
+fn outcomes_that_do_not_depend_on_the_version_are_not_counted() {
     let attempt = |outcome: Outcome| ObservedAttempt {
         service: service(),
         route: "a".to_owned(),
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn repeats_are_no_evidence_on_either_side() {
+fn repeated_attempts_are_not_counted_for_either_version() {
     let counted = |software: &str, side: Side, is_repeat: bool| {
         let mut node = node_with_requests(0);
         let attempt = ObservedAttempt {
--- a/crates/gateway/tests/rollout_reports/followers.rs
+++ b/crates/gateway/tests/rollout_reports/followers.rs
@@ -19,7 +19,7 @@
 use std::sync::Arc;
 
 #[test]
-fn a_follower_that_starts_late_is_told_orders_and_serves_at_once() {
+fn a_late_follower_gets_orders_from_a_relay_and_serves_at_once() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         store.put("Configuration", "main", configuration(1));
@@ -47,11 +47,11 @@
                 configuration: 0,
                 wants_engines: true,
             };
-            let told = snapshot(&relay.gateway, &wanted);
-            let message: Vec<u8> = told.parts().flatten().copied().collect();
-            let told = decode_snapshot(&message).expect("a snapshot");
-            assert!(told.rollouts.expect("orders").known_through < revision);
-            assert_eq!(told.placed_versions.len(), 1);
+            let sent_snapshot = snapshot(&relay.gateway, &wanted);
+            let message: Vec<u8> = sent_snapshot.parts().flatten().copied().collect();
+            let sent_snapshot = decode_snapshot(&message).expect("a snapshot");
+            assert!(sent_snapshot.rollouts.expect("orders").known_through < revision);
+            assert_eq!(sent_snapshot.placed_versions.len(), 1);
         }
         let follower = start_peer_with_long_watch(&store, "small", 0.1);
         while caller::get_status(follower.readiness).await != 200 {}
@@ -75,7 +75,8 @@
     start(settings, Arc::new(StandInSite), silent_logger()).expect("start")
 }
 
-const BRISK: &str = "[bounds]\ncanary_share = 0.6\ncanary_slack = 400\nkey_revocation_ms = 1500\n\
+const SHORT_ROLLOUT_BOUNDS: &str =
+    "[bounds]\ncanary_share = 0.6\ncanary_slack = 400\nkey_revocation_ms = 1500\n\
     leaving_engine_ms = 3000\n";
 
 async fn send_until(node: &RunningGateway, is_reached: impl Fn() -> bool) {
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn followers_are_told_orders_and_sums_and_a_rollout_ends_without_silent_nodes() {
+fn a_rollout_completes_with_followers_and_without_silent_nodes() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         store.put("Configuration", "main", configuration(1));
@@ -97,14 +98,14 @@
         store.put("Engines", "old", old.record());
         list_silent_nodes(&store);
         let relays = [
-            start_peer_with(&store, "large-1", 2.0, BRISK),
-            start_peer_with(&store, "large-2", 1.0, BRISK),
+            start_peer_with(&store, "large-1", 2.0, SHORT_ROLLOUT_BOUNDS),
+            start_peer_with(&store, "large-2", 1.0, SHORT_ROLLOUT_BOUNDS),
         ];
         for relay in &relays {
             wait_until(relay, |node| role_of(node) == Role::Relay).await;
             while caller::get_status(relay.readiness).await != 200 {}
         }
-        let follower = start_peer_with(&store, "small", 0.1, BRISK);
+        let follower = start_peer_with(&store, "small", 0.1, SHORT_ROLLOUT_BOUNDS);
         while caller::get_status(follower.readiness).await != 200 {}
         assert_eq!(role_of(&follower), Role::Follower);
         store.put(
@@ -138,14 +139,14 @@
             rollout.is_some_and(|rollout| rollout.is_complete())
         })
         .await;
-        let at_the_end = old.arrivals();
+        let arrivals_at_end = old.arrivals();
         let mut sent = 0;
         while sent < 30 {
             let answer = caller::send(follower.callers, &request("safe.test", "z")).await;
             assert_eq!(answer.status(), 200);
             sent += 1;
         }
-        assert_eq!(old.arrivals(), at_the_end);
+        assert_eq!(old.arrivals(), arrivals_at_end);
         let lists_of = |node: &RunningGateway| {
             let label = StoreCallLabel {
                 call: "list",
--- a/crates/gateway/tests/rollout_reports/messages.rs
+++ b/crates/gateway/tests/rollout_reports/messages.rs
@@ -19,7 +19,7 @@
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 
 #[test]
-fn reports_with_rollouts_survive_the_wire_and_fit_what_is_read() {
+fn rollout_reports_round_trip_and_fit_a_datagram() {
     let service = ServiceTag::of(&service());
     let counts = ServiceCounts {
         service,
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn what_a_large_zone_tells_of_two_rollouts_fits_what_is_read() {
+fn pieces_of_a_large_zone_report_fit_datagrams_and_lose_nothing() {
     let services = ["app", "other"].map(|name| ServiceTag::of(&ServiceName::from(name)));
     let mut counts = busy_counts();
     for (route, more) in busy_counts().routes {
@@ -111,25 +111,26 @@
         })
     });
     let confirmations: Vec<NodeConfirmation> = confirmations.collect();
-    let told = RolloutReport {
+    let reported = RolloutReport {
         counts: counted.to_vec(),
         confirmations: confirmations.clone(),
         lease: Some(LARGEST_RENEWAL),
     };
-    let pieces = told.pieces();
+    let pieces = reported.pieces();
     for piece in &pieces {
         let mut report = empty_report();
         report.rollouts = piece.clone();
         let datagram = encode(&PeerMessage::ZoneReport(report));
         assert!(datagram.len() <= MAX_DATAGRAM_BYTES, "{}", datagram.len());
     }
-    let said = pieces.iter().flat_map(|piece| piece.confirmations.clone());
-    assert_eq!(said.collect::<Vec<_>>(), confirmations);
+    let all_confirmations = pieces.iter().flat_map(|piece| piece.confirmations.clone());
+    assert_eq!(all_confirmations.collect::<Vec<_>>(), confirmations);
     for counted in &counted {
         let mut sum = Counts::default();
-        let told = pieces.iter().flat_map(|piece| &piece.counts);
-        told.filter(|told| told.service == counted.service)
-            .for_each(|told| sum.merge_max(&told.counts));
+        let reported = pieces.iter().flat_map(|piece| &piece.counts);
+        reported
+            .filter(|reported| reported.service == counted.service)
+            .for_each(|reported| sum.merge_max(&reported.counts));
         assert_eq!(sum, counted.counts);
     }
 }
--- a/crates/gateway/tests/rollout_reports/sums.rs
+++ b/crates/gateway/tests/rollout_reports/sums.rs
@@ -9,14 +9,14 @@
 use ploverlift_rollout::counts::Counts;
 
 #[test]
-fn each_request_is_counted_once_however_often_it_is_told() {
+fn each_request_is_counted_once_however_often_it_is_reported() {
     let mut member = node_with_requests(5);
     let mut relays = [node_with_requests(1), node_with_requests(2)];
     let mut far = node_with_requests(3);
-    let told = member.own_report(reporter(10), 1);
+    let report = member.own_report(reporter(10), 1);
     for (index, relay) in relays.iter_mut().enumerate() {
-        relay.merge_node_report(reporter(10), &told, NOW);
-        relay.merge_node_report(reporter(10), &told, NOW);
+        relay.merge_node_report(reporter(10), &report, NOW);
+        relay.merge_node_report(reporter(10), &report, NOW);
         let own = reporter(20 + index as u64);
         relay.count_own(own);
     }
@@ -34,24 +34,24 @@
     let rollout = far.of_service(&service()).expect("a rollout");
     assert_eq!(rollout.fleet().sums().requests(), 11);
     // An earlier report that comes late changes nothing; a later life is added.
-    far.merge_zone_report(ZoneTag(1), &told, NOW);
+    far.merge_zone_report(ZoneTag(1), &report, NOW);
     let rollout = far.of_service(&service()).expect("a rollout");
     assert_eq!(rollout.fleet().sums().requests(), 11);
     let restarted = Reporter {
         node: PeerId(10),
         life: 2,
     };
-    relays[0].merge_node_report(restarted, &told, NOW);
+    relays[0].merge_node_report(restarted, &report, NOW);
     let zone = relays[0].zone_report(reporter(20), NOW);
     assert_eq!(zone.counts[0].counts.requests(), 13);
 }
 
 #[test]
-fn a_follower_takes_its_own_counts_off_the_sums_that_contain_them() {
+fn a_follower_knows_its_own_counts_within_the_reported_sums() {
     let mut relay = node_with_requests(0);
     let mut follower = node_with_requests(4);
-    let told = follower.own_report(reporter(10), 77);
-    relay.merge_node_report(reporter(10), &told, NOW);
+    let report = follower.own_report(reporter(10), 77);
+    relay.merge_node_report(reporter(10), &report, NOW);
     follower.note_request(&service(), &route("a"));
     let news = relay
         .relay_broadcast(reporter(20), false, NOW)
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn without_an_open_rollout_nothing_is_told_but_now_and_then_a_revision() {
+fn without_an_open_rollout_only_the_known_revision_is_broadcast() {
     let mut node = RolloutBeliefs::default();
     assert_eq!(node.relay_broadcast(reporter(1), true, NOW), None);
     node.note_orders_known(3, Some(NOW), &EngineCatalogue::default(), NOW);
--- a/crates/gateway/tests/rollout_reports/unplaced.rs
+++ b/crates/gateway/tests/rollout_reports/unplaced.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_service_of_which_nothing_can_be_placed_is_served_by_what_was_recorded_first() {
+fn without_placed_versions_the_first_recorded_version_serves() {
     let (node, engines) = node_with_later_engines(&[("a", "v1", 10), ("b", "v1", 11)]);
     assert_eq!(node.unplaced(&service(), &engines), []);
     let records = [("a", "v1", 10), ("b", "v2", 12), ("c", "v1", 14)];
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_order_given_again_while_cutting_over_leaves_what_served_before() {
+fn a_repeated_order_while_cutting_over_returns_to_the_established_version() {
     let (mut node, mut engines) = node_with_later_engines(&[]);
     for record in [record("a", "v1", 1), record("b", "v2", 2)] {
         node.note_engine(&record);
--- a/crates/gateway/tests/rollouts/canary.rs
+++ b/crates/gateway/tests/rollouts/canary.rs
@@ -5,11 +5,11 @@
 use crate::support::site;
 use crate::support::{configuration, Fixture};
 use crate::traffic::{with_callers, Traffic};
-use crate::versions::{order, record_engines, wait_for_more, Versions, BRISK};
+use crate::versions::{order, record_engines, wait_for_arrivals, Versions, SHORT_ROLLOUT_BOUNDS};
 use serde_json::json;
 
 #[test]
-fn the_canary_goes_to_few_engines_of_the_target() {
+fn the_canary_uses_a_subset_of_the_target_engines() {
     with_callers(|executor| async move {
         let (versions, fixture) = Versions::with_node().await;
         let node = fixture.running();
@@ -24,8 +24,8 @@
             caller::get_status(node.readiness).await;
         }
         let traffic = Traffic::start(&executor, node);
-        wait_for_more(node, &new, 60).await;
-        wait_for_more(node, &versions.old, 1_500).await;
+        wait_for_arrivals(node, &new, 60).await;
+        wait_for_arrivals(node, &versions.old, 1_500).await;
         traffic.stop().await;
         // A part of the share that a bad version may get, and of the slack.
         let arrivals = Versions::arrivals(&new);
@@ -40,11 +40,11 @@
 }
 
 #[test]
-fn engines_of_the_target_fetch_what_the_established_ones_keep() {
+fn target_engines_fetch_cached_prompt_parts_from_established_engines() {
     smol::block_on(async {
         let old = StandInEngine::of_software("old", "llm", "v1").await;
         let new = StandInEngine::of_software("new", "llm", "v2").await;
-        let fixture = Fixture::with(&[&old], configuration(1), BRISK).await;
+        let fixture = Fixture::with(&[&old], configuration(1), SHORT_ROLLOUT_BOUNDS).await;
         let ask = |id: &str| prompt("resume.test", id);
         assert_eq!(fixture.send(&ask("first")).await.status(), 200);
         let order = json!({"service": "llm", "to": "v2", "ms": 60_000});
--- a/crates/gateway/tests/rollouts/deciders.rs
+++ b/crates/gateway/tests/rollouts/deciders.rs
@@ -5,10 +5,10 @@
 use crate::support::site::StandInSite;
 use crate::support::store::StandInStore;
 use crate::support::{configuration, settings};
-use crate::traffic::{with_callers, BegunCanary, Traffic};
+use crate::traffic::{with_callers, RunningCanary, Traffic};
 use crate::versions::{
-    ended, order, record_engines, send_some, state, wait_for_more, wait_for_state,
-    wait_until_ready, Versions, BRISK,
+    ended_status, order, record_engines, send_requests, state, wait_for_arrivals, wait_for_state,
+    wait_until_ready, Versions, SHORT_ROLLOUT_BOUNDS,
 };
 use ploverlift_gateway::assembly::{start, RunningGateway};
 use ploverlift_gateway::logging::silent_logger;
@@ -21,14 +21,14 @@
 
 /// A node of a small fleet whose lease passes on quickly.
 fn start_peer(store: &StandInStore, name: &str) -> RunningGateway {
-    let mut settings = settings(store, name, BRISK);
+    let mut settings = settings(store, name, SHORT_ROLLOUT_BOUNDS);
     settings.bounds.lease_ms = 100;
     settings.listen.peers = Some(SocketAddr::from(([127, 0, 0, 1], 0)));
     start(settings, Arc::new(StandInSite), silent_logger()).expect("start")
 }
 
 #[test]
-fn another_node_goes_on_when_the_decider_is_gone() {
+fn another_node_takes_over_when_the_decider_stops() {
     with_callers(|executor| async move {
         let versions = Versions::of_service("app").await;
         let store = StandInStore::start().await;
@@ -61,30 +61,30 @@
 }
 
 #[test]
-fn an_order_supersedes_the_one_before_it() {
+fn a_new_order_supersedes_the_previous_one() {
     with_callers(|executor| async move {
-        let begun = BegunCanary::start(&executor).await;
-        let BegunCanary {
+        let canary = RunningCanary::start(&executor).await;
+        let RunningCanary {
             versions,
             fixture,
             traffic,
-        } = begun;
+        } = canary;
         let node = fixture.running();
         // Back to the version that served.
         fixture.store.put("Rollouts", "app", order("v1", 2_000));
         wait_for_state(&fixture.store, node, "completed").await;
         let status = fixture.store.status("Rollouts", "app").expect("a status");
         assert_eq!(status["to"], json!("v1"));
-        let at_the_end = Versions::arrivals(&versions.new);
-        wait_for_more(node, &versions.old, 300).await;
-        assert_eq!(Versions::arrivals(&versions.new), at_the_end);
+        let arrivals_at_end = Versions::arrivals(&versions.new);
+        wait_for_arrivals(node, &versions.old, 300).await;
+        assert_eq!(Versions::arrivals(&versions.new), arrivals_at_end);
         let (_, bad) = traffic.stop().await;
         assert_eq!(bad, 0);
     });
 }
 
 #[test]
-fn an_order_that_does_not_fit_holds_back_what_came_after_it_until_it_is_corrected() {
+fn an_invalid_order_holds_back_later_versions_until_it_is_removed() {
     smol::block_on(async {
         let (versions, fixture) = Versions::with_node().await;
         let invalid = json!({"service": "app", "to": "v2", "ms": "soon"});
@@ -93,32 +93,32 @@
         while fixture.gateway.beliefs().engines.len() < 4 {
             caller::get_status(fixture.running().readiness).await;
         }
-        send_some(&fixture, 40).await;
+        send_requests(&fixture, 40).await;
         assert_eq!(Versions::arrivals(&versions.new), 0);
         assert_eq!(state(&fixture.store), None);
         let lists = fixture.store.calls("list Rollouts");
         assert!(lists <= 3, "{lists}");
         fixture.store.remove("Rollouts", "app");
         while Versions::arrivals(&versions.new) == 0 {
-            send_some(&fixture, 1).await;
+            send_requests(&fixture, 1).await;
         }
     });
 }
 
 #[test]
-fn a_status_that_another_decider_wrote_first_stands() {
+fn a_status_written_first_by_another_decider_is_not_overwritten() {
     with_callers(|executor| async move {
-        let begun = BegunCanary::start(&executor).await;
-        let BegunCanary {
+        let canary = RunningCanary::start(&executor).await;
+        let RunningCanary {
             versions,
             fixture,
             traffic,
-        } = begun;
+        } = canary;
         let node = fixture.running();
         // Another node that still took itself for the decider ends it, and in the same
         // moment this one finds the version bad.
         versions.set_new(Behaviour::Fail);
-        let status = ended("rolled-back", "rolled_back cause=no_engines");
+        let status = ended_status("rolled-back", "rolled_back cause=no_engines");
         let number = {
             let beliefs = fixture.gateway.beliefs();
             let rollout = beliefs.rollouts.services().next();
@@ -133,11 +133,11 @@
         let text = text.replace("duration_ms=6000", "duration_ms=60000");
         let status = json!({"state": "rolled-back", "to": "v2", "progress": text});
         fixture.store.set_status("Rollouts", "app", status.clone());
-        wait_for_more(node, &versions.old, 500).await;
+        wait_for_arrivals(node, &versions.old, 500).await;
         assert_eq!(fixture.store.status("Rollouts", "app"), Some(status));
-        let at_the_end = Versions::arrivals(&versions.new);
-        wait_for_more(node, &versions.old, 300).await;
-        assert_eq!(Versions::arrivals(&versions.new), at_the_end);
+        let arrivals_at_end = Versions::arrivals(&versions.new);
+        wait_for_arrivals(node, &versions.old, 300).await;
+        assert_eq!(Versions::arrivals(&versions.new), arrivals_at_end);
         traffic.stop().await;
     });
 }
--- a/crates/gateway/tests/rollouts/late_starts.rs
+++ b/crates/gateway/tests/rollouts/late_starts.rs
@@ -4,19 +4,22 @@
 use crate::support::engine::StandInEngine;
 use crate::support::store::{StandInStore, StoreFault};
 use crate::support::{configuration, start_node, Fixture};
-use crate::versions::{ended, order, record_engines, send_some, wait_until_ready, Versions, BRISK};
+use crate::versions::{
+    ended_status, order, record_engines, send_requests, wait_until_ready, Versions,
+    SHORT_ROLLOUT_BOUNDS,
+};
 use std::sync::Arc;
 
 /// A node that starts when a rollout has ended and engines of both versions are there.
-async fn started_after(state: &str, stage: &str) -> (Versions, Fixture) {
+async fn start_after_rollout(state: &str, stage: &str) -> (Versions, Fixture) {
     let versions = Versions::of_service("app").await;
     let store = StandInStore::start().await;
     store.put("Configuration", "main", configuration(1));
     record_engines(&store, &versions.old);
     record_engines(&store, &versions.new);
     store.put("Rollouts", "app", order("v2", 6_000));
-    store.set_status("Rollouts", "app", ended(state, stage));
-    let running = start_node(&store, "node", BRISK);
+    store.set_status("Rollouts", "app", ended_status(state, stage));
+    let running = start_node(&store, "node", SHORT_ROLLOUT_BOUNDS);
     let fixture = Fixture {
         gateway: Arc::clone(&running.gateway),
         store,
@@ -27,10 +30,10 @@
 }
 
 #[test]
-fn a_node_that_starts_after_a_completed_rollout_uses_the_target_alone() {
+fn a_node_started_after_a_completed_rollout_uses_only_the_target() {
     smol::block_on(async {
-        let (versions, fixture) = started_after("completed", "completed").await;
-        send_some(&fixture, 40).await;
+        let (versions, fixture) = start_after_rollout("completed", "completed").await;
+        send_requests(&fixture, 40).await;
         assert_eq!(Versions::arrivals(&versions.old), 0);
         // A later release without an order is used, of the same version as before too.
         let late = StandInEngine::of_software("late", "app", "v1").await;
@@ -47,18 +50,18 @@
 }
 
 #[test]
-fn a_node_that_starts_after_a_roll_back_uses_the_target_never() {
+fn a_node_started_after_a_rollback_never_uses_the_target() {
     smol::block_on(async {
         let stage = "rolled_back cause=bad_answers";
-        let (versions, fixture) = started_after("rolled-back", stage).await;
-        send_some(&fixture, 40).await;
+        let (versions, fixture) = start_after_rollout("rolled-back", stage).await;
+        send_requests(&fixture, 40).await;
         assert_eq!(Versions::arrivals(&versions.new), 0);
         assert_eq!(Versions::arrivals(&versions.old), 40);
     });
 }
 
 #[test]
-fn a_version_without_an_order_serves_once_orders_are_known_and_not_before() {
+fn a_version_without_an_order_serves_only_once_orders_are_known() {
     smol::block_on(async {
         let (versions, fixture) = Versions::with_node().await;
         fixture.store.set_fault(StoreFault::HidesOrders);
@@ -67,7 +70,7 @@
         while known(&fixture) < 4 {
             caller::get_status(fixture.running().readiness).await;
         }
-        send_some(&fixture, 40).await;
+        send_requests(&fixture, 40).await;
         assert_eq!(Versions::arrivals(&versions.new), 0);
         // The old ones leave: rather nothing than an engine that can't be placed.
         versions
@@ -92,7 +95,7 @@
         store.put("Configuration", "main", configuration(1));
         record_engines(&store, &versions.old);
         store.set_fault(StoreFault::HidesOrders);
-        let node = start_node(&store, "node", BRISK);
+        let node = start_node(&store, "node", SHORT_ROLLOUT_BOUNDS);
         while node.gateway.configuration().is_none() || !node.gateway.beliefs().engines_listed {
             caller::get_status(node.readiness).await;
         }
--- a/crates/gateway/tests/rollouts/main.rs
+++ b/crates/gateway/tests/rollouts/main.rs
@@ -4,7 +4,7 @@
 mod canary;
 mod deciders;
 mod late_starts;
-mod store_trouble;
+mod store_faults;
 #[path = "../support/mod.rs"]
 mod support;
 mod traffic;
--- a/crates/gateway/tests/rollouts/traffic.rs
+++ b/crates/gateway/tests/rollouts/traffic.rs
@@ -2,7 +2,7 @@
 
 use crate::support::caller::{self, request};
 use crate::support::Fixture;
-use crate::versions::{order, record_engines, wait_for_more, Versions};
+use crate::versions::{order, record_engines, wait_for_arrivals, Versions};
 use ploverlift_gateway::assembly::RunningGateway;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,19 +12,19 @@
 
 /// Callers that send until they are told to stop; counts the answers by status.
 pub struct Traffic {
-    is_over: Rc<Cell<bool>>,
+    is_stopped: Rc<Cell<bool>>,
     tasks: Vec<smol::Task<(usize, usize)>>,
 }
 
 impl Traffic {
     pub fn start(executor: &Rc<smol::LocalExecutor<'static>>, node: &RunningGateway) -> Self {
-        let is_over = Rc::new(Cell::new(false));
+        let is_stopped = Rc::new(Cell::new(false));
         let address = node.callers;
         let tasks = (0..CALLERS).map(|index| {
-            let is_over = Rc::clone(&is_over);
+            let is_stopped = Rc::clone(&is_stopped);
             executor.spawn(async move {
                 let (mut good, mut bad) = (0, 0);
-                while !is_over.get() {
+                while !is_stopped.get() {
                     let id = format!("{index}-{}", good + bad);
                     match caller::send(address, &request("safe.test", &id))
                         .await
@@ -39,13 +39,13 @@
         });
         Self {
             tasks: tasks.collect(),
-            is_over,
+            is_stopped,
         }
     }
 
     /// Answers with success and others.
     pub async fn stop(self) -> (usize, usize) {
-        self.is_over.set(true);
+        self.is_stopped.set(true);
         let (mut good, mut bad) = (0, 0);
         for task in self.tasks {
             let (more_good, more_bad) = task.await;
@@ -57,13 +57,13 @@
 }
 
 /// A rollout whose target already serves some of the callers.
-pub struct BegunCanary {
+pub struct RunningCanary {
     pub versions: Versions,
     pub fixture: Fixture,
     pub traffic: Traffic,
 }
 
-impl BegunCanary {
+impl RunningCanary {
     /// Starts the node and callers, and waits for arrivals at the target.
     pub async fn start(executor: &Rc<smol::LocalExecutor<'static>>) -> Self {
         let (versions, fixture) = Versions::with_node().await;
@@ -71,7 +71,7 @@
         let traffic = Traffic::start(executor, node);
         fixture.store.put("Rollouts", "app", order("v2", 60_000));
         record_engines(&fixture.store, &versions.new);
-        wait_for_more(node, &versions.new, 5).await;
+        wait_for_arrivals(node, &versions.new, 5).await;
         Self {
             versions,
             fixture,
--- a/crates/gateway/tests/rollouts/verdicts.rs
+++ b/crates/gateway/tests/rollouts/verdicts.rs
@@ -4,12 +4,12 @@
 use crate::support::engine::Behaviour;
 use crate::support::store::StandInStore;
 use crate::traffic::{with_callers, Traffic, CALLERS};
-use crate::versions::{order, record_engines, state, wait_for_more, wait_for_state, Versions};
+use crate::versions::{order, record_engines, state, wait_for_arrivals, wait_for_state, Versions};
 use ploverlift_routing::configuration::ServiceName;
 use ploverlift_routing::software::SoftwareVersion;
 
 #[test]
-fn a_bad_version_is_rolled_back_and_gets_nothing_afterwards() {
+fn a_bad_version_is_rolled_back_and_receives_no_more_requests() {
     with_callers(|executor| async move {
         let (versions, fixture) = Versions::with_node().await;
         let traffic = Traffic::start(&executor, fixture.running());
@@ -17,15 +17,15 @@
         fixture.store.put("Rollouts", "app", order("v2", 20_000));
         record_engines(&fixture.store, &versions.new);
         wait_for_state(&fixture.store, fixture.running(), "rolled-back").await;
-        let at_the_end = Versions::arrivals(&versions.new);
-        let old_at_the_end = Versions::arrivals(&versions.old);
-        while Versions::arrivals(&versions.old) < old_at_the_end + 200 {
+        let arrivals_at_end = Versions::arrivals(&versions.new);
+        let old_arrivals_at_end = Versions::arrivals(&versions.old);
+        while Versions::arrivals(&versions.old) < old_arrivals_at_end + 200 {
             caller::get_status(fixture.running().readiness).await;
         }
         let (good, bad) = traffic.stop().await;
-        assert!(at_the_end > 0);
+        assert!(arrivals_at_end > 0);
         // Those that were on their way.
-        assert!(Versions::arrivals(&versions.new) <= at_the_end + CALLERS);
+        assert!(Versions::arrivals(&versions.new) <= arrivals_at_end + CALLERS);
         assert!(good > 200);
         // A caller notices only what the retry budget did not cover.
         assert!(bad <= good / 20, "{bad} of {good}");
@@ -33,32 +33,32 @@
 }
 
 #[test]
-fn a_good_version_is_completed_once_nothing_goes_to_the_established_engines() {
+fn a_rollout_completes_once_established_engines_receive_nothing() {
     with_callers(|executor| async move {
         let (versions, fixture) = Versions::with_node().await;
         let traffic = Traffic::start(&executor, fixture.running());
         fixture.store.put("Rollouts", "app", order("v2", 6_000));
         record_engines(&fixture.store, &versions.new);
         wait_for_state(&fixture.store, fixture.running(), "completed").await;
-        let old_at_the_end = Versions::arrivals(&versions.old);
+        let old_arrivals_at_end = Versions::arrivals(&versions.old);
         // They stop at once, undrained.
         versions
             .old
             .iter()
             .for_each(|engine| engine.set(Behaviour::Reset));
-        let new_at_the_end = Versions::arrivals(&versions.new);
-        while Versions::arrivals(&versions.new) < new_at_the_end + 200 {
+        let new_arrivals_at_end = Versions::arrivals(&versions.new);
+        while Versions::arrivals(&versions.new) < new_arrivals_at_end + 200 {
             caller::get_status(fixture.running().readiness).await;
         }
         let (good, bad) = traffic.stop().await;
-        assert_eq!(Versions::arrivals(&versions.old), old_at_the_end);
+        assert_eq!(Versions::arrivals(&versions.old), old_arrivals_at_end);
         assert!(good > 200);
         assert_eq!(bad, 0);
     });
 }
 
 #[test]
-fn a_rollout_waits_for_what_runs_on_established_engines() {
+fn a_rollout_waits_for_requests_running_on_established_engines() {
     with_callers(|executor| async move {
         let (versions, fixture) = Versions::with_node().await;
         let node = fixture.running();
@@ -85,9 +85,9 @@
         while !progress(&fixture.store).ends_with("stage=cutting_over") {
             caller::get_status(node.readiness).await;
         }
-        wait_for_more(node, &versions.new, 300).await;
+        wait_for_arrivals(node, &versions.new, 300).await;
         let old_arrivals = Versions::arrivals(&versions.old);
-        wait_for_more(node, &versions.new, 300).await;
+        wait_for_arrivals(node, &versions.new, 300).await;
         assert_eq!(Versions::arrivals(&versions.old), old_arrivals);
         assert_eq!(state(&fixture.store).as_deref(), Some("running"));
         let running = || {
--- a/crates/gateway/tests/rollouts/versions.rs
+++ b/crates/gateway/tests/rollouts/versions.rs
@@ -8,7 +8,7 @@
 use serde_json::{json, Value};
 
 /// Bounds under which a rollout ends within seconds.
-pub const BRISK: &str = "[bounds]\ncanary_share = 0.6\ncanary_slack = 400\n";
+pub const SHORT_ROLLOUT_BOUNDS: &str = "[bounds]\ncanary_share = 0.6\ncanary_slack = 400\n";
 
 /// Engines of the version that serves, and of the one that is ordered.
 pub struct Versions {
@@ -36,7 +36,7 @@
     pub async fn with_node() -> (Self, Fixture) {
         let versions = Self::of_service("app").await;
         let old: Vec<&StandInEngine> = versions.old.iter().collect();
-        let fixture = Fixture::with(&old, configuration(1), BRISK).await;
+        let fixture = Fixture::with(&old, configuration(1), SHORT_ROLLOUT_BOUNDS).await;
         (versions, fixture)
     }
 
@@ -74,7 +74,7 @@
 }
 
 /// Waits until a count of arrivals has grown by so many.
-pub async fn wait_for_more(node: &RunningGateway, engines: &[StandInEngine], more: usize) {
+pub async fn wait_for_arrivals(node: &RunningGateway, engines: &[StandInEngine], more: usize) {
     let before = Versions::arrivals(engines);
     while Versions::arrivals(engines) < before + more {
         caller::get_status(node.readiness).await;
@@ -86,7 +86,7 @@
 }
 
 /// The status of an ended rollout to `v2`, as it is stored.
-pub fn ended(state: &str, stage: &str) -> Value {
+pub fn ended_status(state: &str, stage: &str) -> Value {
     let progress = format!(
         "rollout/1 rollout=3 epoch=9 duration_ms=6000 elapsed_ms=5000 requests=900 \
          target_arrivals=80 credits=60 avoided= established=v1 stage={stage}"
@@ -94,7 +94,7 @@
     json!({"state": state, "to": "v2", "progress": progress})
 }
 
-pub async fn send_some(fixture: &Fixture, count: usize) {
+pub async fn send_requests(fixture: &Fixture, count: usize) {
     for index in 0..count {
         let answer = fixture
             .send(&request("safe.test", &format!("r-{index}")))
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_key_of_an_earlier_release_is_answered_with_its_present_name() {
+fn a_renamed_key_is_refused_with_its_present_name() {
     let renamed = [
         ("cost", "prompt_tokens_per_ms", "prefill_tokens_per_ms"),
         ("cost", "displaced_share", "eviction_share"),
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn values_out_of_their_bounds_name_the_key_and_the_way_out() {
+fn values_out_of_bounds_are_refused_with_key_and_valid_range() {
     assert_eq!(
         error_of("[bounds]\nleaving_engine_ms = 0\n"),
         "node.toml: bounds.leaving_engine_ms = 0: use 1 or more"
@@ -46,6 +46,6 @@
 }
 
 #[test]
-fn a_key_that_never_was_is_refused() {
+fn an_unknown_key_is_refused() {
     assert!(error_of("[cost]\nplenty = 1\n").contains("plenty"));
 }
