--- a/crates/gateway/src/rollouts/choice.rs
+++ b/crates/gateway/src/rollouts/choice.rs
@@ -1,5 +1,5 @@
-//! Which versions of the software may serve a request: what the gate of its service's
-//! rollout says, less the versions that are held back whatever it says.
+//! Chooses the software versions that may serve a request: those that the gate of the
+//! rollout allows, without the versions that are held back whatever the gate decides.
 
 use super::service::ServiceRollout;
 use super::RolloutBeliefs;
@@ -16,37 +16,37 @@
 
 pub use super::seat::OwnSeat;
 
-/// A request, as far as versions of the software matter to it.
+/// The properties of a request that the choice of a software version depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct VersionedRequest<'a> {
     /// The service.
     pub service: &'a ServiceName,
-    /// Its route.
+    /// The route.
     pub route: &'a Route,
-    /// Key of the shared parts of its prompt.
+    /// Key of the shared prefix of its prompt.
     pub prompt: Option<ChainKey>,
-    /// Engines that were tried.
+    /// Engines that have already been tried.
     pub tried: &'a [InstanceId],
-    /// Whether an engine has got it already.
+    /// Whether it was already sent to an engine.
     pub is_sent_before: bool,
 }
 
-/// Which engines may serve a request, by their software.
+/// The engines that may serve a request, selected by software version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SoftwareChoice {
-    /// Versions that may serve it.
+    /// Versions that may serve the request.
     pub rule: SoftwareRule,
-    /// Versions that may serve it where no engine fits the rule.
+    /// Versions that may serve the request if no engine can be chosen by `rule`.
     pub fallback: Option<SoftwareRule>,
-    /// Engines of the target that take no part in the canary.
+    /// Engines of the target version that are not used for the canary.
     pub outside_canary: Vec<InstanceId>,
-    /// What the gate said; nothing where there is no gate.
+    /// Reason of the gate's decision; `None` without a gate.
     pub reason: Option<GateReason>,
 }
 
 impl RolloutBeliefs {
-    /// Which versions may serve a request; nothing when none may now. Without `own` the
-    /// service had no rollout a moment ago.
+    /// The versions that may serve a request; `None` if no version may at present. `own` is
+    /// `None` if the service had no rollout when the caller looked it up just before.
     pub fn software_choice(
         &self,
         request: &VersionedRequest<'_>,
@@ -80,14 +80,14 @@
         let target = rollout.gate_target();
         let is_canary = decision.reason == GateReason::Canary;
         let rule = match rollout.stage() {
-            // The versions that served before are held back by their records; a later
-            // one may come without an order.
+            // Established versions are held back by the revisions of their records, so
+            // that a version recorded later can serve without an order.
             Some(Stage::Completed) => SoftwareRule::Any,
             _ => decision.rule?,
         };
         let established = || SoftwareRule::Except(target.clone()).excluding(&held_back);
-        // An order that was given again supersedes the stage of the former one: while its
-        // target is held back, what served before serves.
+        // A repeated order supersedes the stage of the former one. While its target is held
+        // back, the established versions serve.
         Some(SoftwareChoice {
             rule: rule.excluding(&held_back).or_else(established)?,
             fallback: is_canary.then(established).flatten(),
@@ -107,7 +107,7 @@
         own: &OwnSeat,
         now: Millis,
     ) -> Option<GateDecision> {
-        // A withdrawn rollout has no stage: its target is held back.
+        // A withdrawn rollout has no stage; its target is held back.
         rollout.stage()?;
         let known = rollout.known_sums(own.node, own.life, now);
         let view = FleetView {
@@ -127,9 +127,9 @@
         Some(rollout.gate()?.decide(&canary_request, &view, now))
     }
 
-    /// Versions of a service's engines that can't be placed yet. At a node that has placed
-    /// none since it started, the one that was recorded first is none of them: what is not
-    /// known is then no reason to refuse all requests of a service.
+    /// Versions of a service's engines that can't be placed yet. If the node knows the orders
+    /// but has placed no version of the service since it started, the version recorded first
+    /// is left out, as otherwise all requests of the service would be refused.
     pub fn unplaced(
         &self,
         service: &ServiceName,
@@ -140,7 +140,7 @@
             let (version, revision) = (&engine.record.software, engine.record.revision);
             ledger.is_some_and(|ledger| ledger.is_placed(version, revision))
         };
-        // Each choice asks; mostly there is nothing to sort out.
+        // Called for each choice; usually all engines are placed.
         if engines.of_service(service).all(|engine| is_placed(&engine)) {
             return Vec::new();
         }
@@ -170,8 +170,8 @@
     tried.any(|engine| engine.record.software == *target)
 }
 
-/// Engines of the target beyond those that are enough for the canary's share: few
-/// engines carry as much as an established one does.
+/// Engines of the target beyond the number needed for the canary's share. The engines that
+/// are used carry about as much load each as an established engine.
 fn engines_outside_canary(
     rollout: &ServiceRollout,
     service: &ServiceName,
--- a/crates/gateway/src/rollouts/decider.rs
+++ b/crates/gateway/src/rollouts/decider.rs
@@ -1,10 +1,10 @@
-//! The node that decides on rollouts: the holder of a lease of its own.
+//! Decides on rollouts at the node that holds the rollout lease.
 //!
-//! Only relays, or the first nodes of a small fleet, stand for the lease, and only while
-//! a rollout is open. What is decided counts once it is stored, on the condition of the
-//! revision that it was decided by: of two deciders one writes. After a conflict, a
-//! refusal or a lost answer the order is read again before anything else is decided, so
-//! each write ends as what the store holds.
+//! Only relays, or the first nodes of a small fleet, are candidates for the lease, and only
+//! while a rollout is open. A decision takes effect once it is stored, by a write that is
+//! conditional on the revision it was based on, so only one of two concurrent deciders can
+//! write. After a conflict, a refusal or a lost answer the order is read again before the
+//! next decision, so the node continues from what the store actually holds.
 
 use super::feed::{apply_order, read_order};
 use super::log_lines::{log_decision, reason_name};
@@ -25,15 +25,15 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Time between two decisions, in milliseconds: as often as reports come.
+/// Time between two decisions, in milliseconds; the period at which reports arrive.
 const PERIOD_MS: u64 = 100;
-/// Time between two looks while no rollout is open, in milliseconds.
+/// Polling period while no rollout is open, in milliseconds.
 const IDLE_PERIOD_MS: u64 = 1_000;
-/// Longest wait for the answer to a write, in milliseconds: it must leave time to read
-/// the order again and decide anew within the bound on a roll-back.
+/// Time-out of a write, in milliseconds. It must leave time to read the order again and to
+/// decide anew within the bound on a rollback.
 const WRITE_TIMEOUT_MS: u64 = 450;
-/// Time until all nodes have confirmed a stage once nothing runs on established
-/// engines, in milliseconds: the watch, two reports each way, and the decision.
+/// Time until all nodes have confirmed a stage after the last request on established engines
+/// has ended, in milliseconds: the watch, two reports each way, and the decision.
 const CONFIRMATION_DELAY_MS: u64 = 800;
 
 /// Decides on rollouts while this node holds the lease, until the task is dropped.
@@ -68,18 +68,18 @@
     }
 }
 
-/// What the decider works with.
+/// State of the decider on this node.
 struct DecisionLoop {
     gateway: Arc<Gateway>,
     client: StoreClient,
     deciders: BTreeMap<ServiceName, Decider>,
-    /// The reason that was logged last, by service.
+    /// Last logged reason of each service.
     reasons: BTreeMap<ServiceName, String>,
-    /// Services whose order must be read before anything is decided.
+    /// Services whose order must be read again before the next decision.
     unread_orders: Vec<ServiceName>,
 }
 
-/// What one decision is made from.
+/// A decision that is not stored yet, with the order that it is based on.
 struct PendingDecision {
     order: RolloutOrder,
     decision: Decision,
@@ -115,7 +115,7 @@
                 continue;
             };
             self.log_reason(&service, &pending.decision);
-            // The lease may have lapsed while another service's status was written.
+            // The lease may have expired while the status of another service was written.
             if let (Some(next), true) = (&pending.decision.next, holder.token().is_some()) {
                 log_decision(
                     &self.gateway,
@@ -173,7 +173,7 @@
             Err(error) => {
                 let text = error.to_string();
                 if self.reasons.get(service) != Some(&text) {
-                    slog::error!(gateway.log, "rollout can't be decided on";
+                    slog::error!(gateway.log, "no decision on rollout, its status can't be read";
                         "service" => &service.0, "error" => &text);
                     self.reasons.insert(service.clone(), text);
                 }
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Logs why a rollout stays as it is, once for each reason.
+    /// Logs the reason of a decision when it differs from the last logged one.
     fn log_reason(&mut self, service: &ServiceName, decision: &Decision) {
         let name = reason_name(&decision.reason);
         let kind = name.split([' ', '{', '(']).next().unwrap_or_default();
@@ -222,8 +222,8 @@
         }
     }
 
-    /// Reads an order after a write whose outcome is not known; until that succeeds
-    /// nothing is decided on it.
+    /// Reads an order after a failed write or one with an unknown outcome. Until that
+    /// succeeds, no decision is made on its rollout.
     async fn read_again(&mut self, service: ServiceName) {
         match self.client.get(StoreKind::Rollouts, &service.0).await {
             Ok(Some(object)) => self.apply_object(&object),
@@ -238,7 +238,7 @@
     }
 }
 
-/// All other nodes that the store names or that were heard.
+/// All other nodes that are listed in the store or have reported.
 fn members_of(rollout: &ServiceRollout, listed: &[PeerId], own: PeerId) -> Vec<Member> {
     let silent = listed.iter().filter(|id| !rollout.members.contains_key(id));
     let silent = silent.map(|id| Member {
@@ -257,7 +257,7 @@
         .collect()
 }
 
-/// Engines of a service that are up and stay, by version.
+/// Number of engines of a service that are not leaving, by version.
 fn supply(engines: &EngineCatalogue, service: &ServiceName) -> Vec<VersionSupply> {
     let mut by_version = BTreeMap::new();
     for engine in engines.of_service(service) {
--- a/crates/gateway/src/rollouts/exchange.rs
+++ b/crates/gateway/src/rollouts/exchange.rs
@@ -1,10 +1,10 @@
-//! What reports between nodes tell of rollouts.
+//! Rollout contents of the reports between nodes.
 //!
-//! A node tells its counts and what it confirms; a relay sums up its zone for the
-//! relays of other zones, and tells its zone the orders and the fleet's sums. Counts
-//! never fall, so what is told late or twice counts once. While no rollout is open a
-//! node tells nothing, and a relay now and then the revision up to which it knows
-//! orders.
+//! A node reports its counts and confirmations. A relay sums up its zone for the relays of
+//! other zones, and broadcasts the orders and the sums of the fleet to its zone. Counts never
+//! decrease, so a report that arrives late or twice is counted once. While no rollout is
+//! open, nodes report nothing, and relays occasionally broadcast the revision up to which
+//! they know all orders.
 
 use super::running::RunningRequests;
 use super::service::ServiceRollout;
@@ -21,15 +21,16 @@
 use ploverlift_routing::configuration::ServiceName;
 use std::collections::VecDeque;
 
-/// Own reports whose counts are remembered: those of about two seconds.
+/// Number of own reports whose counts are remembered, about two seconds' worth.
 const MAX_OWN_REPORTS: usize = 32;
-/// Time for which a change of orders is told in each report, in milliseconds: some
-/// reports are lost.
+/// Time for which each broadcast repeats a change of orders, in milliseconds, as some
+/// datagrams are lost.
 const REPEAT_CHANGE_MS: u64 = 1_000;
-/// Life of a zone's sums: its relays tell the same ones, and the highest counts stand.
+/// Incarnation of a zone's sums. The relays of a zone report the same sums, of which the
+/// highest counts are kept.
 const ZONE_LIFE: u64 = 0;
 
-/// What this node told relays in its last reports.
+/// Counts of this node's recent reports to relays, by sequence number.
 #[derive(Clone, Debug, Default)]
 pub struct OwnReports {
     reports: VecDeque<(u64, Vec<ServiceCounts>)>,
@@ -50,16 +51,16 @@
     }
 }
 
-/// Confirmations that one datagram tells beside the counts of a service, and without
-/// counts.
+/// Maximum number of confirmations in one datagram, with or without counts of a service.
 const MAX_CONFIRMATIONS: usize = 20;
-/// Routes whose counts one datagram tells: with all buckets in use some 900 bytes.
+/// Maximum number of routes whose counts fit one datagram; about 900 bytes with all buckets
+/// in use.
 const MAX_ROUTES: usize = 4;
 
 impl RolloutReport {
-    /// The same in pieces, each of which fits a datagram together with few other news:
-    /// counts of a service by some of its routes each, as of each count the highest
-    /// stands.
+    /// Splits the report into pieces, each of which fits a datagram beside a little other
+    /// content. The counts of a service can be split by routes, as a receiver keeps the
+    /// highest value of each count.
     pub fn pieces(self) -> Vec<RolloutReport> {
         let lease = self.lease;
         let mut confirmations = self.confirmations.chunks(MAX_CONFIRMATIONS);
@@ -99,12 +100,12 @@
 pub struct Reporter {
     /// The node.
     pub node: PeerId,
-    /// Its life.
+    /// Its incarnation.
     pub life: u64,
 }
 
 impl RolloutBeliefs {
-    /// Takes this node's counts into the fleet's.
+    /// Merges this node's counts into those of the fleet.
     pub fn count_own(&mut self, own: Reporter) {
         for rollout in self.services.values_mut() {
             if let Some(report) = rollout.own_report(own.node, own.life) {
@@ -113,7 +114,7 @@
         }
     }
 
-    /// What this node tells in its report with a number; nothing is told while no
+    /// The rollout contents of this node's report with a sequence number; empty while no
     /// rollout is open.
     pub fn own_report(&mut self, own: Reporter, sequence: u64) -> RolloutReport {
         let mut counts = Vec::new();
@@ -142,7 +143,7 @@
         }
     }
 
-    /// What this node says of a service's present stage.
+    /// This node's confirmation of the present stage of a service's rollout.
     pub fn own_stage_confirmation(
         &mut self,
         service: &ServiceName,
@@ -153,8 +154,7 @@
         Some(confirmed.confirmation)
     }
 
-    /// What this node's zone has counted, and what its nodes have confirmed, for relays of
-    /// other zones.
+    /// Counts and confirmations of this node's zone, for the relays of other zones.
     pub fn zone_report(&mut self, own: Reporter, now: Millis) -> RolloutReport {
         self.count_own(own);
         let mut report = RolloutReport::default();
@@ -185,7 +185,7 @@
         report
     }
 
-    /// Takes in the report of a node of this zone, or of a small fleet.
+    /// Merges the report of a node of this zone, or of a small fleet.
     pub fn merge_node_report(&mut self, from: Reporter, report: &RolloutReport, now: Millis) {
         for rollout in self
             .services
@@ -209,7 +209,7 @@
         self.take_confirmations(&report.confirmations, now);
     }
 
-    /// Takes in the report of another zone's relay.
+    /// Merges the report of a relay of another zone.
     pub fn merge_zone_report(&mut self, zone: ZoneTag, report: &RolloutReport, now: Millis) {
         for counted in &report.counts {
             if let Some(rollout) = self.by_tag(counted.service) {
@@ -236,8 +236,8 @@
         }
     }
 
-    /// What a relay tells its zone; nothing where there is no news and the report is
-    /// none of those that tell always.
+    /// The broadcast of a relay to its zone. `None` before any orders are known, and while
+    /// nothing changed and no rollout is open, unless `is_always_due`.
     pub fn relay_broadcast(
         &mut self,
         own: Reporter,
@@ -268,7 +268,7 @@
         })
     }
 
-    /// A relay tells of orders: those that it lacks are gone.
+    /// Removes the orders that a relay's broadcast lacks.
     pub fn remove_missing(&mut self, news: &RolloutNews, now: Millis) {
         self.orders.note_relay_report(now);
         if self.orders.known_through() <= Some(news.known_through) {
@@ -278,9 +278,9 @@
         }
     }
 
-    /// Takes in what a relay tells besides its orders, which were taken in. `answers` is
-    /// the newest of this node's own reports that the relay had taken in, and when it
-    /// was sent.
+    /// Applies the rest of a relay's broadcast after its orders. `answers` is the sequence
+    /// number of this node's newest report that the relay had received, and the time at which
+    /// it was sent.
     pub fn apply_sums(
         &mut self,
         news: &RolloutNews,
@@ -288,8 +288,8 @@
         engines: &EngineCatalogue,
         now: Millis,
     ) {
-        // However long the answer travelled, the proof is not younger than the report
-        // that it answers, less the age that it tells.
+        // Counted from the report that it answers, less the age that the relay gives: so
+        // the proof is never taken for newer than it is, however long the answer took.
         let proven_at = answers.map(|(_, sent_at)| sent_at.0.saturating_sub(news.age_ms));
         self.note_orders_known(news.known_through, proven_at.map(Millis), engines, now);
         for counted in &news.sums {
@@ -311,7 +311,7 @@
     }
 }
 
-/// What this node says of the present stage; nothing before any is known.
+/// This node's confirmation of the present stage; `None` until a stage is known.
 fn own_confirmation(
     rollout: &mut ServiceRollout,
     running: &RunningRequests,
@@ -328,7 +328,7 @@
     })
 }
 
-/// A node that was heard and confirmed nothing of a rollout.
+/// Stands for a node that has reported but confirmed no stage of the rollout.
 const NO_CONFIRMATION: Confirmation = Confirmation {
     rollout: RolloutNumber(0),
     epoch: Epoch(0),
--- a/crates/gateway/src/rollouts/feed.rs
+++ b/crates/gateway/src/rollouts/feed.rs
@@ -1,4 +1,4 @@
-//! Orders of rollouts as they are stored: a list, then each change.
+//! Follows the rollout orders in the object store: a list, then each change.
 
 use super::log_lines::log_order_updates;
 use super::{rollout_settings, OrderUpdate};
@@ -11,20 +11,20 @@
 use ploverlift_rollout::order::RolloutOrder;
 use std::sync::Arc;
 
-/// How long a watch of orders waits while a rollout is open, in milliseconds: its
-/// answer proves the stage, and the proof may be no older than the lease on a stage
-/// ([`ploverlift_rollout::share::STAGE_LEASE_MS`]) when it has come to all nodes.
+/// Longest wait of a watch of orders while a rollout is open, in milliseconds. Its answer
+/// proves the stage, and the proof must reach all nodes before the lease on a stage
+/// ([`ploverlift_rollout::share::STAGE_LEASE_MS`]) expires.
 const OPEN_WATCH_MS: u64 = 400;
-/// The same while a stage is known that was not proven yet, in milliseconds.
+/// Longest wait of a watch of orders while a known stage is not proven, in milliseconds.
 const PROVING_WATCH_MS: u64 = 1;
-/// Part of the bound on bad versions that knowledge of the orders may be old while no
-/// rollout is open. A version that serves may be ordered, and be bad: the rest is for
-/// hearing the verdict.
+/// Maximum age of the known orders while no rollout is open, as a share of the bound on bad
+/// versions (`bounds.roll_back_ms`). An order may name a version that already serves and is
+/// bad; the rest of the bound is for the verdict to reach this node.
 const ORDERS_AGE_SHARE: f64 = 0.5;
-/// Shortest time between two lists, in milliseconds: engines come in groups.
+/// Shortest time between two lists, in milliseconds, as engines are recorded in groups.
 const MIN_LIST_INTERVAL_MS: u64 = 100;
 
-/// How long a watch of orders waits now, in milliseconds.
+/// Longest wait of the next watch of orders, in milliseconds.
 pub fn order_watch_ms(gateway: &Gateway) -> u64 {
     let closed_watch_ms = closed_watch_ms(gateway);
     let rollouts = &gateway.beliefs().rollouts;
@@ -35,15 +35,15 @@
     }
 }
 
-/// How long a watch of orders waits while no rollout is open, in milliseconds: its end
-/// shows an order that it did not hear.
+/// Longest wait of a watch of orders while no rollout is open, in milliseconds. The answer
+/// at its end shows an order that the watch missed.
 fn closed_watch_ms(gateway: &Gateway) -> u64 {
     let settings = gateway.settings();
     let limit_ms = settings.bounds.roll_back_ms as f64 * ORDERS_AGE_SHARE;
     settings.store.other_watch_ms.min(limit_ms as u64)
 }
 
-/// Waits until an engine is known whose version no known order can place.
+/// Waits until the version of an engine can't be placed with the known orders.
 pub async fn wait_until_order_is_lacking(gateway: &Gateway) {
     loop {
         let due = gateway.orders_due.listen();
@@ -66,8 +66,9 @@
         let engines_revision = gateway.beliefs().engines_revision;
         let (objects, mut revision, sent) = feed.list(&mut backoff).await;
         if revision == EVERY_REVISION {
-            // There was no order when it was asked, so none is older than the engines
-            // that were known then. One may come at any time, and the kind with it.
+            // The store does not have this kind of object, so no order is older than the
+            // engines known when the list was sent. An order, and the kind with it, may
+            // be created at any time.
             take_list(&gateway, &objects, engines_revision, sent);
             let poll_ms = closed_watch_ms(&gateway);
             within(poll_ms, wait_until_order_is_lacking(&gateway)).await;
@@ -133,8 +134,8 @@
     }
 }
 
-/// Reads an order. One that does not fit is logged; versions that came after it can't be
-/// placed until it is corrected or gone.
+/// Decodes an order. An invalid one is logged; versions recorded after it can't be placed
+/// until it is corrected or removed.
 pub fn read_order(gateway: &Gateway, object: &StoreObject) -> Option<RolloutOrder> {
     match gateway.site.rollout_order(object) {
         Ok(order) => {
@@ -154,7 +155,7 @@
     }
 }
 
-/// Takes in an order, from the store or as this node has just written its status.
+/// Applies an order that was read from the store or whose status this node has just written.
 pub fn apply_order(gateway: &Gateway, order: RolloutOrder) {
     let settings = rollout_settings(&gateway.settings());
     let now = gateway.clock.now();
@@ -162,7 +163,7 @@
     publish_order_updates(gateway, update.as_slice());
 }
 
-/// Logs what orders have brought, and tells those who wait for it.
+/// Logs changed orders and wakes the tasks that wait for changes of orders.
 pub fn publish_order_updates(gateway: &Gateway, updates: &[OrderUpdate]) {
     if updates.is_empty() {
         return;
@@ -172,7 +173,7 @@
     gateway.report_due.notify(usize::MAX);
 }
 
-/// A call that was sent at `sent` told all orders up to a revision.
+/// Records that a call sent at `sent` has returned all orders up to a revision.
 fn note_known_through(gateway: &Gateway, revision: u64, sent: Millis) {
     let now = gateway.clock.now();
     let mut beliefs = gateway.beliefs();
@@ -183,7 +184,7 @@
         .rollouts
         .note_orders_known(revision, Some(sent), &beliefs.engines, now);
     if lacked || known_before.is_none() {
-        // Nodes that follow this one wait for it.
+        // Followers of this node wait for the orders.
         gateway.report_due.notify(usize::MAX);
     }
 }
--- a/crates/gateway/src/rollouts/gates.rs
+++ b/crates/gateway/src/rollouts/gates.rs
@@ -1,16 +1,16 @@
-//! Keeps this node's gates up to date while a rollout is open.
+//! Advances this node's gates while a rollout is open.
 
 use super::log_lines::log_own_stop;
 use crate::state::Gateway;
 use crate::time::{sleep, within};
 use std::sync::Arc;
 
-/// Time between two looks while a rollout is open, in milliseconds.
+/// Period while a rollout is open, in milliseconds.
 const PERIOD_MS: u64 = 100;
-/// Time between two looks while none is, in milliseconds.
+/// Period while no rollout is open, in milliseconds.
 const IDLE_PERIOD_MS: u64 = 1_000;
 
-/// Tells the gates of the passing time, until the task is dropped.
+/// Advances the gates periodically until the task is dropped.
 pub async fn advance_gates(gateway: Arc<Gateway>) {
     loop {
         let changed = gateway.order_changed.listen();
--- a/crates/gateway/src/rollouts/held_back_versions.rs
+++ b/crates/gateway/src/rollouts/held_back_versions.rs
@@ -1,5 +1,6 @@
-//! Engines and versions that must get nothing, whatever the gate of a rollout says:
-//! those that an ended rollout has left, and those of an order that has no stage yet.
+//! Engines and versions that receive no requests, whatever the gate of a rollout decides:
+//! those replaced by a completed rollout, avoided or withdrawn versions, and the target of
+//! an order without a recorded stage.
 
 use super::service::ServiceRollout;
 use ploverlift_balancing::catalogue::{EngineRecord, InstanceId};
@@ -23,8 +24,8 @@
             || (record.software != self.gate_target && is_older())
     }
 
-    /// The rollout is complete: engines of other versions that are known stop at once.
-    /// Tells which, and since which revision.
+    /// Retires the known engines of other versions if the rollout is complete; they receive
+    /// no requests from then on. Returns them, each with the revision of the completion.
     pub fn retire(&mut self, records: &[EngineRecord]) -> Vec<(InstanceId, u64)> {
         let Some(completed_at) = self.completed_at else {
             return Vec::new();
@@ -40,7 +41,7 @@
         stopped
     }
 
-    /// Versions that must get nothing whatever the gate says. `records` are the
+    /// Versions that receive no requests, whatever the gate decides. `records` are the
     /// versions and revisions of the service's engines.
     pub fn held_back(&self, records: &[(&SoftwareVersion, u64)]) -> Vec<SoftwareVersion> {
         let mut held_back = Vec::new();
@@ -59,17 +60,18 @@
         held_back
     }
 
-    /// Whether a version that is ordered is no new one: it serves alone, or served before
-    /// the rollout that is open.
+    /// Whether an ordered version already serves: all engines have it, or it is an
+    /// established version of the open rollout.
     fn is_serving(&self, version: &SoftwareVersion, records: &[(&SoftwareVersion, u64)]) -> bool {
         let is_alone = records.iter().all(|(known, _)| *known == version);
         let open = self.gate.as_ref().filter(|_| !self.is_ended());
         is_alone || open.is_some_and(|gate| gate.progress().established.contains(version))
     }
 
-    /// Versions that served before a rollout that is complete: by their records, so that
-    /// one that comes back later is none of them. A node that has not seen when it was
-    /// complete goes by what is recorded.
+    /// Versions replaced by a completed rollout: those of engine records older than the
+    /// completion, so that a version that returns later is not included. A node that does not
+    /// know the revision of the completion uses the established versions recorded in the
+    /// progress.
     fn replaced_versions<'a>(
         &'a self,
         records: &[(&'a SoftwareVersion, u64)],
--- a/crates/gateway/src/rollouts/log_lines.rs
+++ b/crates/gateway/src/rollouts/log_lines.rs
@@ -1,4 +1,4 @@
-//! Log lines on rollouts.
+//! Log lines about rollouts.
 
 use super::service::StageChange;
 use super::OrderUpdate;
@@ -9,7 +9,7 @@
 use ploverlift_rollout::stage::{Progress, Stage};
 use slog::{Record, Serializer, KV};
 
-/// The fields that lines on a stage, decided or taken in, have in common.
+/// Log fields common to all lines about a stage, decided or applied.
 struct StageFields<'a> {
     order: &'a RolloutOrder,
     progress: &'a Progress,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Says what orders have brought.
+/// Logs changed orders and stages.
 pub fn log_order_updates(gateway: &Gateway, updates: &[OrderUpdate]) {
     for update in updates {
         match &update.stage {
@@ -61,7 +61,7 @@
         StageFields { order, progress });
 }
 
-/// Says what the decider has decided, before it is stored.
+/// Logs a decision before it is stored.
 pub fn log_decision(gateway: &Gateway, order: &RolloutOrder, next: &Progress, reason: &Reason) {
     let finding = match reason {
         Reason::Bad(finding) => Some(finding),
@@ -73,13 +73,13 @@
         StageFields { order, progress: next });
 }
 
-/// Says that this node sends the target nothing by what it saw alone.
+/// Logs that this node stopped sending requests to the target on its own evidence alone.
 pub fn log_own_stop(gateway: &Gateway, service: &str, target: &str, finding: &Finding) {
     slog::warn!(gateway.log, "rollout stopped by own evidence";
         "service" => service, "target" => target, "finding" => finding_text(finding));
 }
 
-/// The evidence that a version is bad, in one text.
+/// The evidence that a version is bad, as one text for logs.
 pub fn finding_text(finding: &Finding) -> String {
     let route = finding.route.map(|route| format!("{:08x}", route.0));
     format!(
--- a/crates/gateway/src/rollouts/mod.rs
+++ b/crates/gateway/src/rollouts/mod.rs
@@ -1,22 +1,21 @@
-//! Rollouts of engines' software: what this node believes of them, and its part in
-//! them.
+//! Rollouts of engine software: this node's view of them, and its part in them.
 //!
 //! An order in the object store moves a service to engines of another version. The
-//! crate `ploverlift-rollout` decides; here its decisions are stored, reported,
-//! enforced and logged ([design](../../../../docs/design/rollouts.md)).
+//! crate `ploverlift-rollout` makes the decisions; this module stores, reports, enforces
+//! and logs them ([design](../../../../docs/design/rollouts.md)).
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | [`orders`] | the orders that are known, and up to which revision of the store |
-//! | [`service`] | one service's gate, counts and confirmations |
+//! | [`orders`] | the known orders, and the store revision up to which they are complete |
+//! | [`service`] | gate, counts and confirmations of one service |
 //! | [`choice`] | which versions may serve a request |
-//! | [`feed`] | orders as they are stored |
-//! | [`held_back_versions`] | what must get nothing, whatever the gate says |
-//! | [`gates`] | the passing time of gates |
-//! | [`seat`] | this node, as the fleet counts it |
-//! | [`running`] | requests at engines by version |
-//! | [`exchange`] | what reports between nodes tell of rollouts |
-//! | [`decider`] | the holder of the lease on rollouts |
+//! | [`feed`] | reads and watches the stored orders |
+//! | [`held_back_versions`] | engines and versions that receive no requests, whatever the gate decides |
+//! | [`gates`] | advances the gates periodically |
+//! | [`seat`] | identity of this node and its seat in the fleet |
+//! | [`running`] | running requests by engine version |
+//! | [`exchange`] | rollout contents of reports between nodes |
+//! | [`decider`] | decides on rollouts while this node holds the rollout lease |
 //! | [`log_lines`] | log lines |
 
 pub mod choice;
@@ -51,12 +50,12 @@
 use service::{ServiceRollout, StageChange};
 use std::collections::BTreeMap;
 
-/// What this node believes of the rollouts.
+/// This node's view of all rollouts.
 #[derive(Debug, Default)]
 pub struct RolloutBeliefs {
-    /// Orders.
+    /// The known orders.
     pub orders: KnownOrders,
-    /// Requests at engines by version.
+    /// Running requests by engine version.
     pub running: RunningRequests,
     ledgers: BTreeMap<ServiceName, VersionLedger>,
     services: BTreeMap<ServiceName, ServiceRollout>,
@@ -67,36 +66,37 @@
 /// An attempt at an engine of a service with an open rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// Whose engine.
+    /// Whether the engine has the target version or an established one.
     pub side: Side,
-    /// The rollout's stage.
+    /// Stage of the rollout at the attempt.
     pub stage: Stage,
-    /// The stage by its epoch.
+    /// Epoch of that stage.
     pub epoch: Epoch,
 }
 
-/// This node sends a target nothing by what it saw alone.
+/// This node stopped sending requests to a target on the evidence of its own counts alone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnEvidenceStop {
     /// The service.
     pub service: ServiceName,
-    /// The target.
+    /// The target version.
     pub target: SoftwareVersion,
-    /// What it saw.
+    /// The evidence against the target.
     pub finding: Finding,
 }
 
-/// What came of an order that was taken in.
+/// Result of applying an order.
 #[derive(Debug)]
 pub struct OrderUpdate {
     /// The order.
     pub order: RolloutOrder,
-    /// A stage that is new here, or why the recorded one can't be read.
+    /// The stage if it is new to this node, or why the recorded one can't be read.
     pub stage: Result<Option<StageChange>, ProgressError>,
 }
 
 impl RolloutBeliefs {
-    /// Takes in an order with its status; nothing when it is no news.
+    /// Applies an order with its status. Returns `None` unless its revision is newer than
+    /// the known one.
     pub fn apply_order(
         &mut self,
         order: RolloutOrder,
@@ -114,8 +114,9 @@
         Some(OrderUpdate { order, stage })
     }
 
-    /// An order is gone; tells whether that was news. Until another comes its target
-    /// gets nothing, unless it had ended.
+    /// Removes an order that was deleted at `revision`; returns whether it was known.
+    /// Unless its rollout had ended, the target receives no requests until another order
+    /// comes.
     pub fn remove_order(&mut self, service: &ServiceName, revision: u64, now: Millis) -> bool {
         let has_changed = self.orders.remove(service, revision, now);
         if let Some(rollout) = self.services.get_mut(service).filter(|_| has_changed) {
@@ -124,8 +125,8 @@
         has_changed
     }
 
-    /// All orders up to a revision of the store are known: engines that were recorded
-    /// before it can be placed.
+    /// Records that all orders up to a store revision are known, so engines recorded before
+    /// it can be placed.
     pub fn note_orders_known(
         &mut self,
         revision: u64,
@@ -148,8 +149,8 @@
         }
     }
 
-    /// An engine is known by a record: where it can be placed, its version counts as
-    /// serving from then on.
+    /// Adds the record of an engine. If it can be placed, its version counts as serving from
+    /// then on.
     pub fn note_engine(&mut self, record: &EngineRecord) {
         let service = &record.service;
         if !self.ledgers.contains_key(service) {
@@ -163,7 +164,7 @@
         }
     }
 
-    /// The versions of all services that this node has placed.
+    /// The versions that this node has placed, with their services.
     pub fn placed_versions(&self) -> impl Iterator<Item = (&ServiceName, &SoftwareVersion)> {
         let ledgers = self.ledgers.iter();
         ledgers.flat_map(|(service, ledger)| {
@@ -172,7 +173,7 @@
         })
     }
 
-    /// A relay, which knows more orders, has placed a version.
+    /// Adds a version that was placed by a relay, which may know more orders.
     pub fn note_placed(&mut self, service: &ServiceName, version: &SoftwareVersion) {
         if let Some(ledger) = self.ledgers.get_mut(service) {
             ledger.note_serving(version);
@@ -185,8 +186,9 @@
         rollout.is_some_and(|rollout| rollout.is_retired(record))
     }
 
-    /// A service's rollout is complete: its other engines stop at once. Tells which,
-    /// and since which revision.
+    /// Retires the engines of other versions after the rollout of a service is complete;
+    /// they receive no requests from then on. Returns them, each with the revision of the
+    /// completion.
     pub fn retire(
         &mut self,
         service: &ServiceName,
@@ -196,7 +198,8 @@
         rollout.map_or_else(Vec::new, |rollout| rollout.retire(records))
     }
 
-    /// An engine is gone. A version of which none is left may come back by an order.
+    /// Removes an engine. A version without engines is no longer placed, so it can return
+    /// as the target of an order.
     pub fn note_engine_gone(&mut self, record: &EngineRecord, engines: &EngineCatalogue) {
         let mut others = engines.of_service(&record.service);
         if others.any(|engine| engine.record.software == record.software) {
@@ -207,7 +210,8 @@
         }
     }
 
-    /// Whether some engine can't be placed: orders must be read.
+    /// Whether the version of an engine can't be placed until more orders are read. False
+    /// while an order is unreadable, as reading again would not help.
     pub fn lacks_orders(&self, engines: &EngineCatalogue) -> bool {
         if self.orders.is_any_unreadable() {
             return false;
@@ -221,8 +225,8 @@
         })
     }
 
-    /// Tells the gates of open rollouts of the passing time; tells of those that have
-    /// stopped since.
+    /// Advances the gates of open rollouts to the present time; returns those that have
+    /// newly stopped on this node's own evidence.
     pub fn advance(&mut self, own: &OwnSeat, now: Millis) -> Vec<OwnEvidenceStop> {
         let stage_proven_at = self.orders.proven_at().unwrap_or(Millis(0));
         let open = self.services.values_mut();
@@ -238,13 +242,13 @@
         stopped.collect()
     }
 
-    /// Whether this node knew all orders, and the stage of each, once in this life.
+    /// Whether this node has known all orders, with a proven stage of each, since it started.
     pub fn has_begun(&self) -> bool {
         self.has_begun
     }
 
-    /// Whether the stages of all open rollouts have been proven since this node knew
-    /// them.
+    /// Whether the stage of each open rollout has been proven since this node learned its
+    /// status.
     pub fn are_stages_proven(&self) -> bool {
         let proven_at = self.orders.proven_at();
         let mut services = self.services.values();
@@ -261,17 +265,17 @@
         self.services.contains_key(service)
     }
 
-    /// All rollouts.
+    /// The rollouts of all services.
     pub fn services(&self) -> impl Iterator<Item = &ServiceRollout> {
         self.services.values()
     }
 
-    /// One service's rollout.
+    /// The rollout of a service.
     pub fn of_service(&self, service: &ServiceName) -> Option<&ServiceRollout> {
         self.services.get(service)
     }
 
-    /// Counts a request that was first given an engine.
+    /// Counts a request at its first attempt.
     pub fn note_request(&mut self, service: &ServiceName, route: &Route) {
         let rollout = self.services.get_mut(service);
         if let Some(gate) = rollout.and_then(ServiceRollout::gate_mut) {
@@ -279,8 +283,8 @@
         }
     }
 
-    /// Counts an attempt that was given to an engine; tells what it is in an open
-    /// rollout.
+    /// Counts an attempt at an engine. Returns its side and stage if the rollout of the
+    /// service is open.
     pub fn note_attempt(
         &mut self,
         service: &ServiceName,
@@ -305,7 +309,7 @@
         })
     }
 
-    /// Takes in how an attempt went.
+    /// Records the outcome of an attempt.
     pub fn observe(&mut self, attempt: &ObservedAttempt, condition: EngineCondition) {
         let Some(rollout) = self.services.get_mut(&attempt.service) else {
             return;
@@ -324,14 +328,14 @@
     }
 }
 
-/// What an engine is in that says nothing of its version.
+/// Condition of an engine that affects its answers independently of its version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineCondition {
-    /// Nothing.
+    /// Normal operation.
     Steady,
-    /// It is slow because it has just started.
+    /// Slow because the engine has just started.
     Cold,
-    /// It loads weights, or is gone.
+    /// Loading weights, or no longer in the catalogue.
     Disturbed,
 }
 
@@ -347,10 +351,11 @@
     }
 }
 
-/// What an attempt says of its engine's version. Repeats say nothing: they go to
-/// established engines, and a request that fails by itself fails again. Refusals and engines without a
-/// connection say nothing; the times of a cold engine don't, and that one was given up
-/// may have been for them.
+/// The evidence of an attempt on the version of its engine; `None` if it has none. Repeats
+/// are excluded: they go to established engines, and a request that is itself the cause of
+/// its failure fails again there. Refusals and unreachable engines are no evidence either.
+/// Times at a cold engine are not counted, nor is an attempt that broke there, as the
+/// cause may have been its slowness.
 fn answer_of(attempt: &ObservedAttempt, condition: EngineCondition) -> Option<Answer> {
     if attempt.is_repeat {
         return None;
@@ -371,7 +376,7 @@
     })
 }
 
-/// Bounds of rollouts as the settings give them.
+/// Rollout settings from the gateway's settings.
 pub fn rollout_settings(settings: &GatewaySettings) -> RolloutSettings {
     RolloutSettings {
         canary_share: settings.bounds.canary_share,
--- a/crates/gateway/src/rollouts/orders.rs
+++ b/crates/gateway/src/rollouts/orders.rs
@@ -1,4 +1,5 @@
-//! The orders that a node knows, and up to which revision of the store it knows all.
+//! The rollout orders that a node knows, and the store revision up to which they are
+//! complete.
 
 use ploverlift_policy::ids::Millis;
 use ploverlift_rollout::order::RolloutOrder;
@@ -9,8 +10,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct KnownOrders {
     orders: BTreeMap<ServiceName, RolloutOrder>,
-    /// Orders that can't be read, by name, with the revision of each: what they are
-    /// about is not known, so nothing that came later can be placed.
+    /// Names of unreadable orders, with the first unreadable revision of each. Their services
+    /// and targets are not known, so no version recorded later can be placed.
     unreadable: BTreeMap<String, u64>,
     first_known: Option<u64>,
     known_through: Option<u64>,
@@ -20,7 +21,7 @@
 }
 
 impl KnownOrders {
-    /// Takes in an order; tells whether it was news.
+    /// Inserts an order if its revision is newer than the known one; returns whether it was.
     pub fn insert_newer(&mut self, order: RolloutOrder, now: Millis) -> bool {
         let known = self.orders.get(&order.service);
         if known.is_some_and(|known| known.revision >= order.revision) {
@@ -31,7 +32,8 @@
         true
     }
 
-    /// An order is gone since a revision; tells whether it was news.
+    /// Removes an order that was deleted at a revision; returns whether it was known and not
+    /// newer.
     pub fn remove(&mut self, service: &ServiceName, revision: u64, now: Millis) -> bool {
         let known = self.orders.get(service);
         if known.is_none_or(|known| known.revision > revision) {
@@ -42,7 +44,7 @@
         true
     }
 
-    /// Services whose orders a list of all lacks.
+    /// Services with a known order that is missing in a complete list.
     pub fn missing_in(&self, listed: &[RolloutOrder]) -> Vec<ServiceName> {
         let is_missing = |service: &&ServiceName| {
             let mut listed = listed.iter();
@@ -51,30 +53,31 @@
         self.orders.keys().filter(is_missing).cloned().collect()
     }
 
-    /// An order can't be read.
+    /// Records that an order can't be read.
     pub fn note_unreadable(&mut self, name: &str, revision: u64) {
         let first = self.unreadable.entry(name.to_owned()).or_insert(revision);
         *first = revision.min(*first);
     }
 
-    /// An order can be read, or is gone.
+    /// Records that an order can be read or was removed.
     pub fn note_readable(&mut self, name: &str) {
         self.unreadable.remove(name);
     }
 
-    /// Orders that can't be read and are not listed are gone.
+    /// Removes unreadable orders that are no longer listed.
     pub fn forget_unlisted<'a>(&mut self, listed: impl Iterator<Item = &'a str>) {
         let listed: BTreeSet<&str> = listed.collect();
         self.unreadable
             .retain(|name, _| listed.contains(name.as_str()));
     }
 
-    /// Whether an order can't be read: asking again would not help.
+    /// Whether an order can't be read; reading the orders again would not help.
     pub fn is_any_unreadable(&self) -> bool {
         !self.unreadable.is_empty()
     }
 
-    /// All orders up to a revision of the store are known, as of a time.
+    /// Records that all orders up to a store revision are known, as of `proven_at`. Stops
+    /// below the first unreadable order.
     pub fn advance(&mut self, revision: u64, proven_at: Option<Millis>, now: Millis) {
         let first_unreadable = self.unreadable.values().min();
         let readable = first_unreadable.map_or(u64::MAX, |first| first.saturating_sub(1));
@@ -87,37 +90,37 @@
         self.proven_at = self.proven_at.max(proven_at);
     }
 
-    /// A relay told of orders.
+    /// Records a relay's report of the orders.
     pub fn note_relay_report(&mut self, now: Millis) {
         self.relay_reported_at = Some(now);
     }
 
-    /// When a relay last told of orders.
+    /// Time of the last relay report of the orders.
     pub fn relay_reported_at(&self) -> Option<Millis> {
         self.relay_reported_at
     }
 
-    /// Revision of the store up to which all orders are known.
+    /// Store revision up to which all orders are known.
     pub fn known_through(&self) -> Option<u64> {
         self.known_through
     }
 
-    /// The same when any was first known in this life of the process.
+    /// The first revision up to which all orders were known since the process started.
     pub fn first_known(&self) -> Option<u64> {
         self.first_known
     }
 
-    /// When, at the latest, these were the present orders.
+    /// Latest time as of which these were proven to be the current orders.
     pub fn proven_at(&self) -> Option<Millis> {
         self.proven_at
     }
 
-    /// When they last changed here.
+    /// Time of the last change on this node.
     pub fn changed_at(&self) -> Option<Millis> {
         self.changed_at
     }
 
-    /// One service's order.
+    /// The order of a service.
     pub fn get(&self, service: &ServiceName) -> Option<&RolloutOrder> {
         self.orders.get(service)
     }
--- a/crates/gateway/src/rollouts/seat.rs
+++ b/crates/gateway/src/rollouts/seat.rs
@@ -1,15 +1,15 @@
-//! This node's seat in the fleet.
+//! Identity of this node and its seat in the fleet.
 
 use ploverlift_balancing::peer_loads::PeerId;
 use ploverlift_rollout::credits::Seat;
 
-/// This node, as the fleet counts it.
+/// Identity of this node in the counts of the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnSeat {
     /// The node.
     pub node: PeerId,
-    /// Its life.
+    /// Its incarnation.
     pub life: u64,
-    /// Its seat among those that may use the canary's credits.
+    /// Its seat among the nodes that may use canary credits.
     pub seat: Seat,
 }
--- a/crates/gateway/src/rollouts/service.rs
+++ b/crates/gateway/src/rollouts/service.rs
@@ -1,5 +1,5 @@
-//! One service's rollout at this node: its gate, what the fleet has counted, and what
-//! the nodes have confirmed.
+//! The rollout of one service at this node: its gate, the counts of the fleet, and the
+//! confirmations of the nodes.
 
 use super::seat::OwnSeat;
 use crate::peers::rollout_messages::ServiceTag;
@@ -16,15 +16,14 @@
 use ploverlift_routing::software::SoftwareVersion;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Age of a relay's sums after which this node's own knowledge goes before them, in
-/// milliseconds: as long as a relay counts that is silent.
+/// Maximum age of a relay's sums, in milliseconds; older ones are replaced by this node's
+/// own sums. Equals the time for which a silent relay is relied on.
 const MAX_SUMS_AGE_MS: u64 = 800;
 
-/// Part of the requests that may take longer than the time in which nearly all end: one
-/// of so many.
+/// One request in this many may take longer than [`ServiceRollout::longest_request_ms`].
 const SLOWEST_ONE_IN: u64 = 100;
 
-/// Sums over the fleet as a relay told them.
+/// Sums over the fleet as reported by a relay.
 #[derive(Clone, Debug)]
 struct ReportedSums {
     counts: Counts,
@@ -32,28 +31,28 @@
     reported_at: Millis,
 }
 
-/// Sums over the fleet, and what of them is this node's.
+/// Sums over the fleet, with the part that this node counted.
 pub struct KnownSums<'a> {
     /// The sums.
     pub sums: &'a Counts,
-    /// This node's own counts in them.
+    /// This node's own counts within the sums.
     pub own: Option<&'a Counts>,
 }
 
-/// What is known of another node.
+/// State of another node as last reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberState {
-    /// When it was heard last.
+    /// Time of its last report.
     pub last_report_at: Millis,
-    /// What it reported last of the present rollout.
+    /// Its last confirmation of the present rollout.
     pub confirmation: Option<Confirmation>,
-    /// Whether it reports to this node itself.
+    /// Whether it reports directly to this node.
     pub is_in_own_zone: bool,
 }
 
 impl MemberState {
-    /// Takes in what the node reported, by itself or through relays: the later epoch
-    /// stands, and of one epoch the last word.
+    /// Replaces the confirmation by one received directly or through relays, unless its epoch
+    /// is older than that of the known one.
     pub fn update_confirmation(&mut self, announced: Confirmation) {
         let known = self.confirmation.map(|known| (known.rollout, known.epoch));
         if known <= Some((announced.rollout, announced.epoch)) {
@@ -62,16 +61,16 @@
     }
 }
 
-/// A stage that this node has just taken in.
+/// Change of the stage of a rollout at this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StageChange {
-    /// The stage before, of the same rollout.
+    /// Previous stage of the same rollout.
     pub before: Option<Stage>,
-    /// What is in force now.
+    /// Progress that is now in force.
     pub progress: Progress,
 }
 
-/// One service's rollout.
+/// The rollout of one service.
 #[derive(Debug)]
 pub struct ServiceRollout {
     tag: ServiceTag,
@@ -81,31 +80,31 @@
     /// When this node first knew its present status.
     status_seen_at: Millis,
     pub(super) gate: Option<Gate>,
-    /// The version that the gate's rollout moves to.
+    /// Target version of the gate's rollout.
     pub(super) gate_target: SoftwareVersion,
-    /// The order's target, while no stage of the order is recorded.
+    /// Target of the order while no stage of this order is recorded.
     pub(super) pending_target: Option<SoftwareVersion>,
-    /// Revision at which the gate's rollout was seen to be complete.
+    /// Store revision at which the gate's rollout was observed to be complete.
     pub(super) completed_at: Option<u64>,
-    /// Engines that served before it was complete, each by its life: they are stopped.
+    /// Engine incarnations that were stopped because the rollout completed.
     pub(super) retired: BTreeSet<InstanceId>,
-    /// Whether the operator has taken the order away before its end.
+    /// Whether the operator removed the order.
     pub(super) is_withdrawn: bool,
-    /// Whether it was told that this node stops by what it saw alone.
+    /// Whether `advance` has already returned the finding for which this node stopped.
     has_reported_stop: bool,
-    /// Counts of all nodes; other zones' relays are one node each.
+    /// Counts of all nodes; the sums of each other zone count as one node.
     fleet: FleetCounts,
-    /// Counts of this zone's nodes.
+    /// Counts of the nodes of this zone.
     zone: FleetCounts,
     reported: Option<ReportedSums>,
-    /// Times of requests at established engines, whole.
+    /// Total durations of requests at established engines.
     established_ms: FirstByteHistogram,
-    /// Other nodes.
+    /// State of the other nodes.
     pub members: BTreeMap<PeerId, MemberState>,
 }
 
 impl ServiceRollout {
-    /// A rollout whose order is known and nothing else.
+    /// A rollout with a known order and no known stage.
     pub fn new(order: RolloutOrder, now: Millis) -> Self {
         Self {
             tag: ServiceTag::of(&order.service),
@@ -127,10 +126,10 @@
         }
     }
 
-    /// Takes in the order with its status; tells of a stage that is new here.
+    /// Applies the order with its status. Returns the change if the stage is new to this node.
     ///
     /// # Errors
-    /// When the status can't be read: the target then gets nothing.
+    /// When the status can't be read; the target then receives no requests.
     pub fn apply_order(
         &mut self,
         order: RolloutOrder,
@@ -203,7 +202,7 @@
         })
     }
 
-    /// Another rollout takes the place of the gate's.
+    /// Resets the state that belongs to the gate's rollout, as another one replaces it.
     fn supersede(&mut self) {
         self.completed_at = None;
         self.reported = None;
@@ -213,7 +212,7 @@
         });
     }
 
-    /// The operator has taken the order away.
+    /// Marks the order as removed by the operator.
     pub fn withdraw(&mut self) {
         self.is_withdrawn = true;
     }
@@ -223,43 +222,43 @@
         &self.order
     }
 
-    /// Short name of the service.
+    /// Hash of the service's name, as used in reports.
     pub fn tag(&self) -> ServiceTag {
         self.tag
     }
 
-    /// When this node first knew the order.
+    /// When this node first knew this order, whatever its status.
     pub fn order_seen_at(&self) -> Millis {
         self.order_seen_at
     }
 
-    /// When this node first knew its status.
+    /// When this node first knew the order's present status.
     pub fn status_seen_at(&self) -> Millis {
         self.status_seen_at
     }
 
-    /// Whether the stage has been proven since this node knew of the rollout, where a
-    /// former life of it may have acted on a later one.
+    /// Whether the stage was proven after this node learned the status, or the rollout is not
+    /// open. A former incarnation of the node may have acted on a later stage.
     pub fn is_stage_proven(&self, proven_at: Option<Millis>) -> bool {
         !self.is_open() || proven_at >= Some(self.status_seen_at)
     }
 
-    /// The gate, once a stage is known.
+    /// The gate; `None` until a stage is known.
     pub fn gate(&self) -> Option<&Gate> {
         self.gate.as_ref()
     }
 
-    /// The gate, to count.
+    /// The gate, for recording counts.
     pub fn gate_mut(&mut self) -> Option<&mut Gate> {
         self.gate.as_mut()
     }
 
-    /// The version that the gate's rollout moves to.
+    /// Target version of the gate's rollout.
     pub fn gate_target(&self) -> &SoftwareVersion {
         &self.gate_target
     }
 
-    /// Whether something is left to decide.
+    /// Whether the rollout still needs decisions.
     pub fn is_open(&self) -> bool {
         let is_running = || {
             let stage = self.gate.as_ref().map(|gate| gate.progress().stage);
@@ -268,31 +267,31 @@
         !self.is_withdrawn && (self.pending_target.is_some() || is_running())
     }
 
-    /// The gate's stage, unless its rollout was withdrawn.
+    /// Stage of the gate; `None` if the rollout was withdrawn.
     pub fn stage(&self) -> Option<Stage> {
         let gate = self.gate.as_ref().filter(|_| !self.is_withdrawn);
         gate.map(|gate| gate.progress().stage)
     }
 
-    /// What this node has counted.
+    /// The counts of this node; `None` unless the rollout is open with a known stage.
     pub fn own_report(&self, own: PeerId, life: u64) -> Option<CountReport> {
         let gate = self.gate.as_ref().filter(|_| self.is_open())?;
         Some(gate.report(own, life))
     }
 
-    /// Takes in what a node of this zone, or this one, has counted.
+    /// Merges the counts of this node or of another node of its zone.
     pub fn merge_counts(&mut self, report: &CountReport) {
         self.zone.merge_report(report);
         self.fleet.merge_report(report);
     }
 
-    /// Takes in what another zone has counted.
+    /// Merges the counts of another zone.
     pub fn merge_zone_counts(&mut self, report: &CountReport) {
         self.fleet.merge_report(report);
     }
 
-    /// Takes in what a relay says that the fleet has counted; `own` is what this node
-    /// had told it.
+    /// Stores the sums of the fleet as reported by a relay; `own` are the counts of this node
+    /// that the sums include.
     pub fn apply_sums(
         &mut self,
         rollout: RolloutNumber,
@@ -310,13 +309,13 @@
         }
     }
 
-    /// A request at an established engine has ended after so many milliseconds.
+    /// Records the total duration of a request at an established engine, in milliseconds.
     pub fn note_established_ms(&mut self, duration_ms: u64) {
         self.established_ms.note(duration_ms);
     }
 
-    /// Time in which nearly all requests at established engines end, in milliseconds, by
-    /// what this node has seen.
+    /// Duration within which nearly all requests at established engines end, in milliseconds,
+    /// as observed by this node: all but one in `SLOWEST_ONE_IN`.
     pub fn longest_request_ms(&self) -> u64 {
         let longer = self.established_ms.total() / SLOWEST_ONE_IN;
         let buckets = 0..BUCKETS;
@@ -326,7 +325,7 @@
         slowest.map_or(0, bucket_end_ms)
     }
 
-    /// Counts of all nodes.
+    /// Counts of all nodes; the sums of each other zone count as one node.
     pub fn fleet(&self) -> &FleetCounts {
         &self.fleet
     }
@@ -336,7 +335,7 @@
         self.zone.sums()
     }
 
-    /// Tells the gate of the passing time; tells what it has stopped for, once.
+    /// Advances the gate to the present time. Returns the finding for which it stopped, once.
     pub fn advance(
         &mut self,
         own: &OwnSeat,
@@ -359,7 +358,8 @@
         finding
     }
 
-    /// The fleet's sums as this node knows them best.
+    /// The most recent known sums of the fleet: a relay's, or this node's own when those are
+    /// too old.
     pub fn known_sums(&self, own: PeerId, life: u64, now: Millis) -> KnownSums<'_> {
         let reported = self.reported.as_ref();
         if let Some(reported) =
