--- a/crates/gateway/tests/engines_proof.rs
+++ b/crates/gateway/tests/engines_proof.rs
@@ -1,5 +1,5 @@
-//! How old knowledge of the engines is, what is told of it, and what a restart of an
-//! engine leaves of what was known.
+//! Age of the proof that the known engines are current, as used and as reported, and the
+//! state that remains after an engine restarts.
 
 use ploverlift_balancing::catalogue::{EngineRecord, Heartbeat, InstanceId};
 use ploverlift_balancing::peer_loads::{EngineTag, ModelTag};
@@ -44,7 +44,7 @@
     proof.read(NOW, NOW, 1_000);
     proof.keep(instance("e-1"), NOW.plus(100));
     proof.keep(instance("e-1"), NOW.plus(300));
-    // Reading goes on; the engine stays one that is known to be restarted.
+    // Further reads do not change that the kept engine's record is gone.
     proof.read(NOW.plus(900), NOW.plus(950), 1_000);
     assert!(proof.is_kept(&instance("e-1")));
     assert_eq!(proof.reported_age_ms(NOW.plus(1_000)), Some(900));
@@ -56,20 +56,20 @@
 fn the_newest_proof_comes_from_a_store_answer_or_a_relay() {
     let mut proof = EnginesProof::default();
     proof.read(NOW, NOW.plus(700), 1_000);
-    let last = proof.last_heard().expect("a word");
+    let last = proof.last_heard().expect("a proof");
     assert_eq!(
         (last.at, last.source),
         (NOW.plus(700), EnginesSource::Store)
     );
-    // Told later, and older.
+    // Relayed later, but proven as of an earlier time.
     proof.relayed(NOW.plus(600));
-    let last = proof.last_heard().expect("a word");
+    let last = proof.last_heard().expect("a proof");
     assert_eq!(
         (last.at, last.source),
         (NOW.plus(700), EnginesSource::Store)
     );
     proof.relayed(NOW.plus(800));
-    let last = proof.last_heard().expect("a word");
+    let last = proof.last_heard().expect("a proof");
     assert_eq!(
         (last.at, last.source),
         (NOW.plus(800), EnginesSource::Relay)
@@ -82,7 +82,7 @@
     let mut beliefs = Beliefs::default();
     beliefs.upsert_engine(record("e-1", 4, STARTED_AT_MS), NOW);
     beliefs.listed_revision = 10;
-    // The relay's engines are those of an earlier revision.
+    // The relay's engines are as of an earlier revision than the list.
     let relay_engines = vec![
         record("e-1", 4, STARTED_AT_MS),
         record("e-2", 5, STARTED_AT_MS),
@@ -90,7 +90,7 @@
     let news = beliefs.replace_engines(relay_engines, 8, NOW);
     assert!(news.is_empty());
     assert!(beliefs.engines.get(&instance("e-2")).is_none());
-    // One that came since is news, and so is what this node reads by itself.
+    // An engine recorded after the list is added, and so is one that this node reads itself.
     let since = vec![
         record("e-1", 4, STARTED_AT_MS),
         record("e-3", 11, STARTED_AT_MS),
@@ -140,7 +140,8 @@
     beliefs.note_loaded(&instance("e-1"), "m", 9, NOW);
     beliefs.note_engine_life(&instance("e-1"), STARTED_AT_MS + 5_000);
     assert!(beliefs.loaded_lately(NOW).is_empty());
-    // What other nodes still tell of the former life is a hint alone; its record is late.
+    // Reports of other nodes about the former incarnation are only hints, and its record is
+    // outdated.
     assert!(!beliefs.upsert_engine(record("e-1", 5, STARTED_AT_MS), NOW));
     let loaded = ploverlift_balancing::catalogue::LoadedWeights {
         engine: EngineTag::of(&instance("e-1")),
--- a/crates/gateway/tests/pages.rs
+++ b/crates/gateway/tests/pages.rs
@@ -1,5 +1,5 @@
-//! The pages for operators say what the program has: every key of the settings
-//! with its default, and every field of a request's log line.
+//! The pages for operators match the program: they list every key of the settings with its
+//! default, and only fields that the log lines of requests have.
 
 mod support;
 
@@ -78,11 +78,14 @@
         );
     }
     for key in documented.keys() {
-        assert!(keys.contains_key(key), "there is no '{key}'");
+        assert!(
+            keys.contains_key(key),
+            "the page lists '{key}', which is no setting"
+        );
     }
 }
 
-/// Collects what is logged.
+/// Collects the log output.
 #[derive(Clone, Default)]
 struct Captured(Arc<Mutex<Vec<u8>>>);
 
@@ -130,7 +133,7 @@
         .collect();
     let outcome = |id: &str| {
         let line = lines.iter().find(|line| line["id"] == id);
-        let line = line.unwrap_or_else(|| panic!("no line of '{id}'"));
+        let line = line.unwrap_or_else(|| panic!("no log line of '{id}'"));
         line["outcome"].as_str().unwrap_or_default().to_owned()
     };
     assert_eq!(outcome("r-answered"), "answered");
@@ -149,7 +152,7 @@
     for field in documented_fields.keys() {
         assert!(
             logged_fields.contains(field),
-            "no line has the field '{field}'"
+            "no log line has the field '{field}'"
         );
     }
     assert!(!text.contains("key-a"), "a key was logged");
--- a/crates/gateway/tests/rollout_reports/beliefs.rs
+++ b/crates/gateway/tests/rollout_reports/beliefs.rs
@@ -1,4 +1,4 @@
-//! A node that knows of a rollout.
+//! A node that knows a rollout, and sample reports.
 
 use ploverlift_balancing::catalogue::EngineCatalogue;
 use ploverlift_balancing::peer_loads::PeerId;
@@ -64,7 +64,7 @@
     }
 }
 
-/// A node that knows the order and has sent so many requests.
+/// A node that knows the order and has sent `requests` requests.
 pub fn node_with_requests(requests: usize) -> RolloutBeliefs {
     let mut node = RolloutBeliefs::default();
     let catalogue = EngineCatalogue::default();
@@ -84,7 +84,7 @@
     }
 }
 
-/// Counts of a busy service: four routes, all buckets in use.
+/// Counts of a busy service with four routes and all buckets in use.
 pub fn busy_counts() -> Counts {
     let mut counts = Counts::default();
     for route in ["a", "b", "c", "d"] {
--- a/crates/gateway/tests/rollout_reports/evidence.rs
+++ b/crates/gateway/tests/rollout_reports/evidence.rs
@@ -1,4 +1,4 @@
-//! Which answers count as evidence on a version.
+//! Which outcomes count as evidence on a version.
 
 use crate::beliefs::{node_with_requests, reporter, service};
 use ploverlift_balancing::catalogue::InstanceId;
--- a/crates/gateway/tests/rollout_reports/followers.rs
+++ b/crates/gateway/tests/rollout_reports/followers.rs
@@ -1,4 +1,4 @@
-//! A large fleet in which followers are told of rollouts.
+//! A large fleet in which followers get the orders and sums of rollouts from relays.
 
 use crate::beliefs::service;
 use crate::support::caller::{self, request};
@@ -34,7 +34,7 @@
             wait_until(relay, |node| role_of(node) == Role::Relay).await;
             while caller::get_status(relay.readiness).await != 200 {}
         }
-        // Recorded anew, later than the orders that any relay knows.
+        // Recorded again, after the revision up to which the relays know the orders.
         let revision = store.put("Engines", "old", engine.record());
         for relay in &relays {
             let is_known = |node: &RunningGateway| {
@@ -61,7 +61,7 @@
         let beliefs = follower.gateway.beliefs();
         assert!(beliefs.rollouts.orders.known_through() < Some(revision));
         let placed = beliefs.rollouts.placed_versions();
-        assert_eq!(placed.count(), 1, "as the relay told");
+        assert_eq!(placed.count(), 1, "placed as reported by the relay");
     });
 }
 
@@ -121,7 +121,7 @@
         };
         wait_until(&follower, knows_stage).await;
         send_until(&follower, || new.arrivals() > 0).await;
-        // The relay counts what the follower sent.
+        // The relay counts the requests that the follower sent.
         let counted = |node: &RunningGateway| {
             let beliefs = node.gateway.beliefs();
             let rollout = beliefs.rollouts.of_service(&service());
@@ -157,7 +157,7 @@
         };
         let by_relays: Vec<u64> = relays.iter().map(lists_of).collect();
         assert_eq!(lists_of(&follower), 0, "{by_relays:?}");
-        // One at the start, one for each new version.
+        // One list at the start and one for each new version.
         assert!(by_relays.iter().all(|lists| *lists <= 3), "{by_relays:?}");
         drop(relays);
         wait_until(&follower, |node| lists_of(node) > 0).await;
--- a/crates/gateway/tests/rollout_reports/main.rs
+++ b/crates/gateway/tests/rollout_reports/main.rs
@@ -1,5 +1,5 @@
-//! What nodes tell each other of rollouts: messages, sums without counting twice, and a
-//! large fleet in which followers are told.
+//! Rollout contents of reports between nodes: their messages, sums that count nothing twice,
+//! and a large fleet in which followers rely on relays.
 
 mod beliefs;
 mod evidence;
--- a/crates/gateway/tests/rollout_reports/messages.rs
+++ b/crates/gateway/tests/rollout_reports/messages.rs
@@ -1,4 +1,4 @@
-//! What is told of rollouts: it survives the wire and fits what is read.
+//! Rollout messages survive encoding and fit the datagrams that nodes read.
 
 use crate::beliefs::{busy_counts, order, service, ROLLOUT};
 use crate::support::fleet::{empty_report, LARGEST_RENEWAL};
@@ -15,7 +15,7 @@
 use ploverlift_routing::configuration::ServiceName;
 use ploverlift_routing::software::SoftwareVersion;
 
-/// Bytes of a datagram that a node reads at most.
+/// Maximum number of bytes of a datagram that a node reads.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 
 #[test]
--- a/crates/gateway/tests/rollout_reports/sums.rs
+++ b/crates/gateway/tests/rollout_reports/sums.rs
@@ -20,7 +20,7 @@
         let own = reporter(20 + index as u64);
         relay.count_own(own);
     }
-    // The relays of a zone hear each other as nodes.
+    // The relays of a zone receive each other's reports as nodes.
     let first = relays[0].own_report(reporter(20), 1);
     let second = relays[1].own_report(reporter(21), 1);
     relays[0].merge_node_report(reporter(21), &second, NOW);
@@ -33,7 +33,7 @@
     far.count_own(reporter(30));
     let rollout = far.of_service(&service()).expect("a rollout");
     assert_eq!(rollout.fleet().sums().requests(), 11);
-    // An earlier report that comes late changes nothing; a later life is added.
+    // A delayed earlier report changes nothing; the counts of a later incarnation are added.
     far.merge_zone_report(ZoneTag(1), &report, NOW);
     let rollout = far.of_service(&service()).expect("a rollout");
     assert_eq!(rollout.fleet().sums().requests(), 11);
@@ -55,16 +55,16 @@
     follower.note_request(&service(), &route("a"));
     let news = relay
         .relay_broadcast(reporter(20), false, NOW)
-        .expect("news");
+        .expect("a broadcast");
     let catalogue = EngineCatalogue::default();
     follower.apply_sums(&news, Some((77, NOW)), &catalogue, NOW);
     let rollout = follower.of_service(&service()).expect("a rollout");
     let known = rollout.known_sums(PeerId(10), 1, NOW);
     assert_eq!(known.sums.requests(), 4);
     assert_eq!(known.own.map(Counts::requests), Some(4));
-    // A proof is as old as the report that it answers, and what it tells itself.
+    // The proof counts from the report that it answers, less the age that it gives itself.
     assert_eq!(follower.orders.proven_at(), Some(NOW));
-    // Silent relays' sums are left.
+    // The sums of a silent relay are no longer used.
     let known = rollout.known_sums(PeerId(10), 1, NOW.plus(900));
     assert_eq!(known.sums.requests(), 0);
 }
@@ -80,6 +80,6 @@
     assert_eq!(node.relay_broadcast(reporter(1), false, later), None);
     let news = node
         .relay_broadcast(reporter(1), true, later)
-        .expect("news");
+        .expect("a broadcast");
     assert_eq!((news.known_through, news.orders.len()), (3, 0));
 }
--- a/crates/gateway/tests/rollout_reports/unplaced.rs
+++ b/crates/gateway/tests/rollout_reports/unplaced.rs
@@ -1,4 +1,4 @@
-//! Versions that can be placed by no order, and what served before.
+//! Versions that can't be placed with the known orders, and established versions.
 
 use crate::beliefs::{order, progress, route, service, NOW};
 use ploverlift_balancing::catalogue::{EngineCatalogue, EngineRecord, Heartbeat, InstanceId};
@@ -29,7 +29,7 @@
     }
 }
 
-/// A node that knows orders up to 3 and engines that were recorded later.
+/// A node that knows the orders up to revision 3, and engines recorded later.
 fn node_with_later_engines(records: &[(&str, &str, u64)]) -> (RolloutBeliefs, EngineCatalogue) {
     let mut engines = EngineCatalogue::default();
     let mut node = RolloutBeliefs::default();
@@ -53,7 +53,7 @@
         node.unplaced(&service(), &engines),
         std::slice::from_ref(&v2)
     );
-    // A relay that knows more has placed it.
+    // A relay that knows more orders has placed them.
     node.note_placed(&service(), &v2);
     node.note_placed(&service(), &SoftwareVersion("v1".to_owned()));
     assert_eq!(node.unplaced(&service(), &engines), []);
--- a/crates/gateway/tests/rollouts/canary.rs
+++ b/crates/gateway/tests/rollouts/canary.rs
@@ -1,4 +1,5 @@
-//! Which engines of the target serve, and what they fetch.
+//! Which engines of the target version serve the canary, and from where they fetch cached
+//! prompt parts.
 
 use crate::support::caller::{self, prompt};
 use crate::support::engine::StandInEngine;
@@ -27,7 +28,7 @@
         wait_for_arrivals(node, &new, 60).await;
         wait_for_arrivals(node, &versions.old, 1_500).await;
         traffic.stop().await;
-        // A part of the share that a bad version may get, and of the slack.
+        // Half of the share, and of the slack, that a bad version may get.
         let arrivals = Versions::arrivals(&new);
         let requests = arrivals + Versions::arrivals(&versions.old);
         assert!(
--- a/crates/gateway/tests/rollouts/deciders.rs
+++ b/crates/gateway/tests/rollouts/deciders.rs
@@ -1,4 +1,4 @@
-//! Orders and statuses that replace each other, and deciders that do.
+//! Orders, statuses and deciders that replace each other.
 
 use crate::support::caller;
 use crate::support::engine::Behaviour;
@@ -19,7 +19,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A node of a small fleet whose lease passes on quickly.
+/// Starts a node of a small fleet whose lease expires quickly.
 fn start_peer(store: &StandInStore, name: &str) -> RunningGateway {
     let mut settings = settings(store, name, SHORT_ROLLOUT_BOUNDS);
     settings.bounds.lease_ms = 100;
@@ -70,7 +70,7 @@
             traffic,
         } = canary;
         let node = fixture.running();
-        // Back to the version that served.
+        // Orders the established version again.
         fixture.store.put("Rollouts", "app", order("v1", 2_000));
         wait_for_state(&fixture.store, node, "completed").await;
         let status = fixture.store.status("Rollouts", "app").expect("a status");
@@ -115,8 +115,8 @@
             traffic,
         } = canary;
         let node = fixture.running();
-        // Another node that still took itself for the decider ends it, and in the same
-        // moment this one finds the version bad.
+        // Another node that still believes it holds the lease ends the rollout, at the moment
+        // at which this node finds the version bad.
         versions.set_new(Behaviour::Fail);
         let status = ended_status("rolled-back", "rolled_back cause=no_engines");
         let number = {
--- a/crates/gateway/tests/rollouts/late_starts.rs
+++ b/crates/gateway/tests/rollouts/late_starts.rs
@@ -10,7 +10,7 @@
 };
 use std::sync::Arc;
 
-/// A node that starts when a rollout has ended and engines of both versions are there.
+/// Starts a node after a rollout has ended, with engines of both versions recorded.
 async fn start_after_rollout(state: &str, stage: &str) -> (Versions, Fixture) {
     let versions = Versions::of_service("app").await;
     let store = StandInStore::start().await;
@@ -35,7 +35,7 @@
         let (versions, fixture) = start_after_rollout("completed", "completed").await;
         send_requests(&fixture, 40).await;
         assert_eq!(Versions::arrivals(&versions.old), 0);
-        // A later release without an order is used, of the same version as before too.
+        // Engines recorded later need no order, even if they have the former version.
         let late = StandInEngine::of_software("late", "app", "v1").await;
         fixture.store.put("Engines", "late", late.record());
         versions
@@ -72,7 +72,8 @@
         }
         send_requests(&fixture, 40).await;
         assert_eq!(Versions::arrivals(&versions.new), 0);
-        // The old ones leave: rather nothing than an engine that can't be placed.
+        // Without established engines, requests are refused rather than sent to an engine
+        // that can't be placed.
         versions
             .old
             .iter()
--- a/crates/gateway/tests/rollouts/main.rs
+++ b/crates/gateway/tests/rollouts/main.rs
@@ -1,5 +1,5 @@
-//! Rollouts of engines' software: a version that is ordered gets a small share, and
-//! then everything or nothing, whatever fails halfway.
+//! Rollouts of engine software: an ordered version gets a small share of the requests, and
+//! then all or none of them, whatever fails during the rollout.
 
 mod canary;
 mod deciders;
--- a/crates/gateway/tests/rollouts/store_faults.rs
+++ b/crates/gateway/tests/rollouts/store_faults.rs
@@ -1,4 +1,4 @@
-//! Rollouts while the store lacks, hides or loses what it is asked for.
+//! Rollouts while the store lacks the kind of object, is silent, or loses answers to writes.
 
 use crate::support::caller;
 use crate::support::engine::Behaviour;
@@ -24,7 +24,7 @@
         record_engines(&store, &versions.old);
         store.set_fault(StoreFault::LacksOrders);
         let mut settings = settings(&store, "node", SHORT_ROLLOUT_BOUNDS);
-        // Looked for only now and then, and found at once where an engine calls for it.
+        // Orders are polled rarely, but read at once when an engine can't be placed.
         settings.store.other_watch_ms = 60_000;
         settings.bounds.roll_back_ms = 120_000;
         let node = start(settings, Arc::new(StandInSite), silent_logger()).expect("start");
@@ -39,7 +39,7 @@
         store.put("Rollouts", "app", order("v2", 30_000));
         record_engines(&store, &versions.new);
         wait_for_state(&store, &node, "rolled-back").await;
-        // Not by the next look, which is due after a minute.
+        // Found before the next poll, which is due after a minute.
         assert!(ordered_at.elapsed() < std::time::Duration::from_secs(30));
         let (good, bad) = traffic.stop().await;
         assert!(bad * 2 < good, "{bad} of {good}");
--- a/crates/gateway/tests/rollouts/traffic.rs
+++ b/crates/gateway/tests/rollouts/traffic.rs
@@ -1,4 +1,4 @@
-//! Callers that send one request after another, also while a rollout begins.
+//! Callers that send one request after another, before and during a rollout.
 
 use crate::support::caller::{self, request};
 use crate::support::Fixture;
@@ -7,10 +7,10 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Callers that send one request after another.
+/// Number of callers.
 pub const CALLERS: usize = 8;
 
-/// Callers that send until they are told to stop; counts the answers by status.
+/// Callers that send until they are stopped, and count the answers by status.
 pub struct Traffic {
     is_stopped: Rc<Cell<bool>>,
     tasks: Vec<smol::Task<(usize, usize)>>,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Answers with success and others.
+    /// Stops the callers; returns the numbers of successful and of other answers.
     pub async fn stop(self) -> (usize, usize) {
         self.is_stopped.set(true);
         let (mut good, mut bad) = (0, 0);
@@ -56,7 +56,7 @@
     }
 }
 
-/// A rollout whose target already serves some of the callers.
+/// A rollout whose target already serves some requests.
 pub struct RunningCanary {
     pub versions: Versions,
     pub fixture: Fixture,
--- a/crates/gateway/tests/rollouts/verdicts.rs
+++ b/crates/gateway/tests/rollouts/verdicts.rs
@@ -1,4 +1,4 @@
-//! A version is completed or rolled back.
+//! Rollouts that are completed or rolled back.
 
 use crate::support::caller::{self, request};
 use crate::support::engine::Behaviour;
@@ -24,10 +24,10 @@
         }
         let (good, bad) = traffic.stop().await;
         assert!(arrivals_at_end > 0);
-        // Those that were on their way.
+        // One request of each caller may have been under way.
         assert!(Versions::arrivals(&versions.new) <= arrivals_at_end + CALLERS);
         assert!(good > 200);
-        // A caller notices only what the retry budget did not cover.
+        // Callers see only the failures that the retry budget did not cover.
         assert!(bad <= good / 20, "{bad} of {good}");
     });
 }
@@ -41,7 +41,7 @@
         record_engines(&fixture.store, &versions.new);
         wait_for_state(&fixture.store, fixture.running(), "completed").await;
         let old_arrivals_at_end = Versions::arrivals(&versions.old);
-        // They stop at once, undrained.
+        // The established engines stop at once, without draining.
         versions
             .old
             .iter()
@@ -62,7 +62,7 @@
     with_callers(|executor| async move {
         let (versions, fixture) = Versions::with_node().await;
         let node = fixture.running();
-        // A request that lasts, at an engine of the old version.
+        // A long request at an established engine.
         versions
             .old
             .iter()
--- a/crates/gateway/tests/rollouts/versions.rs
+++ b/crates/gateway/tests/rollouts/versions.rs
@@ -1,4 +1,4 @@
-//! Engines of two versions, an order for the newer one, and what the store tells of it.
+//! Engines of two versions, an order for the newer one, and its status in the store.
 
 use crate::support::caller::{self, request};
 use crate::support::engine::{Behaviour, StandInEngine};
@@ -10,7 +10,7 @@
 /// Bounds under which a rollout ends within seconds.
 pub const SHORT_ROLLOUT_BOUNDS: &str = "[bounds]\ncanary_share = 0.6\ncanary_slack = 400\n";
 
-/// Engines of the version that serves, and of the one that is ordered.
+/// Engines of the established version and of the ordered one.
 pub struct Versions {
     pub old: Vec<StandInEngine>,
     pub new: Vec<StandInEngine>,
@@ -68,12 +68,12 @@
 
 pub async fn wait_for_state(store: &StandInStore, node: &RunningGateway, wanted: &str) {
     while state(store).as_deref() != Some(wanted) {
-        // Asking the node lets its tasks run.
+        // A request to the node lets its tasks run.
         caller::get_status(node.readiness).await;
     }
 }
 
-/// Waits until a count of arrivals has grown by so many.
+/// Waits until `more` further requests have arrived at the engines.
 pub async fn wait_for_arrivals(node: &RunningGateway, engines: &[StandInEngine], more: usize) {
     let before = Versions::arrivals(engines);
     while Versions::arrivals(engines) < before + more {
@@ -85,7 +85,7 @@
     while caller::get_status(node.readiness).await != 200 {}
 }
 
-/// The status of an ended rollout to `v2`, as it is stored.
+/// The stored status of an ended rollout to `v2`.
 pub fn ended_status(state: &str, stage: &str) -> Value {
     let progress = format!(
         "rollout/1 rollout=3 epoch=9 duration_ms=6000 elapsed_ms=5000 requests=900 \
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: what is refused, and how clearly.
+//! Settings files that are refused, and their error messages.
 
 use ploverlift_gateway::settings::GatewaySettings;
 use std::path::Path;
