--- a/crates/gateway/src/rollouts/decider.rs
+++ b/crates/gateway/src/rollouts/decider.rs
@@ -79,7 +79,7 @@
     unread_orders: Vec<ServiceName>,
 }
 
-/// A decision that is not stored yet, with the order that it is based on.
+/// A decision with the order that it is based on.
 struct PendingDecision {
     order: RolloutOrder,
     decision: Decision,
@@ -145,7 +145,7 @@
             node: own.node,
             life: own.life,
         };
-        beliefs.rollouts.count_own(reporter);
+        beliefs.rollouts.merge_own_counts(reporter);
         let own_stage_confirmation = beliefs.rollouts.own_stage_confirmation(service, reporter);
         let rollout = beliefs.rollouts.of_service(service)?;
         let mut members = members_of(rollout, &listed, own.node);
@@ -246,13 +246,13 @@
         last_heard_at: None,
         confirmation: None,
     });
-    let heard = rollout.members.iter().map(|(id, member)| Member {
+    let reported = rollout.members.iter().map(|(id, member)| Member {
         node: *id,
         last_heard_at: Some(member.last_report_at).filter(|at| *at > Millis(0)),
         confirmation: member.confirmation,
     });
     silent
-        .chain(heard)
+        .chain(reported)
         .filter(|member| member.node != own)
         .collect()
 }
--- a/crates/gateway/src/rollouts/exchange.rs
+++ b/crates/gateway/src/rollouts/exchange.rs
@@ -106,7 +106,7 @@
 
 impl RolloutBeliefs {
     /// Merges this node's counts into those of the fleet.
-    pub fn count_own(&mut self, own: Reporter) {
+    pub fn merge_own_counts(&mut self, own: Reporter) {
         for rollout in self.services.values_mut() {
             if let Some(report) = rollout.own_report(own.node, own.life) {
                 rollout.merge_counts(&report);
@@ -156,7 +156,7 @@
 
     /// Counts and confirmations of this node's zone, for the relays of other zones.
     pub fn zone_report(&mut self, own: Reporter, now: Millis) -> RolloutReport {
-        self.count_own(own);
+        self.merge_own_counts(own);
         let mut report = RolloutReport::default();
         let rollouts = self.services.values_mut();
         for rollout in rollouts.filter(|rollout| rollout.is_open()) {
@@ -250,7 +250,7 @@
         if !(is_always_due || is_new || self.is_any_open()) {
             return None;
         }
-        self.count_own(own);
+        self.merge_own_counts(own);
         let open = self.services.values().filter(|rollout| rollout.is_open());
         let sums = open.filter_map(|rollout| {
             Some(ServiceCounts {
--- a/crates/gateway/tests/engines_proof.rs
+++ b/crates/gateway/tests/engines_proof.rs
@@ -87,8 +87,8 @@
         record("e-1", 4, STARTED_AT_MS),
         record("e-2", 5, STARTED_AT_MS),
     ];
-    let news = beliefs.replace_engines(relay_engines, 8, NOW);
-    assert!(news.is_empty());
+    let added = beliefs.replace_engines(relay_engines, 8, NOW);
+    assert!(added.is_empty());
     assert!(beliefs.engines.get(&instance("e-2")).is_none());
     // An engine recorded after the list is added, and so is one that this node reads itself.
     let since = vec![
--- a/crates/gateway/tests/rollout_reports/beliefs.rs
+++ b/crates/gateway/tests/rollout_reports/beliefs.rs
@@ -69,8 +69,8 @@
     let mut node = RolloutBeliefs::default();
     let catalogue = EngineCatalogue::default();
     node.note_orders_known(3, Some(NOW), &catalogue, NOW);
-    let news = node.apply_order(order(8), RolloutSettings::default(), NOW);
-    assert!(news.is_some_and(|news| news.stage.is_ok_and(|change| change.is_some())));
+    let update = node.apply_order(order(8), RolloutSettings::default(), NOW);
+    assert!(update.is_some_and(|update| update.stage.is_ok_and(|change| change.is_some())));
     for _ in 0..requests {
         node.note_request(&service(), &route("a"));
     }
--- a/crates/gateway/tests/rollout_reports/messages.rs
+++ b/crates/gateway/tests/rollout_reports/messages.rs
@@ -48,7 +48,7 @@
     let datagram = encode(&message);
     assert!(datagram.len() <= MAX_DATAGRAM_BYTES, "{}", datagram.len());
     assert_eq!(decode(&datagram).expect("a message"), Some(message));
-    let news = RolloutNews {
+    let broadcast = RolloutNews {
         known_through: 1 << 40,
         age_ms: 300,
         orders: vec![
@@ -60,7 +60,7 @@
         ],
         sums: vec![counts],
     };
-    assert_eq!(read_news(&news_message(&news)), news);
+    assert_eq!(read_news(&news_message(&broadcast)), broadcast);
     let states = [
         RolloutState::Running,
         RolloutState::Completed,
@@ -76,11 +76,11 @@
             status: Some(status),
             ..order(8)
         };
-        let news = RolloutNews {
+        let broadcast = RolloutNews {
             orders: vec![order],
             ..RolloutNews::default()
         };
-        assert_eq!(read_news(&news_message(&news)), news);
+        assert_eq!(read_news(&news_message(&broadcast)), broadcast);
     }
 }
 
--- a/crates/gateway/tests/rollout_reports/sums.rs
+++ b/crates/gateway/tests/rollout_reports/sums.rs
@@ -18,7 +18,7 @@
         relay.merge_node_report(reporter(10), &report, NOW);
         relay.merge_node_report(reporter(10), &report, NOW);
         let own = reporter(20 + index as u64);
-        relay.count_own(own);
+        relay.merge_own_counts(own);
     }
     // The relays of a zone receive each other's reports as nodes.
     let first = relays[0].own_report(reporter(20), 1);
@@ -30,7 +30,7 @@
         assert_eq!(zone.counts[0].counts.requests(), 8);
         far.merge_zone_report(ZoneTag(1), &zone, NOW);
     }
-    far.count_own(reporter(30));
+    far.merge_own_counts(reporter(30));
     let rollout = far.of_service(&service()).expect("a rollout");
     assert_eq!(rollout.fleet().sums().requests(), 11);
     // A delayed earlier report changes nothing; the counts of a later incarnation are added.
@@ -53,11 +53,11 @@
     let report = follower.own_report(reporter(10), 77);
     relay.merge_node_report(reporter(10), &report, NOW);
     follower.note_request(&service(), &route("a"));
-    let news = relay
+    let broadcast = relay
         .relay_broadcast(reporter(20), false, NOW)
         .expect("a broadcast");
     let catalogue = EngineCatalogue::default();
-    follower.apply_sums(&news, Some((77, NOW)), &catalogue, NOW);
+    follower.apply_sums(&broadcast, Some((77, NOW)), &catalogue, NOW);
     let rollout = follower.of_service(&service()).expect("a rollout");
     let known = rollout.known_sums(PeerId(10), 1, NOW);
     assert_eq!(known.sums.requests(), 4);
@@ -78,8 +78,8 @@
     assert_eq!(node.zone_report(reporter(1), NOW), RolloutReport::default());
     let later = NOW.plus(1_500);
     assert_eq!(node.relay_broadcast(reporter(1), false, later), None);
-    let news = node
+    let broadcast = node
         .relay_broadcast(reporter(1), true, later)
         .expect("a broadcast");
-    assert_eq!((news.known_through, news.orders.len()), (3, 0));
+    assert_eq!((broadcast.known_through, broadcast.orders.len()), (3, 0));
 }
--- a/crates/gateway/tests/rollouts/deciders.rs
+++ b/crates/gateway/tests/rollouts/deciders.rs
@@ -54,8 +54,8 @@
         let successor = NodeName(node.gateway.settings().node.name.clone());
         let era = StoreEra(lease["store_era"].as_u64().expect("an era"));
         let next = FencingToken::next(token, era, NodeNumber::of(&successor));
-        let taken = lease["lease"]["fencingToken"].as_u64().map(FencingToken);
-        assert_eq!(taken, next);
+        let successor_token = lease["lease"]["fencingToken"].as_u64().map(FencingToken);
+        assert_eq!(successor_token, next);
         traffic.stop().await;
     });
 }
