--- a/crates/gateway/src/rollouts/decider.rs
+++ b/crates/gateway/src/rollouts/decider.rs
@@ -6,9 +6,9 @@
 //! write. After a conflict, a refusal or a lost answer the order is read again before the
 //! next decision, so the node continues from what the store actually holds.
 
-use super::feed::{apply_order, read_order};
-use super::log_lines::{log_decision, reason_name};
+use super::feed::{read_order, update_known_order};
 use super::service::ServiceRollout;
+use super::stage_log::{log_decision, reason_name};
 use super::{exchange::Reporter, rollout_settings};
 use crate::leases::succession::{stands_for_leases, succession_ms, LAST_SUCCESSOR_MS};
 use crate::leases::{LeaseHolder, LeaseName};
@@ -218,7 +218,7 @@
 
     fn apply_object(&self, object: &StoreObject) {
         if let Some(order) = read_order(&self.gateway, object) {
-            apply_order(&self.gateway, order);
+            update_known_order(&self.gateway, order);
         }
     }
 
--- a/crates/gateway/src/rollouts/feed.rs
+++ b/crates/gateway/src/rollouts/feed.rs
@@ -1,6 +1,6 @@
 //! Follows the rollout orders in the object store: a list, then each change.
 
-use super::log_lines::log_order_updates;
+use super::stage_log::log_order_updates;
 use super::{rollout_settings, OrderUpdate};
 use crate::ports::{StoreKind, StoreObject, WatchEvent};
 use crate::state::Gateway;
@@ -102,7 +102,7 @@
         beliefs.rollouts.remove_order(&service, revision, now);
     }
     for order in orders {
-        apply_order(gateway, order);
+        update_known_order(gateway, order);
     }
     note_known_through(gateway, revision, sent);
 }
@@ -114,7 +114,7 @@
     }
     if !event.is_gone {
         if let Some(order) = read_order(gateway, &event.object) {
-            apply_order(gateway, order);
+            update_known_order(gateway, order);
         }
         return;
     }
@@ -156,7 +156,7 @@
 }
 
 /// Applies an order that was read from the store or whose status this node has just written.
-pub fn apply_order(gateway: &Gateway, order: RolloutOrder) {
+pub fn update_known_order(gateway: &Gateway, order: RolloutOrder) {
     let settings = rollout_settings(&gateway.settings());
     let now = gateway.clock.now();
     let update = gateway.beliefs().take_rollout_order(order, settings, now);
--- a/crates/gateway/src/rollouts/gates.rs
+++ b/crates/gateway/src/rollouts/gates.rs
@@ -1,6 +1,6 @@
 //! Advances this node's gates while a rollout is open.
 
-use super::log_lines::log_own_stop;
+use super::stage_log::log_own_stop;
 use crate::state::Gateway;
 use crate::time::{sleep, within};
 use std::sync::Arc;
--- a/crates/gateway/src/rollouts/mod.rs
+++ b/crates/gateway/src/rollouts/mod.rs
@@ -16,7 +16,7 @@
 //! | [`running`] | running requests by engine version |
 //! | [`exchange`] | rollout contents of reports between nodes |
 //! | [`decider`] | decides on rollouts while this node holds the rollout lease |
-//! | [`log_lines`] | log lines |
+//! | [`stage_log`] | log lines about orders and stages |
 
 pub mod choice;
 pub mod decider;
@@ -24,11 +24,11 @@
 pub mod feed;
 pub mod gates;
 pub mod held_back_versions;
-pub mod log_lines;
 pub mod orders;
 pub mod running;
 pub mod seat;
 pub mod service;
+pub mod stage_log;
 
 use crate::outcomes::ObservedAttempt;
 use crate::settings::GatewaySettings;
