--- a/crates/gateway/src/rollouts/choice.rs
+++ b/crates/gateway/src/rollouts/choice.rs
@@ -121,7 +121,7 @@
             route: RouteTag::of(&request.route.name),
             is_repeatable: request.route.delivery.is_repeatable(),
             prompt: request.prompt,
-            was_failed_by_target: tried_target(request, target, engines),
+            was_failed_by_target: has_tried_target(request, target, engines),
             is_retry: request.is_sent_before || !request.tried.is_empty(),
         };
         Some(rollout.gate()?.decide(&canary_request, &view, now))
@@ -160,7 +160,7 @@
     }
 }
 
-fn tried_target(
+fn has_tried_target(
     request: &VersionedRequest<'_>,
     target: &SoftwareVersion,
     engines: &EngineCatalogue,
--- a/crates/gateway/src/rollouts/exchange.rs
+++ b/crates/gateway/src/rollouts/exchange.rs
@@ -197,7 +197,7 @@
             member.is_in_own_zone = true;
         }
         for counted in &report.counts {
-            if let Some(rollout) = self.by_tag(counted.service) {
+            if let Some(rollout) = self.rollout_by_tag(counted.service) {
                 rollout.merge_counts(&CountReport {
                     rollout: counted.rollout,
                     node: from.node,
@@ -212,7 +212,7 @@
     /// Merges the report of a relay of another zone.
     pub fn merge_zone_report(&mut self, zone: ZoneTag, report: &RolloutReport, now: Millis) {
         for counted in &report.counts {
-            if let Some(rollout) = self.by_tag(counted.service) {
+            if let Some(rollout) = self.rollout_by_tag(counted.service) {
                 rollout.merge_zone_counts(&CountReport {
                     rollout: counted.rollout,
                     node: PeerId(u64::from(zone.0)),
@@ -226,7 +226,7 @@
 
     fn take_confirmations(&mut self, confirmations: &[NodeConfirmation], now: Millis) {
         for confirmed in confirmations {
-            let Some(rollout) = self.by_tag(confirmed.service) else {
+            let Some(rollout) = self.rollout_by_tag(confirmed.service) else {
                 continue;
             };
             let last_report_at = now.before(confirmed.age_ms);
@@ -299,13 +299,13 @@
             let own = self.own_reports.counts(sequence, counted.service);
             let own = own.filter(|own| own.rollout == counted.rollout);
             let own: Option<Counts> = own.map(|own| own.counts.clone());
-            if let Some(rollout) = self.by_tag(counted.service) {
+            if let Some(rollout) = self.rollout_by_tag(counted.service) {
                 rollout.apply_sums(counted.rollout, &counted.counts, own, now);
             }
         }
     }
 
-    fn by_tag(&mut self, tag: ServiceTag) -> Option<&mut ServiceRollout> {
+    fn rollout_by_tag(&mut self, tag: ServiceTag) -> Option<&mut ServiceRollout> {
         let mut services = self.services.values_mut();
         services.find(|rollout| rollout.tag() == tag)
     }
--- a/crates/gateway/src/rollouts/mod.rs
+++ b/crates/gateway/src/rollouts/mod.rs
@@ -242,7 +242,8 @@
         stopped.collect()
     }
 
-    /// Whether this node has known all orders, with a proven stage of each, since it started.
+    /// Whether this node has, at any time since it started, known all orders and a proven stage
+    /// of each.
     pub fn has_begun(&self) -> bool {
         self.has_begun
     }
--- a/crates/gateway/tests/rollout_reports/sums.rs
+++ b/crates/gateway/tests/rollout_reports/sums.rs
@@ -12,7 +12,7 @@
 fn each_request_is_counted_once_however_often_it_is_reported() {
     let mut member = node_with_requests(5);
     let mut relays = [node_with_requests(1), node_with_requests(2)];
-    let mut far = node_with_requests(3);
+    let mut remote_relay = node_with_requests(3);
     let report = member.own_report(reporter(10), 1);
     for (index, relay) in relays.iter_mut().enumerate() {
         relay.merge_node_report(reporter(10), &report, NOW);
@@ -28,14 +28,14 @@
     for (index, relay) in relays.iter_mut().enumerate() {
         let zone = relay.zone_report(reporter(20 + index as u64), NOW);
         assert_eq!(zone.counts[0].counts.requests(), 8);
-        far.merge_zone_report(ZoneTag(1), &zone, NOW);
+        remote_relay.merge_zone_report(ZoneTag(1), &zone, NOW);
     }
-    far.merge_own_counts(reporter(30));
-    let rollout = far.of_service(&service()).expect("a rollout");
+    remote_relay.merge_own_counts(reporter(30));
+    let rollout = remote_relay.of_service(&service()).expect("a rollout");
     assert_eq!(rollout.fleet().sums().requests(), 11);
     // A delayed earlier report changes nothing; the counts of a later incarnation are added.
-    far.merge_zone_report(ZoneTag(1), &report, NOW);
-    let rollout = far.of_service(&service()).expect("a rollout");
+    remote_relay.merge_zone_report(ZoneTag(1), &report, NOW);
+    let rollout = remote_relay.of_service(&service()).expect("a rollout");
     assert_eq!(rollout.fleet().sums().requests(), 11);
     let restarted = Reporter {
         node: PeerId(10),
--- a/crates/gateway/tests/rollout_reports/unplaced.rs
+++ b/crates/gateway/tests/rollout_reports/unplaced.rs
@@ -69,8 +69,8 @@
     let mut ordered = order(8);
     let status = progress(Stage::CuttingOver).status(&ordered);
     ordered.status = Some(status);
-    let given = node.apply_order(ordered.clone(), RolloutSettings::default(), NOW);
-    assert!(given.is_some());
+    let update = node.apply_order(ordered.clone(), RolloutSettings::default(), NOW);
+    assert!(update.is_some());
     let own = OwnSeat {
         node: PeerId(1),
         life: 1,
@@ -92,7 +92,7 @@
     assert_eq!(allowed(&node), [false, true]);
     ordered.duration_ms *= 2;
     ordered.revision += 1;
-    let given = node.apply_order(ordered, RolloutSettings::default(), NOW);
-    assert!(given.is_some());
+    let update = node.apply_order(ordered, RolloutSettings::default(), NOW);
+    assert!(update.is_some());
     assert_eq!(allowed(&node), [true, false]);
 }
--- a/crates/gateway/tests/rollouts/canary.rs
+++ b/crates/gateway/tests/rollouts/canary.rs
@@ -46,15 +46,15 @@
         let old = StandInEngine::of_software("old", "llm", "v1").await;
         let new = StandInEngine::of_software("new", "llm", "v2").await;
         let fixture = Fixture::with(&[&old], configuration(1), SHORT_ROLLOUT_BOUNDS).await;
-        let ask = |id: &str| prompt("resume.test", id);
-        assert_eq!(fixture.send(&ask("first")).await.status(), 200);
+        let prompt_with_id = |id: &str| prompt("resume.test", id);
+        assert_eq!(fixture.send(&prompt_with_id("first")).await.status(), 200);
         let order = json!({"service": "llm", "to": "v2", "ms": 60_000});
         fixture.store.put("Rollouts", "llm", order);
         fixture.store.put("Engines", "new", new.record());
         let mut sent = 0;
         while new.arrivals() == 0 {
             sent += 1;
-            let answer = fixture.send(&ask(&format!("r-{sent}"))).await;
+            let answer = fixture.send(&prompt_with_id(&format!("r-{sent}"))).await;
             assert_eq!(answer.status(), 200);
         }
         let fetched_from = new.heads()[0].headers.get(site::FETCH).map(str::to_owned);
--- a/crates/gateway/tests/rollouts/verdicts.rs
+++ b/crates/gateway/tests/rollouts/verdicts.rs
@@ -67,7 +67,7 @@
             .old
             .iter()
             .for_each(|engine| engine.set(Behaviour::Silent));
-        let lasting = caller::open(node.callers, &request("patient.test", "lasting")).await;
+        let long_request = caller::open(node.callers, &request("patient.test", "lasting")).await;
         while Versions::arrivals(&versions.old) == 0 {
             caller::get_status(node.readiness).await;
         }
@@ -96,7 +96,7 @@
             beliefs.rollouts.running.except(&service, &target)
         };
         assert_eq!(running(), 1);
-        drop(lasting);
+        drop(long_request);
         wait_for_state(&fixture.store, node, "completed").await;
         let (_, bad) = traffic.stop().await;
         assert_eq!(bad, 0);
