--- a/crates/gateway/src/rollouts/exchange.rs
+++ b/crates/gateway/src/rollouts/exchange.rs
@@ -268,7 +268,8 @@
         })
     }
 
-    /// Removes the orders that a relay's broadcast lacks.
+    /// Records the time of a relay's broadcast, and removes the orders that it lacks unless this
+    /// node knows later revisions.
     pub fn remove_missing(&mut self, news: &RolloutNews, now: Millis) {
         self.orders.note_relay_report(now);
         if self.orders.known_through() <= Some(news.known_through) {
