--- a/crates/gateway/src/callers/connection.rs
+++ b/crates/gateway/src/callers/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a caller: request after request.
+//! Serves the requests of one caller connection.
 
 use super::start_hold::{start_hold_ms, wait_for_site};
 use super::{IdleConnection, OpenConnection};
@@ -17,20 +17,19 @@
 use std::net::Shutdown;
 use std::sync::Arc;
 
-/// Rest of a kept connection after which a stopping node closes it, in
-/// milliseconds.
+/// Idle time after which a stopping node closes a kept connection, in milliseconds.
 const STOPPING_IDLE_MS: u64 = 1_500;
-/// Longest wait for a caller to read a refusal and close, in milliseconds.
+/// Longest wait for a caller to read the last answer and close, in milliseconds.
 const LINGER_MS: u64 = 300;
-/// Bytes that a caller may send ahead of the answer to its present request. Beyond
-/// them its connection ends after that answer.
+/// Bytes that a caller may pipeline before the answer to its current request. If it sends
+/// more, its connection is closed after that answer.
 const MAX_PIPELINED_BYTES: usize = 64 * 1024;
 
-/// How reading a head ended without a request.
+/// Why reading a head gave no request.
 enum NoRequest {
-    /// The connection ends without a word.
+    /// The connection has ended or is closed without an answer.
     Ended,
-    /// The caller is told why.
+    /// The caller gets a refusal.
     Refused(Refusal),
 }
 
@@ -59,7 +58,7 @@
     }
 }
 
-/// Waits for the next head, within the limits on its size and on time.
+/// Waits for the next head, within the limits on its size and time.
 async fn read_head(
     gateway: &Arc<Gateway>,
     connection: &mut BufferedStream,
@@ -74,17 +73,17 @@
     let refused = |kind, reason: &str| Err(NoRequest::Refused(Refusal::new(kind, reason)));
     match within(limits.head_timeout_ms, reading).await {
         Some(Ok(read)) => Ok(read),
-        None => refused(RefusalKind::RequestTimeout, "the head did not come in time"),
+        None => refused(RefusalKind::RequestTimeout, "the request head timed out"),
         Some(Err(HttpError::HeadTooLarge { .. })) => {
-            refused(RefusalKind::HeadTooLarge, "the head is over its limit")
+            refused(RefusalKind::HeadTooLarge, "the request head is too large")
         }
         Some(Err(HttpError::Malformed { reason })) => refused(RefusalKind::BadRequest, &reason),
         Some(Err(_)) => Err(NoRequest::Ended),
     }
 }
 
-/// Waits for the first byte of the next request. A stopping node waits shorter, and
-/// so does one that needs room for other callers.
+/// Waits for the first byte of the next request. The wait is shorter when the node is
+/// stopping, or needs the connection's slot for other callers.
 async fn wait_for_bytes(
     gateway: &Arc<Gateway>,
     connection: &mut BufferedStream,
@@ -140,7 +139,7 @@
     let deadline_ms = request.as_ref().ok().and_then(|known| known.deadline_ms);
     let limits = BodyLimits {
         max_bytes: limits.max_body_bytes,
-        // Nobody waits for the answer to a body that comes after the deadline.
+        // After the caller's deadline, nobody waits for the answer any more.
         timeout_ms: deadline_ms.map_or(limits.idle_timeout_ms, |deadline_ms| {
             deadline_ms.min(limits.idle_timeout_ms)
         }),
@@ -168,7 +167,7 @@
         Err((refusal, id)) => {
             log_refusal(gateway, &refusal, id.as_deref());
             if refusal.kind == RefusalKind::NotRun {
-                // The caller's next connection likely meets another node.
+                // The caller's next connection probably reaches another node.
                 answer.close_after();
             }
             refuse(gateway, &mut answer, &refusal, id.as_deref()).await
@@ -176,7 +175,8 @@
     }
 }
 
-/// Holds a request until this node knows its site; false when its caller has left.
+/// Holds a request until this node has loaded the data of its site; returns false when the
+/// caller has disconnected.
 async fn hold_until_site_known(
     gateway: &Gateway,
     connection: &mut BufferedStream,
@@ -238,7 +238,7 @@
         "configuration_age_ms" => age);
 }
 
-/// Answers, and gives up as soon as the caller closes its connection.
+/// Serves a request, and cancels it as soon as the caller closes its connection.
 async fn answer_watched(
     gateway: &Arc<Gateway>,
     connection: &mut BufferedStream,
@@ -251,8 +251,8 @@
         wait_for_caller_close(connection, &mut has_discarded).await;
         Err(io::ErrorKind::ConnectionAborted.into())
     };
-    // A caller that left while it was queued or its body was read is seen before
-    // anything is sent.
+    // Polled first: a caller that disconnected while its connection was queued or its body
+    // was being read is noticed before anything is sent.
     let after = futures_lite::future::or(watching, serving).await?;
     Ok(match after {
         AfterAnswer::Keep if has_discarded => AfterAnswer::Close,
@@ -260,9 +260,9 @@
     })
 }
 
-/// Waits until the caller closes its connection. What it sends ahead is kept for its
-/// next request up to a limit; beyond it everything is dropped, since only reading on
-/// shows the close.
+/// Waits until the caller closes its connection. Pipelined bytes are kept for the next
+/// request up to a limit. Beyond it all bytes are discarded, since the close is only
+/// noticed by reading on.
 async fn wait_for_caller_close(connection: &mut BufferedStream, has_discarded: &mut bool) {
     loop {
         match connection.fill().await {
@@ -273,7 +273,8 @@
         if count > MAX_PIPELINED_BYTES || *has_discarded {
             *has_discarded = true;
             connection.consume(count);
-            // A caller that sends faster than this reads would hold the thread for ever.
+            // Without this, a caller that sends faster than it is read would block the thread
+            // for ever.
             futures_lite::future::yield_now().await;
         }
     }
@@ -283,23 +284,23 @@
 #[derive(Clone, Copy, Debug)]
 struct BodyLimits {
     max_bytes: usize,
-    /// Longest time for all of it, in milliseconds.
+    /// Longest time for reading the whole body, in milliseconds.
     timeout_ms: u64,
-    /// Whether the caller waits to be asked for it.
+    /// Whether the caller waits for `100 Continue` before it sends the body.
     expects_continue: bool,
 }
 
 /// Reads a body within its limits.
 ///
 /// # Errors
-/// The refusal, or nothing when the caller broke off.
+/// The refusal, or `None` when the connection broke.
 async fn read_body(
     connection: &mut BufferedStream,
     decoder: &mut BodyDecoder,
     limits: BodyLimits,
 ) -> Result<Vec<u8>, Option<Refusal>> {
     let too_large = || {
-        let reason = format!("the body is over {} bytes", limits.max_bytes);
+        let reason = format!("the body is larger than {} bytes", limits.max_bytes);
         Some(Refusal::new(RefusalKind::BodyTooLarge, reason))
     };
     let declared = decoder.declared_length().unwrap_or(0);
@@ -325,7 +326,7 @@
     };
     let read = within(limits.timeout_ms, reading).await;
     let slow = || {
-        let reason = "the body did not come in time";
+        let reason = "the request body timed out";
         Err(Some(Refusal::new(RefusalKind::RequestTimeout, reason)))
     };
     read.unwrap_or_else(slow)?;
@@ -339,8 +340,8 @@
     }
 }
 
-/// Ends a connection after a whole answer. Closing with unread bytes would
-/// reset the connection, and the caller could lose the answer.
+/// Closes a connection after a complete answer. Unread bytes are drained first: closing
+/// with them would reset the connection, and the caller could lose the answer.
 async fn linger(connection: &mut BufferedStream) {
     let _ = connection.writer().shutdown(Shutdown::Write);
     let draining = async {
@@ -352,7 +353,8 @@
     within(LINGER_MS, draining).await;
 }
 
-/// Ends a connection inside an answer. Its framing shows that it is not whole.
+/// Closes a connection within an answer. The framing shows the caller that the answer is
+/// incomplete.
 fn abort(connection: &BufferedStream) {
     let _ = connection.writer().shutdown(Shutdown::Both);
 }
--- a/crates/gateway/src/callers/listener.rs
+++ b/crates/gateway/src/callers/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting callers.
+//! Accepts connections of callers.
 
 use super::{serve_connection, ConnectionLimits, OpenConnections};
 use crate::http_call::{notice_lost_peer, PeerLiveness};
@@ -11,24 +11,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections that the kernel holds until they are accepted. The default of
-/// 128 makes callers of a burst wait a second for their next try.
+/// Length of the kernel's queue of connections to accept. With the default of 128, callers
+/// of a burst wait one second for their next connection attempt.
 const ACCEPT_QUEUE: i32 = 1_024;
-/// Rest after which a connection may be closed to make room, in milliseconds.
+/// Idle time after which a connection may be closed for a new one, in milliseconds.
 const MIN_IDLE_MS: u64 = 500;
-/// Silence of a caller's connection after which the kernel asks whether it still is
-/// there, and time between two questions.
+/// Idle time of a caller's connection before the first TCP keepalive probe, and time between
+/// two probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
-/// Questions without an answer that end a caller's connection, where the kernel does not
-/// go by the time-out alone.
+/// Number of unanswered keepalive probes after which a caller's connection is closed, on
+/// kernels that do not use the time-out alone.
 const KEEPALIVE_PROBES: u32 = 3;
-/// Longest pause when no more connections can be had, in milliseconds.
+/// Longest pause while no more connections can be accepted, in milliseconds.
 const CAPACITY_WAIT_MS: u64 = 20;
 
-/// Binds a listener.
+/// Binds a non-blocking listener.
 ///
 /// # Errors
-/// When the address cannot be had.
+/// When the address can't be bound.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let listener = std::net::TcpListener::bind(address)?;
     SockRef::from(&listener).listen(ACCEPT_QUEUE)?;
@@ -36,7 +36,7 @@
     TcpListener::try_from(listener)
 }
 
-/// Accepts callers until the task is dropped.
+/// Accepts and serves connections of callers until the task is dropped.
 pub async fn accept_callers(gateway: Arc<Gateway>, listener: TcpListener) {
     let limits = ConnectionLimits {
         max_open: gateway.settings().callers.max_connections,
@@ -51,7 +51,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                // Out of descriptors: connections that end free some.
+                // Probably out of file descriptors: connections that end free some.
                 slog::warn!(gateway.log, "caller not accepted";
                     "open" => connections.count(), "error" => error.to_string());
                 wait_for_capacity(&gateway, &connections).await;
@@ -68,8 +68,8 @@
     }
 }
 
-/// When the kernel takes a caller to be gone. A caller waits silently while its engine
-/// works, and its link may be cut for longer than one between machines of the site.
+/// When the kernel considers a caller's connection dead. A caller is silent while its engine
+/// works, and its link may be down for longer than one between machines of the site.
 fn caller_liveness(peer_timeout_ms: u64) -> PeerLiveness {
     PeerLiveness {
         keepalive: KEEPALIVE_INTERVAL,
@@ -78,7 +78,7 @@
     }
 }
 
-/// Closes a resting connection and waits until one has ended, for a short time.
+/// Closes an idle connection, and waits for a short time until a connection has ended.
 async fn wait_for_capacity(gateway: &Gateway, connections: &Arc<OpenConnections>) {
     let ended = connections.ended.listen();
     if connections.close_longest_idle(gateway.clock.now()) {
--- a/crates/gateway/src/callers/open_connections.rs
+++ b/crates/gateway/src/callers/open_connections.rs
@@ -1,9 +1,8 @@
-//! Open connections of callers: how many there may be, and which of them rest.
+//! Open connections of callers: their limit, and which of them are idle.
 //!
-//! A connection that carries no request holds a descriptor, and may have fallen silent
-//! for good. At the limit the one that has rested longest is closed to make room, so
-//! that half-open connections never keep callers out. Connections with a request under
-//! way are left alone.
+//! An idle connection uses a file descriptor and may be half-open. At the limit, the
+//! connection that has been idle longest is closed for a new one, so that half-open
+//! connections never keep callers out. Connections with a request in progress stay open.
 
 use event_listener::{Event, EventListener};
 use ploverlift_policy::ids::Millis;
@@ -15,17 +14,17 @@
 pub struct ConnectionLimits {
     /// Connections that may be open at the same time.
     pub max_open: usize,
-    /// Rest after which a connection may be closed to make room, in milliseconds. A
+    /// Idle time after which a connection may be closed for a new one, in milliseconds. A
     /// caller that has just connected is about to send its request.
     pub min_idle_ms: u64,
 }
 
-/// Counts connections.
+/// The open connections of a listener.
 #[derive(Debug)]
 pub struct OpenConnections {
     limits: ConnectionLimits,
     state: Mutex<State>,
-    /// Told whenever a connection has ended.
+    /// Notified whenever a connection has ended.
     pub ended: Event,
 }
 
@@ -33,7 +32,7 @@
 struct State {
     open: usize,
     next_idle_number: u64,
-    /// Resting connections; the one that has rested longest is first.
+    /// Idle connections by number; the one that became idle first has the lowest number.
     idle: BTreeMap<u64, IdleEntry>,
 }
 
@@ -44,7 +43,7 @@
 }
 
 impl OpenConnections {
-    /// No connections yet.
+    /// Creates the state without connections.
     pub fn new(limits: ConnectionLimits) -> Arc<Self> {
         Arc::new(Self {
             limits,
@@ -58,7 +57,7 @@
         state.unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub fn count(&self) -> usize {
         self.state().open
     }
@@ -68,7 +67,7 @@
         self.count() < self.limits.max_open
     }
 
-    /// Counts a connection until the guard is dropped.
+    /// Counts a connection as open until the guard is dropped.
     pub fn open(self: &Arc<Self>) -> OpenConnection {
         self.state().open += 1;
         OpenConnection {
@@ -76,8 +75,8 @@
         }
     }
 
-    /// Asks the connection that has rested longest to close; false when none has rested
-    /// long enough.
+    /// Requests the connection that has been idle longest to close; returns false when none has
+    /// been idle long enough.
     pub fn close_longest_idle(&self, now: Millis) -> bool {
         let mut state = self.state();
         let oldest = state.idle.first_entry();
@@ -91,14 +90,14 @@
     }
 }
 
-/// One open connection.
+/// Guard of one open connection.
 #[derive(Debug)]
 pub struct OpenConnection {
     connections: Arc<OpenConnections>,
 }
 
 impl OpenConnection {
-    /// The connection carries no request until the rest is dropped.
+    /// Marks the connection as idle until the returned guard is dropped.
     pub fn mark_idle(&self, now: Millis) -> IdleConnection {
         let close = Arc::new(Event::new());
         let closing = close.listen();
@@ -121,7 +120,7 @@
     }
 }
 
-/// A connection that carries no request.
+/// Guard of a connection that has no request in progress.
 pub struct IdleConnection {
     connections: Arc<OpenConnections>,
     number: u64,
@@ -129,7 +128,7 @@
 }
 
 impl IdleConnection {
-    /// Waits until the connection has to make room.
+    /// Waits until the connection should close for a new one.
     pub async fn wait_for_close_request(&mut self) {
         (&mut self.closing).await;
     }
--- a/crates/gateway/src/callers/start_hold.rs
+++ b/crates/gateway/src/callers/start_hold.rs
@@ -1,19 +1,19 @@
-//! Requests that reach a node in its first moments.
+//! Holds requests that reach a node right after its start.
 //!
-//! A node that has just started knows its site within some tenths of a second. When
-//! many nodes are restarted at once, callers that are sent away meanwhile come back to
-//! other nodes that know no more, and later than they would have been served. So their
-//! requests wait for the configuration, for a time that is short beside what they have.
+//! A node loads the data of its site within some tenths of a second after its start. When
+//! many nodes restart at once, callers that are refused meanwhile retry at other nodes that
+//! have no data either, and are served later than if they had waited. So requests wait for
+//! the configuration, for a time that is short compared with their deadline.
 
 use crate::readiness::knows_site;
 use crate::state::Gateway;
 use crate::time::within;
 
-/// Part of a caller's deadline for which its request may wait: most of it is for the
-/// engine, or for another try.
+/// A request waits at most for its caller's deadline divided by this: most of the time is
+/// reserved for the engine or for a retry.
 const DEADLINE_DIVISOR: u64 = 4;
 
-/// Time for which a request may wait now, in milliseconds; nothing where it need not.
+/// Time for which a request may wait now, in milliseconds; `None` when it need not wait.
 pub(super) fn start_hold_ms(gateway: &Gateway, deadline_ms: Option<u64>) -> Option<u64> {
     let age_ms = gateway.clock.now().since(gateway.started_at);
     let left_ms = gateway
@@ -28,7 +28,8 @@
     Some(left_ms.min(longest_ms))
 }
 
-/// Waits until this node knows its site, for so long at most.
+/// Waits until this node has loaded the data of its site, for at most `longest_ms`
+/// milliseconds.
 pub(super) async fn wait_for_site(gateway: &Gateway, longest_ms: u64) {
     let knowing = async {
         loop {
--- a/crates/gateway/src/forward/admission.rs
+++ b/crates/gateway/src/forward/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request may run at all, and on whose terms.
+//! Admission: finds a request's route and tenant and checks the tenant's rate limit.
 
 use crate::beliefs::ActiveConfiguration;
 use crate::peers::roles::membership;
@@ -11,26 +11,28 @@
 use ploverlift_routing::tenants::TenantTerms;
 use std::sync::Arc;
 
-/// Time to come back to a node that cannot prove its configuration, in
-/// milliseconds; the caller's next connection likely meets another node.
+/// Retry time that a node gives while it is stopping or can't confirm its configuration or
+/// its usage data, in milliseconds. It is short because the caller's next connection
+/// probably reaches another node.
 const STALE_RETRY_AFTER_MS: u64 = 500;
 
-/// A request that may run.
+/// The result of admitting a request.
 pub struct Admission {
-    /// The configuration that admitted it.
+    /// The configuration under which the request was admitted.
     pub configuration: Arc<ActiveConfiguration>,
-    /// Its route.
+    /// The request's route.
     pub route: Arc<Route>,
-    /// The service that takes it.
+    /// The service that serves it.
     pub service: ServiceName,
-    /// The tenant that holds its key.
+    /// The tenant that owns its key; `None` on public routes without a known key, and without
+    /// tenants in the configuration.
     pub tenant: Option<Arc<TenantTerms>>,
-    /// What it counts against the tenant's limit; nothing where there is none.
+    /// Reservation from the tenant's rate limit; `None` when the tenant has no limit.
     pub reservation: Option<Reservation>,
 }
 
 impl Admission {
-    /// Rank of the request: the tenant's goes before the route's.
+    /// Priority of the request: the tenant's, else the route's.
     pub fn priority(&self) -> u8 {
         let tenant = self.tenant.as_ref();
         tenant
@@ -39,13 +41,13 @@
     }
 }
 
-/// Finds the route and the tenant of a request, and counts it against the tenant's
-/// limit.
+/// Finds the route and the tenant of a request, and reserves its cost from the tenant's
+/// rate limit.
 ///
 /// # Errors
-/// 503 while the configuration is unknown or may be outdated, or where this node
-/// cannot tell what the tenant has used; 404 without a route; 401 without a known key;
-/// 429 over the limit.
+/// 503 while this node is stopping, while its configuration is unknown or may be outdated,
+/// or when the tenant's usage at other nodes is unknown; 404 without a route; 401 without a
+/// known key; 429 over the limit.
 pub fn admit(gateway: &Arc<Gateway>, request: &CallerRequest) -> Result<Admission, Refusal> {
     if gateway.is_refusing() {
         return Err(refuse_not_run("this node is stopping; ask another"));
@@ -80,7 +82,7 @@
     })
 }
 
-/// Counts a request against its tenant's limit.
+/// Reserves a request's cost from its tenant's rate limit.
 fn reserve(
     gateway: &Arc<Gateway>,
     tenant: &TenantTerms,
--- a/crates/gateway/src/forward/answer_head.rs
+++ b/crates/gateway/src/forward/answer_head.rs
@@ -1,4 +1,4 @@
-//! What follows from the head of an engine's answer.
+//! Processing of the head of an engine's answer.
 
 use super::attempt::AttemptEnd;
 use super::broken::Broken;
@@ -11,12 +11,13 @@
 use ploverlift_balancing::health::Outcome;
 use std::io;
 
-/// Time that an engine is taken to load after it refused, in milliseconds.
+/// Time for which an engine counts as loading after a refusal that names no backoff, in
+/// milliseconds.
 const REFUSED_LOADING_MS: u64 = 120;
 
 impl Forwarding {
-    /// Learns from the head of an answer and hands the answer on, or tells what the head says
-    /// against that.
+    /// Records the signals in the head of an answer, then forwards the answer or returns why it
+    /// is not forwarded.
     pub(super) async fn process_answer(
         &mut self,
         answer: EngineAnswer,
@@ -84,7 +85,7 @@
                 return AttemptEnd::OtherWeights;
             }
         }
-        // One that names a time to back off is left out for as long.
+        // An engine that names a backoff is left out for that time instead.
         if !matches!(signals.backoff_ms, Signal::Value(_)) {
             let until = now.plus(REFUSED_LOADING_MS);
             beliefs.engines.note_loading(&chosen.instance, until);
@@ -93,9 +94,10 @@
     }
 }
 
-/// The weights of an engine that refused because it has others than expected. One
-/// that does not say which has loaded meanwhile, and loads are of the newest; if
-/// it is not that either, its weights are unknown (0) until it tells.
+/// Weights version of an engine that refused a request because its weights are not the
+/// expected ones. An engine that does not name its version is assumed to have loaded the
+/// newest meanwhile, since only the newest is ever loaded. If the newest was the expected
+/// one, its version is unknown (0) until the engine reports it.
 fn weights_after_refusal(
     refused: &RefusedByEngine,
     held: Option<u64>,
--- a/crates/gateway/src/forward/attempt.rs
+++ b/crates/gateway/src/forward/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt: choosing an engine, sending the request, judging the answer.
+//! One attempt: sends the request to the chosen engine, processes its answer and records
+//! the outcome.
 
 use super::broken::{BreakCause, Broken};
 use super::choice::ChosenEngine;
@@ -11,45 +12,46 @@
 use ploverlift_policy::ids::Millis;
 use std::io;
 
-/// Silence that is borne for a prompt, as a multiple of the time to read it. A
-/// long prompt that is sent to a second engine too early is read twice.
+/// Time added to the time-out of an attempt for the prefill, as a multiple of the expected
+/// prefill time. If a long prompt is sent to a second engine too early, it is prefilled
+/// twice.
 const PREFILL_TIMEOUT_FACTOR: f64 = 2.0;
 
 /// How an attempt ended.
 pub(super) enum AttemptEnd {
-    /// The caller has its answer.
+    /// The answer to the caller has ended, completely or broken off.
     Done {
         /// What becomes of the caller's connection.
         after: AfterAnswer,
-        /// For the log.
+        /// Outcome for the request's log line.
         outcome: &'static str,
     },
-    /// No connection came about; nothing was sent.
+    /// The connection could not be established; nothing was sent.
     Unreachable {
-        /// What happened.
+        /// Why the connection failed.
         reason: String,
-        /// Whether that speaks against the engine, and not against this node.
+        /// Whether the engine caused the failure, as opposed to this node.
         is_engines_fault: bool,
     },
-    /// The engine began to leave, or was gone, while a connection to it came about;
+    /// The engine began to leave or was removed while the connection was being established;
     /// nothing was sent.
     EngineLeft,
-    /// What was known when the engine was chosen does not hold any more, or an engine ended
-    /// under this request meanwhile; nothing was sent.
+    /// The choice of the engine is no longer valid, or an engine ended meanwhile while it ran
+    /// this request; nothing was sent.
     Withheld,
-    /// The engine did not run it.
+    /// The engine refused the request and did not run it.
     Refused,
-    /// The engine did not run it: its weights are not those expected. They are
-    /// known now.
+    /// The engine refused the request and did not run it: its weights are not the expected
+    /// ones. The version of its weights has been recorded.
     OtherWeights,
-    /// The engine ran it and failed.
+    /// The engine ran the request and failed.
     Failed {
-        /// The engine's answer.
+        /// Head of the engine's answer.
         head: ResponseHead,
-        /// Its body.
+        /// Body of the engine's answer.
         body: Vec<u8>,
     },
-    /// It may have run and there is no whole answer.
+    /// The request may have run, and there is no complete answer.
     Broken(Broken),
 }
 
@@ -68,10 +70,10 @@
 }
 
 impl Forwarding {
-    /// Sends the request to an engine and hands its answer on.
+    /// Sends the request to an engine and forwards its answer to the caller.
     ///
     /// # Errors
-    /// When the caller is gone.
+    /// When writing to the caller fails.
     pub(super) async fn attempt(&mut self, chosen: ChosenEngine) -> io::Result<AttemptEnd> {
         let tokens = chosen.tokens_to_prefill;
         let subject = AttemptSubject {
@@ -113,7 +115,7 @@
         Ok(end)
     }
 
-    /// An attempt broke; its engine may have ended.
+    /// Records a broken attempt. If the connection ended, the engine itself may have ended.
     pub(super) fn note_broken_attempt(
         &self,
         broken: &Broken,
@@ -125,8 +127,8 @@
         }
     }
 
-    /// The engine ended the connection: what ran there is remembered while this node
-    /// finds out whether the engine has ended.
+    /// Records that the engine closed or reset the connection. The request is remembered until
+    /// this node has determined whether the engine itself has ended.
     pub(super) fn note_cut_request(&self, chosen: &ChosenEngine, begun: Millis, streamed_ms: u64) {
         let cut = CutRequest {
             fingerprint: self.received.fingerprint,
@@ -156,8 +158,8 @@
         }
     }
 
-    /// Notes an attempt without an answer. That a request had less time than engines
-    /// usually take says nothing about its engine.
+    /// Records an attempt without an answer. If the request had less time left than engines
+    /// usually take, the outcome is not held against the engine.
     fn note_unanswered(&self, in_flight: &InFlight, end: &AttemptEnd) {
         let settings = self.gateway.settings();
         let waited_ms = in_flight.age_ms();
@@ -183,7 +185,8 @@
         }
     }
 
-    /// Silence after which another engine is tried; nothing when none may be.
+    /// Time without an answer after which another engine is tried, in milliseconds; `None` when
+    /// this is the last attempt.
     pub(super) fn attempt_timeout_ms(&self) -> Option<u64> {
         if self.progress.attempts.is_last_attempt() {
             return None;
@@ -191,7 +194,8 @@
         Some(self.answer_timeout_ms())
     }
 
-    /// Silence after which an engine that may still answer is taken to have failed.
+    /// Time without an answer after which the attempt counts as failed, in milliseconds,
+    /// although the engine may still answer.
     fn answer_timeout_ms(&self) -> u64 {
         let objective_ms = self.received.admission.route.objective_ms as f64;
         let settings = self.gateway.settings();
@@ -199,7 +203,7 @@
         (usual_ms + self.prefill_ms() * PREFILL_TIMEOUT_FACTOR) as u64
     }
 
-    /// Time that an engine takes to read the prompt, in milliseconds.
+    /// Expected time of an engine for the prefill of the prompt, in milliseconds.
     fn prefill_ms(&self) -> f64 {
         let prompt = self.received.request.prompt.as_ref();
         let tokens = prompt.map_or(0, |prompt| prompt.tokens());
--- a/crates/gateway/src/forward/broken.rs
+++ b/crates/gateway/src/forward/broken.rs
@@ -1,20 +1,20 @@
-//! How an attempt broke that was sent and has no whole answer.
+//! Attempts whose request was sent and that got no complete answer.
 
 use crate::engine_connection::FailureReason;
 use ploverlift_http1::HttpError;
 
-/// What broke an attempt.
+/// Why an attempt broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BreakCause {
-    /// The engine closed or reset the connection: it may have ended.
+    /// The engine closed or reset the connection; the engine itself may have ended.
     ConnectionEnded,
-    /// The request's time was up.
+    /// The request's deadline or its route's time-out has passed.
     TimeIsUp,
-    /// The wait was given up, or the answer is none.
+    /// The wait was given up, or the answer is invalid.
     Other,
 }
 
-/// An attempt that was sent and has no whole answer.
+/// A request was sent and got no complete answer.
 #[derive(Clone, Debug)]
 pub(super) struct Broken {
     pub(super) reason: String,
@@ -22,7 +22,7 @@
 }
 
 impl Broken {
-    /// A wait that was given up, or an answer that is none.
+    /// The wait was given up, or the answer is invalid.
     pub(super) fn other(reason: impl Into<String>) -> Self {
         Self {
             reason: reason.into(),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Silence for too long.
+    /// Nothing arrived in time. `time_is_up` when the request itself has no time left.
     pub(super) fn timed_out(reason: &str, time_is_up: bool) -> Self {
         Self {
             reason: reason.to_owned(),
@@ -41,12 +41,13 @@
         }
     }
 
-    /// What an error inside an answer says.
+    /// An error occurred after the head of the answer.
     pub(super) fn in_answer(error: &HttpError) -> Self {
         Self::caused_by(&FailureReason::of(error), false)
     }
 
-    /// What kept the head of an answer from coming.
+    /// The exchange with the engine failed for a reason. `time_is_up` when the request itself
+    /// has no time left.
     pub(super) fn caused_by(reason: &FailureReason, time_is_up: bool) -> Self {
         let text = reason.to_string();
         match reason {
--- a/crates/gateway/src/forward/buffered_answer.rs
+++ b/crates/gateway/src/forward/buffered_answer.rs
@@ -1,4 +1,4 @@
-//! Answers that are read whole before the caller gets any of them.
+//! Answers that are read completely before any part is sent to the caller.
 
 use super::attempt::AttemptEnd;
 use super::broken::Broken;
@@ -13,8 +13,8 @@
 use std::io;
 use std::pin::pin;
 
-/// Largest answer that is held; a larger one is passed on piece by piece, and
-/// breaks off at the caller when it breaks off at the engine.
+/// Largest answer that is buffered, in bytes. A larger one is forwarded piece by piece, and
+/// the caller's answer breaks off when the engine's does.
 const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
 /// How reading an answer ended.
@@ -25,7 +25,7 @@
 }
 
 impl Forwarding {
-    /// Passes a success on once it is whole.
+    /// Forwards a successful answer once it is complete.
     pub(super) async fn forward_buffered(
         &mut self,
         mut answer: EngineAnswer,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Reads an engine's own failure.
+    /// Reads an answer that reports a failure of the engine or rejects the request.
     pub(super) async fn read_failure(
         &mut self,
         mut answer: EngineAnswer,
@@ -59,7 +59,8 @@
     ) -> io::Result<AttemptEnd> {
         match self.read_buffered(&mut answer, None).await {
             ReadEnd::Whole(body) | ReadEnd::TooLarge(body) => {
-                // A status that promises "not run" is no answer of an engine that ran it.
+                // A status that promises "not run" is not valid from an engine that ran the
+                // request.
                 let is_engines_fault =
                     answer.head.status >= 500 || promises_not_run(answer.head.status);
                 in_flight.note_outcome(match is_engines_fault {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Reads until the answer is whole, or its engine is known to be lost.
+    /// Reads until the answer is complete, or its engine is known to be lost.
     async fn read_watched(&self, answer: &mut EngineAnswer, chosen: &ChosenEngine) -> ReadEnd {
         let watch = self.watch_engine(&chosen.instance);
         let reading = pin!(self.read_buffered(answer, Some(&watch)));
@@ -116,7 +117,7 @@
             Some(Ok(false)) => ReadEnd::TooLarge(body),
             Some(Err(error)) => ReadEnd::Broken(Broken::in_answer(&error)),
             None => {
-                let reason = "the answer was not whole in time";
+                let reason = "the answer was not complete in time";
                 ReadEnd::Broken(Broken::timed_out(reason, !self.has_time()))
             }
         }
@@ -159,7 +160,7 @@
     }
 }
 
-/// The head of an engine's answer as the caller gets it.
+/// Head of an engine's answer without the headers that concern only its connection.
 pub(super) fn forwarded_head(answer: &EngineAnswer) -> ploverlift_http1::ResponseHead {
     let mut head = answer.head.clone();
     head.headers.remove_connection_headers();
--- a/crates/gateway/src/forward/caller_answer.rs
+++ b/crates/gateway/src/forward/caller_answer.rs
@@ -1,4 +1,4 @@
-//! Writing an answer to a caller.
+//! Writes an answer to a caller.
 
 use crate::time::within;
 use ploverlift_http1::ResponseHead;
@@ -10,16 +10,16 @@
 /// What becomes of the caller's connection after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterAnswer {
-    /// The next request may follow.
+    /// The connection stays open for the next request.
     Keep,
-    /// The answer is whole and the connection ends.
+    /// The answer is complete and the connection is closed.
     Close,
-    /// The answer is not whole: the connection must end at once, so that the
-    /// caller sees it broken.
+    /// The answer is incomplete: the connection must be closed at once, so that the caller
+    /// detects this.
     Abort,
 }
 
-/// Writes one answer.
+/// Writer for one answer.
 pub struct CallerAnswer {
     stream: TcpStream,
     keep_open: bool,
@@ -28,9 +28,8 @@
 }
 
 impl CallerAnswer {
-    /// An answer of which nothing was written. `keep` tells whether the
-    /// connection may be kept after it; a caller that takes no byte for `stalled_ms`
-    /// milliseconds is gone.
+    /// Creates a writer. `keep_open` is whether the connection may stay open after the answer.
+    /// A caller that accepts no byte for `stalled_ms` milliseconds counts as gone.
     pub fn new(stream: TcpStream, keep_open: bool, stalled_ms: u64) -> Self {
         Self {
             stream,
@@ -40,20 +39,20 @@
         }
     }
 
-    /// Whether any byte was written.
+    /// Whether writing has started.
     pub fn has_started(&self) -> bool {
         self.has_started
     }
 
-    /// Ends the connection after this answer.
+    /// Closes the connection after this answer.
     pub fn close_after(&mut self) {
         self.keep_open = false;
     }
 
-    /// Writes a whole answer.
+    /// Writes a complete answer.
     ///
     /// # Errors
-    /// When the caller is gone.
+    /// When writing to the caller fails.
     pub async fn send_complete(
         &mut self,
         mut head: ResponseHead,
@@ -67,10 +66,10 @@
         Ok(self.after())
     }
 
-    /// Writes the head of a streamed answer and its first bytes.
+    /// Writes the head of a chunked answer and its first bytes.
     ///
     /// # Errors
-    /// When the caller is gone.
+    /// When writing to the caller fails.
     pub async fn start_stream(&mut self, mut head: ResponseHead, first: &[u8]) -> io::Result<()> {
         head.headers.remove("Content-Length");
         head.headers.set("Transfer-Encoding", "chunked");
@@ -80,27 +79,27 @@
         self.write(&message).await
     }
 
-    /// Writes more bytes of a streamed answer.
+    /// Writes more bytes of a chunked answer.
     ///
     /// # Errors
-    /// When the caller is gone.
+    /// When writing to the caller fails.
     pub async fn write_chunk(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mut message = Vec::with_capacity(bytes.len() + 16);
         append_chunk(&mut message, bytes);
         self.write(&message).await
     }
 
-    /// Ends a streamed answer as whole.
+    /// Writes the end of a complete chunked answer.
     ///
     /// # Errors
-    /// When the caller is gone.
+    /// When writing to the caller fails.
     pub async fn finish_stream(&mut self) -> io::Result<AfterAnswer> {
         self.write(b"0\r\n\r\n").await?;
         Ok(self.after())
     }
 
-    /// Writes all of it. A connection that fell silent takes no byte and is never
-    /// reset: without a bound it would hold its engine's place for good.
+    /// Writes all bytes. Each write is limited in time: a silently dead connection accepts no
+    /// byte and is never reset, so the request would occupy a slot of its engine for ever.
     async fn write(&mut self, mut bytes: &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
             let written = within(self.stalled_ms, self.stream.write(bytes)).await;
--- a/crates/gateway/src/forward/choice.rs
+++ b/crates/gateway/src/forward/choice.rs
@@ -1,4 +1,4 @@
-//! Choosing an engine, and how a prompt uses KV cache there.
+//! Choice of an engine, and of the KV cache transfers for a prompt there.
 
 use super::running_request::RunningRequest;
 use super::Forwarding;
@@ -26,51 +26,53 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Bytes that a link of one megabit a second moves in a millisecond.
+/// Bytes that a link of one megabit per second transfers in a millisecond.
 const BYTES_PER_MEGABIT_PER_MS: f64 = 125.0;
 
-/// An engine that was chosen, and how the request uses KV cache there.
+/// The chosen engine, and the request's KV cache transfers there.
 pub(super) struct ChosenEngine {
     pub(super) instance: InstanceId,
     pub(super) tag: EngineTag,
     pub(super) address: SocketAddr,
     pub(super) software: SoftwareVersion,
-    /// What the gate of the service's rollout said; nothing where there is none.
+    /// Decision of the gate of the service's rollout; `None` without a rollout.
     pub(super) gate: Option<GateReason>,
-    /// What the attempt is in an open rollout.
+    /// How the attempt counts in a running rollout.
     pub(super) arrival: Option<Arrival>,
-    /// Counts the attempt as running.
+    /// Guard that counts the attempt as running on its software version.
     pub(super) running: Option<RunningRequest>,
-    /// The version of weights that is relied on; nothing when it is not known.
+    /// The version of weights that the engine is expected to have; `None` when it is unknown.
     pub(super) weights: Option<u64>,
-    /// Time for which requests may yet begin on it, as known at the choice, in
-    /// milliseconds.
+    /// Time for which requests may still start on these weights, as known when the engine was
+    /// chosen, in milliseconds.
     pub(super) may_begin_ms: Option<u64>,
-    /// Nothing for requests to plain services.
+    /// KV cache transfers; `None` for requests without a prompt.
     pub(super) cache: Option<CacheTransfer>,
-    /// Prompt tokens that it is expected to read.
+    /// Prompt tokens that the engine is expected to prefill.
     pub(super) tokens_to_prefill: u64,
-    /// Shared tokens that it is believed to keep itself.
+    /// Shared prompt tokens that the engine is expected to have in its own cache.
     pub(super) locally_cached_tokens: u64,
     pub(super) cost: Cost,
-    /// Time of the move from the source, in milliseconds.
+    /// Time of the KV cache transfer from its source, in milliseconds.
     pub(super) move_ms: f64,
-    /// How far it is from this node.
+    /// Distance between the engine and this node.
     pub(super) distance: Distance,
     pub(super) candidates: usize,
-    /// Age of the loads of other nodes, in milliseconds.
+    /// Age of the load reports of other nodes, in milliseconds.
     pub(super) loads_age_ms: Option<u64>,
-    /// Age of what this node knew of the engines, in milliseconds.
+    /// Age of this node's data on the engines, in milliseconds.
     pub(super) engines_age_ms: Option<u64>,
-    /// When it was chosen.
+    /// When the engine was chosen.
     pub(super) chosen_at: Millis,
-    /// Whether it had said in an answer that it leaves: no other one was left.
+    /// Whether the engine had announced in an answer that it leaves. Such an engine is chosen
+    /// only when no other one is available.
     pub(super) leaves: bool,
-    /// Who told it, or "kept" for an engine whose record is gone.
+    /// Source of this node's data on the engines, or "kept" for an engine whose record has been
+    /// removed.
     pub(super) engines_source: &'static str,
 }
 
-/// A prompt at the engine that was chosen for it.
+/// A prompt and the engine that was chosen for it.
 struct PlacedPrompt<'a> {
     prompt: &'a Prompt,
     weights: u64,
@@ -80,7 +82,7 @@
 }
 
 impl Forwarding {
-    /// Chooses an engine among those that were not tried.
+    /// Chooses an engine among those that have not been tried.
     pub(super) fn choose(&mut self) -> Result<ChosenEngine, NoChoice> {
         let now = self.gateway.clock.now();
         let mut rates = self.gateway.cost_rates();
@@ -105,14 +107,14 @@
         if let Some(arrival) = &chosen.arrival {
             gateway.metrics.count_arrival(&service.0, arrival);
         }
-        // Counted under the lock under which it was allowed: whoever says that nothing
-        // runs on a version has then seen it.
+        // Counted under the same lock under which the software version was permitted, so that
+        // a report that nothing runs on a version can't miss this attempt.
         let running = RunningRequest::begin(&gateway, &mut beliefs, service, &software);
         chosen.running = Some(running);
         Ok(chosen)
     }
 
-    /// Which engines may serve the request by their software.
+    /// Determines which engines may serve the request by their software version.
     fn software_choice(
         &self,
         beliefs: &Beliefs,
@@ -120,7 +122,7 @@
         now: Millis,
     ) -> Result<SoftwareChoice, NoChoice> {
         let admission = &self.received.admission;
-        // Only the gate of a rollout asks for the prompt's key.
+        // Only the gate of a rollout needs the prompt's key.
         let prompt = own.and(self.received.request.prompt.as_ref());
         let request = VersionedRequest {
             service: &admission.service,
@@ -134,8 +136,8 @@
         choice.ok_or(NoChoice::SoftwareHeldBack)
     }
 
-    /// The cheapest engine of the versions that may serve; where the canary has none,
-    /// an established one.
+    /// Chooses the cheapest engine of the software versions that may serve. When the canary
+    /// version has no suitable engine, an established version is used.
     fn choose_with_software(
         &self,
         beliefs: &Beliefs,
@@ -173,7 +175,7 @@
         cache_scope(self.received.admission.tenant.as_deref())
     }
 
-    /// What a prompt asks of its engine; nothing for requests without one.
+    /// Criteria that a prompt sets for its engine; `None` for requests without a prompt.
     fn prompt_criteria(
         &self,
         beliefs: &Beliefs,
@@ -197,8 +199,8 @@
         }))
     }
 
-    /// Tokens of KV cache that a link moves in a millisecond; unlimited where the
-    /// configuration does not tell.
+    /// Tokens of KV cache that a link transfers in a millisecond; infinite when the
+    /// configuration does not give the bandwidth or the size of a token.
     fn move_tokens_per_ms(&self, link_mbps: Option<f64>) -> f64 {
         let admission = &self.received.admission;
         let services = &admission.configuration.document.services;
@@ -216,7 +218,8 @@
         services.get(&admission.service)?.cache_link_mbps
     }
 
-    /// The KV cache stores that answer.
+    /// The KV cache stores that answer; none for requests without a prompt, or when the
+    /// settings disable stores.
     fn stores_in_use<'a>(&'a self, beliefs: &'a Beliefs) -> Vec<(&'a CacheStore, &'a KnownStore)> {
         let is_used = self.gateway.settings().cache.use_store;
         let is_model = self.received.request.prompt.is_some();
@@ -290,10 +293,12 @@
         chosen
     }
 
-    /// How the request uses KV cache at its engine: it fetches shared parts from the
-    /// source of the choice, and saves them where that is worth its room.
+    /// Plans the request's KV cache transfers: the engine fetches shared parts from the source
+    /// that was found when it was chosen, and saves them when they are worth the space in the
+    /// store.
     fn plan_cache_transfer(&self, beliefs: &Beliefs, placed: PlacedPrompt<'_>) -> CacheTransfer {
-        // Without known weights nothing may be shared with any other request.
+        // With unknown weights, KV cache must not be shared with any other request: the
+        // request's own id as salt keeps it apart.
         if placed.weights == 0 {
             return CacheTransfer {
                 salt: self.received.request.id.clone(),
@@ -310,7 +315,7 @@
         let is_unobserved =
             saving.is_some_and(|(_, belief)| belief.state() == CacheStoreState::Unobserved);
         let fetch_from = match placed.source {
-            // What the store keeps is not known.
+            // The contents of the store are unknown, so fetching from it is tried.
             _ if is_unobserved && placed.hit_tokens == 0 => saving.map(|(store, _)| store.address),
             Some(CacheSource::Engine(instance)) => {
                 let source = beliefs.engines.get(instance);
@@ -329,7 +334,7 @@
     }
 }
 
-/// Whether a prompt is worth its room in the store that would save it.
+/// Whether a prompt is worth the space that it takes in the store that would save it.
 fn should_save_prompt(
     prompt: &Prompt,
     salt: &str,
--- a/crates/gateway/src/forward/engine_data_hold.rs
+++ b/crates/gateway/src/forward/engine_data_hold.rs
@@ -1,23 +1,22 @@
-//! Requests that come while this node's knowledge of the engines is too old.
+//! Holds requests while this node's data on the engines is too old.
 //!
-//! The store is being read then, and answers within some milliseconds where it can be
-//! reached. A request that does not wait for that may go to an engine that has left: the
-//! engine ends in the midst of it. Where the store is away for all there is nothing to
-//! wait for.
+//! The store is being read at that time, and answers within some milliseconds if it can be
+//! reached. A request that does not wait may be sent to an engine that has left, and the
+//! engine ends while it runs it. When the store is down for all nodes, requests do not wait.
 
 use super::Forwarding;
 use crate::reliance::{reliance, Reliance};
 use crate::time::within;
 
-/// Longest wait of a request, in milliseconds: a call of a well store takes 4 ms, and
-/// 250 ms over a link that is full.
+/// Longest wait of a request, in milliseconds. A call to a healthy store takes 4 ms, and
+/// 250 ms over a saturated link.
 const MAX_HOLD_MS: u64 = 300;
-/// Part of the time that a request has left for which it waits at most.
+/// A request waits at most for its remaining time divided by this.
 const HOLD_DIVISOR: u64 = 4;
 
 impl Forwarding {
-    /// Waits shortly while it is not known which engines leave; false when this node is
-    /// known to lack what others know, and should not send the request.
+    /// Waits briefly while the data on the engines is too old. Returns false when other nodes
+    /// have newer data than this one, so that it should not send the request.
     pub(super) async fn may_rely_on_engines(&mut self) -> bool {
         let began = self.gateway.clock.now();
         let before = reliance(&self.gateway, began);
--- a/crates/gateway/src/forward/engine_notices.rs
+++ b/crates/gateway/src/forward/engine_notices.rs
@@ -1,22 +1,24 @@
-//! Whether the engine of a request still wants it, by its record and by what it said in
-//! answers, and when callers may come back where none does.
+//! Whether an engine still accepts a request, according to its record and its notices of
+//! leaving and backoff in answers, and when callers may retry if no engine does.
 
 use super::choice::ChosenEngine;
 use super::Forwarding;
 
-/// Part of the site's bound on leaving engines for which the last ones of a service serve
-/// on: some end when the bound is over, and requests must be done by then.
+/// When all engines of a service leave, they are used for the site's bound on leaving
+/// engines divided by this. Some engines end when the bound is over, and requests must be
+/// finished by then.
 const GRACE_DIVISOR: u64 = 2;
-/// Part of the time until the first backoff ends within which callers come back.
+/// Retries of callers are spread over the time until the first backoff ends, divided by
+/// this.
 const RETRY_SPREAD_DIVISOR: u64 = 4;
-/// Shortest time within which they do, in milliseconds.
+/// Shortest time over which retries are spread, in milliseconds.
 const MIN_RETRY_SPREAD_MS: u64 = 20;
-/// Longest time within which they do, in milliseconds.
+/// Longest time over which retries are spread, in milliseconds.
 const MAX_RETRY_SPREAD_MS: u64 = 500;
 
 impl Forwarding {
-    /// Whether the engine is still one that requests go to, right before the bytes go:
-    /// connecting takes up to a quarter of a second.
+    /// Whether requests may still be sent to the engine. Checked right before the bytes are
+    /// sent, since connecting takes up to a quarter of a second.
     pub(super) fn is_still_eligible(&self, chosen: &ChosenEngine) -> bool {
         let now = self.gateway.clock.now();
         let beliefs = self.gateway.beliefs();
@@ -31,9 +33,9 @@
             .is_none_or(|notice| chosen.leaves && now.since(notice.since) < self.leaving_grace_ms())
     }
 
-    /// Time for which engines that say that they leave may serve the request where no other
-    /// ones are left, in milliseconds. They may end under a request: one that may run only
-    /// once is not sent to them.
+    /// Time for which engines that have announced their leaving may still get the request when
+    /// no others are available, in milliseconds. They may end while they run it, so the time is
+    /// 0 for requests that may run only once.
     pub(super) fn leaving_grace_ms(&self) -> u64 {
         let delivery = &self.received.admission.route.delivery;
         match delivery.is_repeatable() {
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Whether no backoff from the engine is running.
+    /// Whether the engine has no backoff in force.
     pub(super) fn has_no_backoff(&self, chosen: &ChosenEngine) -> bool {
         let now = self.gateway.clock.now();
         let beliefs = self.gateway.beliefs();
@@ -50,8 +52,9 @@
         engine.is_none_or(|engine| beliefs.engines.backoff(engine, now).is_none())
     }
 
-    /// When the caller of a request that no engine has run may come back, in milliseconds:
-    /// once the first backoff of the service's engines ends, each at a moment of its own.
+    /// Retry time for the caller of a request that no engine has run, in milliseconds. While
+    /// all engines of the service are in backoff, it is the time until the first backoff ends,
+    /// plus a random part that spreads the retries.
     pub(super) fn retry_after_ms(&self) -> u64 {
         let usual_ms = self.gateway.settings().attempts.retry_after_ms;
         let Some(wait_ms) = self.shortest_backoff_ms() else {
@@ -62,8 +65,8 @@
         wait_ms + fastrand::u64(..=spread_ms)
     }
 
-    /// Time until the first backoff of the service's engines ends; nothing while an engine
-    /// has none.
+    /// Time until the first backoff of the service's engines ends, in milliseconds; `None` while
+    /// an engine that is not leaving has none.
     fn shortest_backoff_ms(&self) -> Option<u64> {
         let now = self.gateway.clock.now();
         let service = &self.received.admission.service;
--- a/crates/gateway/src/forward/engine_tokens.rs
+++ b/crates/gateway/src/forward/engine_tokens.rs
@@ -1,8 +1,8 @@
-//! The rate limit of the engine that a request is sent to: the token that each sending takes.
+//! Tokens for engines with a rate limit: each send to such an engine spends one.
 //!
-//! It is acquired right before the request goes to its engine, on a new connection or a
-//! kept one, for each sending. A request does not wait for a token: where its engine has
-//! none another one is chosen, and where none has any it is rejected at once.
+//! A token is acquired right before each send, on a new connection or a kept one. Requests
+//! do not wait for tokens: when the chosen engine has none, another engine is chosen, and
+//! when no engine has one, the request is rejected at once.
 
 use super::choice::ChosenEngine;
 use super::load_shedding::Unservable;
@@ -18,20 +18,21 @@
 use ploverlift_policy::ids::Millis;
 use std::sync::Arc;
 
-/// Time for which a token may be used, in milliseconds: a connection comes about sooner. One
-/// that is older would count in another span than the one in which it was granted.
+/// Time for which a token may be used, in milliseconds. A connection is established sooner.
+/// An older token would count in another time span than the one in which it was granted.
 const TOKEN_VALIDITY_MS: u64 = 1_000;
-/// Engines that a request asks for one by one; then it asks for any.
+/// Number of denials after which a request asks for a token of any engine instead of that of
+/// the chosen one.
 const DENIALS_BEFORE_ANY: u32 = 3;
-/// Engines that it asks for in all before it is rejected.
+/// Number of denials after which a request is rejected.
 const MAX_DENIALS: u32 = 6;
-/// Groups of a large service that are asked for any engine.
+/// Number of engine groups of a large service that are asked for a token of any engine.
 const MAX_GROUPS_ASKED: usize = 2;
-/// Shortest time to come back, in milliseconds.
+/// Shortest retry time, in milliseconds.
 const MIN_RETRY_AFTER_MS: u64 = 20;
 
-/// A token: one request may be sent to an engine. It goes back to its holder when it is dropped
-/// unused.
+/// The right to send one request to an engine. An unused token is returned to the limit
+/// holder when it is dropped.
 pub(super) struct EngineToken {
     gateway: Arc<Gateway>,
     engine: EngineTag,
@@ -59,13 +60,13 @@
 }
 
 impl Forwarding {
-    /// Acquires a token for a request to the engine that was chosen, where it needs one; false
-    /// when there is none now.
+    /// Acquires a token of the chosen engine, if the engine has a limit; returns false when no
+    /// token is available now.
     pub(super) async fn acquire_token(&mut self, chosen: &ChosenEngine) -> bool {
         if self.holds_token_of(chosen) {
             return true;
         }
-        // One of another engine goes back.
+        // A token of another engine is returned.
         self.token = None;
         let group = {
             let beliefs = self.gateway.beliefs();
@@ -91,12 +92,12 @@
         })
     }
 
-    /// Whether the engine's limit allows the request, right before its bytes are sent.
+    /// Whether the engine's limit permits the request, checked right before it is sent.
     pub(super) fn has_valid_token(&self, chosen: &ChosenEngine) -> bool {
         self.holds_token_of(chosen) || !self.is_limited(chosen)
     }
 
-    /// The request is about to be sent.
+    /// Spends the token; called right before the request is sent.
     pub(super) fn use_token(&mut self) {
         if let Some(mut token) = self.token.take() {
             token.is_used = true;
@@ -106,14 +107,14 @@
         }
     }
 
-    /// Whether too many limited engines had no token for it: then it goes to an engine
-    /// without a limit, or to any that its holder names.
+    /// Whether too many limited engines had no token for the request. It is then sent to an
+    /// engine without a limit, or to the one that a limit holder selects.
     pub(super) fn avoids_limited(&self) -> bool {
         self.progress.denials >= DENIALS_BEFORE_ANY && self.token.is_none()
     }
 
-    /// Acquires a token of any limited engine of the service but those that were tried;
-    /// otherwise tells when the caller may come back.
+    /// Acquires a token of any limited engine of the service that has not been tried; otherwise
+    /// returns when the caller may retry.
     pub(super) async fn acquire_any_token(&mut self) -> Result<(), Unservable> {
         let groups = self.groups_to_ask();
         if self.progress.denials >= MAX_DENIALS {
@@ -137,7 +138,7 @@
         Err(self.reject_for_limits(&groups))
     }
 
-    /// No engine of these groups has a token for the request.
+    /// Rejects the request because no engine of these groups has a token for it.
     fn reject_for_limits(&self, groups: &[GroupTag]) -> Unservable {
         self.gateway.metrics.rejected_for_limits.inc();
         let now = self.gateway.clock.now();
@@ -222,7 +223,7 @@
         if is_taken_over {
             slog::warn!(gateway.log, "engine limits taken over";
                 "group" => format!("{:08x}", request.group.0),
-                "reason" => "their holder does not answer");
+                "reason" => "the limit holder does not answer");
             gateway.engine_signals_changed.notify(usize::MAX);
         }
     }
--- a/crates/gateway/src/forward/engine_watch.rs
+++ b/crates/gateway/src/forward/engine_watch.rs
@@ -1,9 +1,9 @@
-//! What ends a request's wait for an engine that does not answer any more.
+//! Ends a request's wait for an engine that is known to be lost.
 //!
-//! Silence alone proves nothing: an engine may read a long prompt. That it takes no
-//! connection, checked several times, is a reason to ask another one. For a request that
-//! may not run again it is a reason to tell the caller only when this node's link is not
-//! at fault: an answer may be on its way.
+//! Silence alone proves nothing: the engine may be at the prefill of a long prompt. Several
+//! failed connections to it are a reason to try another engine. A request that must not run
+//! again is failed only when a fault of this node's link is ruled out, since an answer may
+//! still arrive.
 
 use super::Forwarding;
 use crate::state::Gateway;
@@ -13,24 +13,26 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// A request that was sent to an engine.
+/// Watches the engine of one attempt.
 pub(super) struct EngineWatch {
     gateway: Arc<Gateway>,
     instance: InstanceId,
-    /// When the engine gave its last sign of life, in milliseconds of the clock: its
-    /// connection came about, or bytes of its answer arrived.
+    /// Time of the engine's last sign of life, in milliseconds of the clock: the start of the
+    /// watch (its connection has been established, or its answer has started), or the arrival
+    /// of bytes of its answer.
     last_activity: AtomicU64,
     may_run_again: bool,
 }
 
 impl EngineWatch {
-    /// Bytes of the answer arrived: only what fails from now on speaks against the engine.
+    /// Records that bytes of the answer arrived: only connections that fail from now on count
+    /// against the engine.
     pub(super) fn record_activity(&self) {
         let now = self.gateway.clock.now();
         self.last_activity.store(now.0, Ordering::Relaxed);
     }
 
-    /// Does the work; nothing when the engine is known to be lost before it is done.
+    /// Runs `work`; returns `None` when the engine is known to be lost before `work` is done.
     pub(super) async fn unless_lost<T>(&self, work: impl Future<Output = T>) -> Option<T> {
         let working = async { Some(work.await) };
         let losing = async {
@@ -63,7 +65,7 @@
 }
 
 impl Forwarding {
-    /// Watches the engine of an attempt that is being sent now.
+    /// Starts to watch the engine of an attempt; now counts as its last sign of life.
     pub(super) fn watch_engine(&self, instance: &InstanceId) -> EngineWatch {
         EngineWatch {
             gateway: Arc::clone(&self.gateway),
--- a/crates/gateway/src/forward/events.rs
+++ b/crates/gateway/src/forward/events.rs
@@ -1,27 +1,27 @@
-//! Cutting an event stream (`text/event-stream`) into whole events.
+//! Splits an event stream (`text/event-stream`) into complete events.
 
-/// Field that names an event.
+/// Field with the id of an event.
 const ID_FIELD: &[u8] = b"id:";
 
-/// One whole event, as the engine sent it, with the empty line that ends it.
+/// One complete event as the engine sent it, including the empty line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WholeEvent {
-    /// The bytes.
+    /// The bytes of the event.
     pub bytes: Vec<u8>,
-    /// The event's id.
+    /// The event's id, if it has one.
     pub id: Option<String>,
 }
 
-/// Collects bytes until an event is whole. What an engine sent of an event that
-/// it did not end is never passed on: another engine sends that event anew.
+/// Collects bytes until an event is complete. An incomplete event of a broken stream is
+/// never forwarded, since another engine sends that event again.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    /// Bytes of an event that is not whole yet.
+    /// Bytes that have not been split off as events yet.
     pub pending: Vec<u8>,
 }
 
 impl EventSplitter {
-    /// The next whole event among the pending bytes.
+    /// Splits off the first complete event of the pending bytes.
     pub fn next_event(&mut self) -> Option<WholeEvent> {
         let length = event_length(&self.pending)?;
         let rest = self.pending.split_off(length);
@@ -31,7 +31,7 @@
     }
 }
 
-/// Length of the first event with the empty line that ends it.
+/// Length of the first event including the empty line that ends it.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, byte) in bytes.iter().enumerate() {
@@ -54,7 +54,8 @@
     Some(String::from_utf8_lossy(id).trim().to_owned())
 }
 
-/// Whether an event comes after another one in the order of their ids.
+/// Whether an event follows another one by their ids. Ids that are not both numbers have no
+/// order: any other id counts as following.
 pub fn is_after(id: &str, last: &str) -> bool {
     match (id.parse::<u64>(), last.parse::<u64>()) {
         (Ok(id), Ok(last)) => id > last,
--- a/crates/gateway/src/forward/final_answer.rs
+++ b/crates/gateway/src/forward/final_answer.rs
@@ -1,7 +1,8 @@
-//! What a caller is told of a request that no engine has answered well.
+//! The final answer to a request that no engine has answered successfully.
 //!
-//! The only place where "has not run and will not" is said of a request that went to
-//! engines. It follows from all that was sent, never from how the last attempt ended.
+//! This is the only place that reports "has not run and will not" for a request that was
+//! sent to engines. The report follows from all sends, never from the end of the last
+//! attempt alone.
 
 use super::Progress;
 use crate::ports::{Refusal, RefusalKind};
@@ -14,20 +15,21 @@
     pub(super) body: Vec<u8>,
 }
 
-/// What the caller gets.
+/// The final answer to the caller.
 pub(super) enum FinalAnswer {
-    /// The failure of an engine, as it came.
+    /// The failure answer of an engine, unchanged.
     EngineFailure(EngineFailure),
-    /// The node's own word.
+    /// A refusal by this node.
     Refusal(Refusal),
 }
 
 impl FinalAnswer {
-    /// What follows from the attempts at a request.
+    /// Derives the final answer from the attempts of a request.
     pub(super) fn of(progress: &mut Progress, default_retry_after_ms: u64) -> Self {
         let failure = progress.engine_failure.take();
-        // An engine that ran it can't promise the contrary by its status, and an answer
-        // in its name must have that status: the node speaks for itself instead.
+        // The status would promise "not run" although the engine ran the request, and an
+        // answer in the engine's name can't have another status: the node refuses in its own
+        // name instead.
         let failure = failure.filter(|failure| !promises_not_run(failure.head.status));
         if let Some(failure) = failure {
             return Self::EngineFailure(failure);
@@ -47,7 +49,7 @@
         })
     }
 
-    /// The outcome, for the request's log line.
+    /// Outcome for the request's log line.
     pub(super) fn outcome(&self) -> &'static str {
         match self {
             Self::EngineFailure(_) => "engine_failure",
--- a/crates/gateway/src/forward/in_flight.rs
+++ b/crates/gateway/src/forward/in_flight.rs
@@ -1,4 +1,4 @@
-//! Counts a request at an engine for as long as it is there.
+//! Counts a request as load of its engine for as long as the attempt lasts.
 
 use super::load_shedding::EngineWait;
 use crate::outcomes::ObservedAttempt;
@@ -10,35 +10,35 @@
 use ploverlift_routing::software::SoftwareVersion;
 use std::sync::Arc;
 
-/// Which request is at which engine.
+/// The request and the engine of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptSubject {
     /// The service.
     pub service: ServiceName,
-    /// Name of the route.
+    /// The name of the request's route.
     pub route: String,
     /// The engine.
     pub instance: InstanceId,
     /// The version of its software.
     pub software: SoftwareVersion,
-    /// Whether another engine was tried before.
+    /// Whether the request was tried at an engine before.
     pub is_repeat: bool,
 }
 
-/// A request at an engine. Dropping it takes the request off the engine's
-/// load, also when the caller left in the middle.
+/// A request that is being served by an engine. Dropping it removes the request from the
+/// engine's load, also when the caller disconnects.
 pub struct InFlight {
     gateway: Arc<Gateway>,
     subject: AttemptSubject,
     pending_prompt_tokens: u64,
     start_time: Millis,
     first_byte_ms: Option<u64>,
-    /// The wait for the first byte, for requests to models.
+    /// The wait for the first byte, for requests with a prompt.
     pub(super) wait: Option<EngineWait>,
 }
 
 impl InFlight {
-    /// Counts a request with so many prompt tokens.
+    /// Counts a request with `prompt_tokens` tokens to prefill.
     pub fn begin(gateway: &Arc<Gateway>, subject: AttemptSubject, prompt_tokens: u64) -> Self {
         let now = gateway.clock.now();
         let mut beliefs = gateway.beliefs();
@@ -56,7 +56,8 @@
         }
     }
 
-    /// The engine has begun to answer; tells after how many milliseconds.
+    /// Records the first byte of the answer's content; returns the time from the start of the
+    /// attempt until then, in milliseconds.
     pub fn note_first_byte(&mut self) -> u64 {
         let tokens = std::mem::take(&mut self.pending_prompt_tokens);
         self.gateway
@@ -67,25 +68,25 @@
         *self.first_byte_ms.get_or_insert(first_byte_ms)
     }
 
-    /// Time from the first byte of the answer's content until now, in milliseconds; 0 when
-    /// none came.
+    /// Time from the first byte of the answer's content until now, in milliseconds; 0 before
+    /// that byte.
     pub fn streamed_ms(&self) -> u64 {
         let age_ms = self.age_ms();
         self.first_byte_ms
             .map_or(0, |first| age_ms.saturating_sub(first))
     }
 
-    /// When it was sent.
+    /// When the attempt started.
     pub fn start_time(&self) -> Millis {
         self.start_time
     }
 
-    /// Time since the request was sent, in milliseconds.
+    /// Time since the start of the attempt, in milliseconds.
     pub fn age_ms(&self) -> u64 {
         self.gateway.clock.now().since(self.start_time)
     }
 
-    /// Notes how the request went.
+    /// Records the outcome of the attempt.
     pub fn note_outcome(&self, outcome: Outcome) {
         let now = self.gateway.clock.now();
         let subject = self.subject.clone();
--- a/crates/gateway/src/forward/limits.rs
+++ b/crates/gateway/src/forward/limits.rs
@@ -1,21 +1,21 @@
-//! The time that a request has.
+//! Time limits of a request.
 
 use crate::state::Gateway;
 use ploverlift_policy::ids::Millis;
 
-/// Moments at which a request must be over.
+/// Times by which a request must be finished.
 #[derive(Clone, Copy, Debug)]
 pub struct TimeLimits {
-    /// When its head was whole.
+    /// When its head had been read.
     pub received: Millis,
-    /// When its caller gives up.
+    /// The caller's deadline, if the request has one.
     pub deadline: Option<Millis>,
-    /// When its route's time-out is reached.
+    /// When the time-out of its route expires.
     pub timeout: Millis,
 }
 
 impl TimeLimits {
-    /// Limits of a request that was received then.
+    /// Creates the limits of a request from its times in milliseconds after `received`.
     pub fn new(received: Millis, deadline_ms: Option<u64>, timeout_ms: u64) -> Self {
         Self {
             received,
--- a/crates/gateway/src/forward/load_shedding.rs
+++ b/crates/gateway/src/forward/load_shedding.rs
@@ -1,9 +1,9 @@
-//! Whether a request is sent at all, by what it can expect at the engines.
+//! Load shedding: refuses requests that engines can't answer in time.
 //!
-//! What cannot be answered within its time at any engine is refused at once. While the
-//! engines are overloaded, a part of the others is refused too (see `balancing::overload`), so that
-//! the rest is answered in time. Never while engines have room, and never a stream that
-//! its caller takes up again.
+//! A request that no engine can answer within its time is refused at once. While the engines
+//! are overloaded, a share of the other requests is refused as well (see
+//! `balancing::overload`), so that the rest is answered in time. No request is refused while
+//! engines have spare slots, and a resumed stream never is.
 
 use super::choice::ChosenEngine;
 use super::Forwarding;
@@ -15,22 +15,23 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-/// Part of the expected time to the first byte that must lie beyond the request's time
-/// for it to be hopeless: loads of other nodes are some tenths of a second old.
+/// A request is refused when its remaining time is shorter than this part of the expected
+/// time to the first byte. The margin is needed because the load reports of other nodes are
+/// some tenths of a second old.
 const CERTAINTY_FACTOR: f64 = 0.7;
-/// Shortest time to come back, in milliseconds.
+/// Shortest retry time during overload, in milliseconds.
 const MIN_RETRY_MS: u64 = 100;
 
-/// Why a request is not sent.
+/// Why a request is refused before it is sent.
 pub(super) struct Unservable {
     pub(super) reason: String,
-    /// When it could be served, in milliseconds.
+    /// Time after which the caller may retry, in milliseconds.
     pub(super) retry_after_ms: u64,
 }
 
 impl Forwarding {
-    /// Whether the request should be refused before it is sent to the engine that is
-    /// best for it.
+    /// Checks whether the request should be refused instead of being sent to the best engine
+    /// for it; `None` when it may be sent.
     pub(super) fn check_servable(&self, chosen: &ChosenEngine) -> Option<Unservable> {
         let is_resumed = self.received.request.resume_after.is_some();
         if self.received.request.prompt.is_none() || is_resumed {
@@ -45,7 +46,7 @@
             return None;
         }
         let SlotOccupancy { requests, slots } = occupancy;
-        let _ = write!(unservable.reason, "; {requests} requests at {slots} places");
+        let _ = write!(unservable.reason, "; {requests} requests in {slots} slots");
         Some(unservable)
     }
 
@@ -101,7 +102,7 @@
         })
     }
 
-    /// The request's rank among the routes of its service.
+    /// Urgency of the request compared with the routes of its service.
     pub(super) fn urgency(&self) -> Urgency {
         let admission = &self.received.admission;
         let targets_service = |route: &&Route| {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Requests and places of the engines of the service that are up.
+    /// Requests and slots of the available engines of the service.
     fn slot_occupancy(&self) -> SlotOccupancy {
         let now = self.gateway.clock.now();
         let beliefs = self.gateway.beliefs();
@@ -139,7 +140,7 @@
         occupancy
     }
 
-    /// Counts a request that is being sent as one that waits for its first byte.
+    /// Counts a request as waiting for its first byte; `None` for requests without a prompt.
     pub(super) fn begin_wait(&self, chosen: &ChosenEngine) -> Option<EngineWait> {
         self.received.request.prompt.as_ref()?;
         let service = self.received.admission.service.clone();
@@ -158,7 +159,7 @@
     }
 }
 
-/// A request that waits for its first byte, until it is dropped.
+/// A request that waits for its first byte. Dropping it ends the wait.
 pub(super) struct EngineWait {
     gateway: Arc<Gateway>,
     service: ServiceName,
@@ -168,7 +169,7 @@
 }
 
 impl EngineWait {
-    /// The first byte came after so long.
+    /// Records that the first byte arrived after `first_byte_ms` milliseconds.
     pub(super) fn record_wait(self, first_byte_ms: u64) {
         let now = self.gateway.clock.now();
         let waited_ms = first_byte_ms as f64 - self.prefill_and_transfer_ms;
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -1,16 +1,16 @@
-//! One request, from its head to the end of its answer.
+//! Forwarding of one request, from its admission to the end of its answer.
 //!
 //! ```text
-//! admission ─▶ attempt ─▶ whole answer ─▶ caller
+//! admission ─▶ attempt ─▶ buffered answer ─▶ caller
 //!     │          │  ▲  └▶ event stream ─▶
-//!     │          └──┘ another engine, while that is true, allowed and in budget
+//!     │          └──┘ retry at another engine, while permitted and within the budget
 //!     └▶ refusal
 //! ```
 //!
-//! What may be said of a request and whether it may be sent again follows from all that
-//! was sent ([`AttemptLedger`]): 503 ("has not run and will not") only when no byte can
-//! have reached an engine, or each engine said that it did not run it
-//! ([`final_answer`]).
+//! The final status and whether a request may be retried follow from all sends of it
+//! ([`AttemptLedger`]), not only from the last attempt. It is answered with 503 ("has not
+//! run and will not") only when no byte can have reached an engine, or when each engine
+//! that was tried reported that it did not run it ([`final_answer`]).
 
 mod admission;
 mod answer_head;
@@ -56,21 +56,21 @@
 use std::io;
 use std::sync::Arc;
 
-/// A request whose head and body were read.
+/// A request whose head and body have been read.
 pub struct ReceivedRequest {
-    /// What the head says.
+    /// The parsed head.
     pub request: CallerRequest,
     /// The body.
     pub body: Vec<u8>,
-    /// Why it may run.
+    /// The result of admission: route, service, tenant and reservation.
     pub admission: Admission,
-    /// The time it has.
+    /// Its deadline and its route's time-out.
     pub limits: TimeLimits,
-    /// What is the same in each repeat of it.
+    /// Identifies the request: equal for all copies and retries of it.
     pub fingerprint: RequestFingerprint,
 }
 
-/// What the attempts so far have left for the final answer.
+/// Results of the attempts so far, from which the final answer is made.
 struct Progress {
     attempts: AttemptLedger,
     last_event: Option<String>,
@@ -78,13 +78,13 @@
     retry_after_ms: Option<u64>,
     time_is_up: bool,
     reason: String,
-    /// Whether rollouts have counted it.
+    /// Whether the request has been counted for rollouts.
     is_counted: bool,
-    /// Whether a repeat was taken from the budget and not made yet.
+    /// Whether a retry was taken from the retry budget and has not been sent yet.
     has_taken_retry: bool,
-    /// Whether it has waited for a copy of it that runs elsewhere.
+    /// Whether the request has used up its wait for a copy of it that runs elsewhere.
     has_waited: bool,
-    /// Engines that had no token for it.
+    /// Number of token requests for it that were denied.
     denials: u32,
 }
 
@@ -95,16 +95,16 @@
     answer: CallerAnswer,
     progress: Progress,
     record: RequestRecord,
-    /// This node's claim on a request under which an engine ended.
+    /// This node's claim to send a request during which an engine ended.
     claim: Option<RequestClaim>,
     /// The token for an engine that has a rate limit.
     token: Option<EngineToken>,
 }
 
-/// Answers a request.
+/// Forwards a request to an engine and writes the answer to the caller.
 ///
 /// # Errors
-/// When the caller is gone.
+/// When writing to the caller fails.
 pub async fn serve(
     gateway: Arc<Gateway>,
     received: ReceivedRequest,
@@ -151,7 +151,7 @@
             .record_request(now);
         loop {
             if !self.has_time() {
-                "its time was up before it could be sent".clone_into(&mut self.progress.reason);
+                "time ran out before the request was sent".clone_into(&mut self.progress.reason);
                 return self.give_up().await;
             }
             if !self.may_accept_key() {
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Whether the request is refused before anything was tried.
+    /// Checks before the first attempt only whether the request can be served.
     fn check_first_attempt(&self, chosen: &ChosenEngine) -> Option<Unservable> {
         match self.progress.attempts.tried().is_empty() {
             true => self.check_servable(chosen),
@@ -238,14 +238,14 @@
             NoChoice::SoftwareHeldBack => "no engine has a version that may serve",
             NoChoice::WeightsTooOld => "no engine has the new weights yet",
             NoChoice::WeightsNotProven => "it is not proven which weights are the newest",
-            NoChoice::BackingOff => "this node backs off from all engines",
-            NoChoice::RateLimited => "the engine that takes a request may not serve it",
+            NoChoice::BackingOff => "all engines of the service are in backoff",
+            NoChoice::RateLimited => "the engine that granted a token may not serve the request",
             NoChoice::AllTried => return,
         };
         reason.clone_into(&mut self.progress.reason);
     }
 
-    /// Takes in how an attempt ended; tells whether another one may follow.
+    /// Records the end of an attempt; returns whether another attempt may follow.
     fn conclude_attempt(&mut self, end: AttemptEnd, instance: InstanceId) -> bool {
         let progress = &mut self.progress;
         let outcome = match end {
@@ -256,7 +256,7 @@
                 AttemptOutcome::Unreachable
             }
             AttemptEnd::EngineLeft => {
-                "the engine left before it was sent".clone_into(&mut progress.reason);
+                "the engine left before the request was sent".clone_into(&mut progress.reason);
                 AttemptOutcome::Unreachable
             }
             AttemptEnd::Refused => {
@@ -281,8 +281,9 @@
         progress.attempts.record_outcome(instance, outcome) && self.has_time()
     }
 
-    /// Whether the caller's key may still be accepted: the request may have waited here
-    /// since it was admitted, and the machine slept.
+    /// Whether the caller's key may still be accepted. The request may have waited since its
+    /// admission, also through a suspension of the machine, and keys may have been revoked
+    /// meanwhile.
     fn may_accept_key(&self) -> bool {
         let admission = &self.received.admission;
         let needs_key = admission.configuration.tenants.is_some() && !admission.route.is_public;
@@ -293,9 +294,9 @@
         self.received.limits.left_ms(self.gateway.clock.now()) > 0
     }
 
-    /// The final answer of a request that no engine has answered.
+    /// Sends the final answer of a request that no engine has answered.
     async fn give_up(&mut self) -> io::Result<AfterAnswer> {
-        // What did not run is given back before the caller may come back for it.
+        // An unused reservation is returned before the caller may retry.
         self.received.admission.reservation = None;
         let reason = self.progress.reason.clone();
         if self.answer.has_started() {
@@ -322,10 +323,10 @@
     }
 }
 
-/// Answers with a refusal.
+/// Writes a refusal to the caller.
 ///
 /// # Errors
-/// When the caller is gone.
+/// When writing to the caller fails.
 pub async fn refuse(
     gateway: &Gateway,
     answer: &mut CallerAnswer,
--- a/crates/gateway/src/forward/quarantine.rs
+++ b/crates/gateway/src/forward/quarantine.rs
@@ -1,7 +1,7 @@
-//! Whether a request is sent, by what it did to engines before, whoever sent it.
+//! Withholds requests during which engines have ended, at this node or at others.
 //!
-//! Asked each time right before the bytes go: a request may wait here while engines end
-//! under a copy of it elsewhere.
+//! This is checked each time right before the bytes are sent: while a request waits here,
+//! engines may end elsewhere during a copy of it.
 
 use super::Forwarding;
 use crate::beliefs::Beliefs;
@@ -13,24 +13,25 @@
 use ploverlift_routing::rate_limit::TenantTag;
 use std::sync::Arc;
 
-/// Longest wait for a copy that runs elsewhere, in milliseconds: most end engines, or are
-/// answered, sooner.
+/// Longest wait for a copy that runs elsewhere, in milliseconds. Most copies are answered,
+/// or end their engine, sooner.
 const MAX_HOLD_MS: u64 = 300;
-/// Part of the time that a request has left for which it waits at most.
+/// A request waits at most for its remaining time divided by this.
 const HOLD_DIVISOR: u64 = 4;
-/// Time from a claim until it counts, in milliseconds, in which the claims of others arrive:
-/// where nodes report to each other, and where relays pass reports on.
+/// Time from a claim until it takes effect, in milliseconds, during which the claims of other
+/// nodes arrive: where nodes report to each other directly.
 const CLAIM_DELAY_MS: u64 = 25;
+/// The same where relays forward the reports.
 const RELAYED_CLAIM_DELAY_MS: u64 = 150;
 
-/// Why a request is not sent.
+/// Why a request is withheld.
 pub(super) struct Withheld {
     reason: &'static str,
     retry_after_ms: u64,
 }
 
-/// This node's claim to send a request under which an engine ended. It is given up when
-/// it is dropped.
+/// This node's claim to send a request during which an engine ended. Dropping it releases
+/// the claim.
 pub(super) struct RequestClaim {
     gateway: Arc<Gateway>,
     request: RequestFingerprint,
@@ -47,8 +48,8 @@
 }
 
 impl Forwarding {
-    /// Waits until the request may be sent, or it is known that it may not. Under suspicion
-    /// one copy is sent at a time in the whole fleet, by the node that has claimed it.
+    /// Waits until it is decided whether the request may be sent. Of a suspected request, only
+    /// one copy at a time is sent in the whole fleet, by the node that has claimed it.
     pub(super) async fn wait_for_permission(&mut self) -> Result<(), Withheld> {
         let began = self.gateway.clock.now();
         let left_ms = self.received.limits.left_ms(began);
@@ -98,7 +99,8 @@
         quarantine.permission_for(self.received.fingerprint, has_new_software, now)
     }
 
-    /// Whether no engine of the service has the software any more that ended under it.
+    /// Whether no engine of the service still has a software version that ended during the
+    /// request.
     fn has_new_software(&self, beliefs: &Beliefs) -> bool {
         let request = self.received.fingerprint;
         let Some(ended) = beliefs.quarantine.refused_software(request) else {
@@ -113,8 +115,8 @@
             && engines.all(|engine| !ended.contains(&engine.record.software))
     }
 
-    /// Claims the request, and waits for the claims of others; tells whether this node's
-    /// stands.
+    /// Claims the request and waits for the claims of other nodes; returns whether this node
+    /// holds the claim then.
     async fn claim(&mut self) -> bool {
         let request = self.received.fingerprint;
         let own = PeerId::of(&self.gateway.settings().node.name);
@@ -144,7 +146,8 @@
         holds_claim
     }
 
-    /// Whether the request may still be sent, right before it is.
+    /// Whether the request may still be sent, checked right before it is; a claimed request
+    /// is recorded as begun.
     pub(super) fn begin_if_permitted(&self) -> bool {
         let now = self.gateway.clock.now();
         let mut beliefs = self.gateway.beliefs();
@@ -164,14 +167,14 @@
         }
     }
 
-    /// Whether it is sent beside a copy that runs elsewhere. A copy that ends its engine
-    /// mostly does so within the wait; after it, one end is not enough to refuse what may
-    /// be harmless.
+    /// Whether the request is sent while a copy of it runs elsewhere. A copy that ends its
+    /// engine mostly does so within the wait; after the wait, a single end is not enough to
+    /// refuse a request that may be harmless.
     fn may_run_concurrently(&self, moments: usize) -> bool {
         self.progress.has_waited && moments <= 1
     }
 
-    /// Waits until it is found out whether the engine of a lost sending has ended.
+    /// Waits until it is determined whether the engine of a lost send has ended.
     pub(super) async fn wait_until_engine_end_known(&self) {
         let gateway = &self.gateway;
         let request = self.received.fingerprint;
@@ -187,7 +190,7 @@
         within(MAX_HOLD_MS, finding).await;
     }
 
-    /// An engine answered the request whole: none ends under it.
+    /// Records that an engine answered the request completely, which clears it of suspicion.
     pub(super) fn note_answered(&self) {
         let now = self.gateway.clock.now();
         let request = self.received.fingerprint;
--- a/crates/gateway/src/forward/record.rs
+++ b/crates/gateway/src/forward/record.rs
@@ -1,5 +1,5 @@
-//! The log line of a request: what it was, what was decided with which inputs,
-//! and how it ended.
+//! The log line of a request: its properties, the decisions with their inputs, and its
+//! outcome.
 
 use super::attempt::AttemptEnd;
 use super::choice::ChosenEngine;
@@ -14,13 +14,13 @@
 use ploverlift_routing::prompt::cache_scope;
 use std::fmt::Write;
 
-/// Outcomes of which every line is written; others as the rate allows.
+/// Outcomes that are always logged; others are logged at a limited rate.
 const ALWAYS_LOGGED: [&str; 4] = ["refused", "timed_out", "engine_lost", "broken_off"];
 
-/// Engines that are named as passed over in one line.
+/// Number of passed-over engines that are listed in one line.
 const MAX_PASSED_OVER: usize = 4;
 
-/// What the gate of a rollout said, where there is one.
+/// Decision of the gate of a rollout, if there is one, for the log line.
 fn gate_text(chosen: &ChosenEngine) -> String {
     let gate = chosen.gate.map(|reason| format!(" gate={reason:?}"));
     let gate = gate.unwrap_or_default();
@@ -31,15 +31,15 @@
     }
 }
 
-/// Time between two events of a stream.
+/// Pause between two events of a stream.
 #[derive(Clone, Copy, Debug)]
 struct Pause {
     length_ms: u64,
-    /// From the head to the event that ended it, in milliseconds.
+    /// Time from the request's receipt to the event that ended the pause, in milliseconds.
     ended_after_ms: u64,
 }
 
-/// A wait for news of the engines.
+/// A wait for newer data on the engines.
 #[derive(Clone, Copy, Debug)]
 struct Hold {
     before: Reliance,
@@ -47,8 +47,8 @@
     held_ms: u64,
 }
 
-/// Collects what the line will say. A request whose caller leaves is logged
-/// when the record is dropped.
+/// Collects the contents of the line. A request whose caller disconnects is logged when the
+/// record is dropped.
 pub(super) struct RequestRecord {
     id: String,
     attempts: String,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// An engine was chosen.
+    /// Appends an attempt with the inputs of the engine's choice.
     pub(super) fn begin_attempt(&mut self, chosen: &ChosenEngine) {
         let cost = &chosen.cost;
         let _ = write!(
@@ -115,13 +115,13 @@
         );
     }
 
-    /// The engine that was chosen had no token for the request.
+    /// Records that the chosen engine had no token for the request.
     pub(super) fn record_denial(&mut self, chosen: &ChosenEngine) {
         let separator = if self.attempts.is_empty() { "" } else { "; " };
         let _ = write!(self.attempts, "{separator}{} -> no token", chosen.instance);
     }
 
-    /// The attempt ended.
+    /// Appends the end of the attempt.
     pub(super) fn end_attempt(&mut self, end: &AttemptEnd) {
         let text = &mut self.attempts;
         let _ = match end {
@@ -136,7 +136,7 @@
         };
     }
 
-    /// The request waited until the engines were known again.
+    /// Records that the request waited for newer data on the engines.
     pub(super) fn record_hold(&mut self, before: Reliance, after: Reliance, held_ms: u64) {
         self.hold = Some(Hold {
             before,
@@ -145,7 +145,7 @@
         });
     }
 
-    /// The first byte of the answer goes to the caller.
+    /// Records that the first byte of the answer is sent to the caller.
     pub(super) fn record_first_byte(&mut self, gateway: &Gateway, received: &ReceivedRequest) {
         if self.first_byte_ms.is_none() {
             let age = received.limits.age_ms(gateway);
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Events go to the caller.
+    /// Records that events are sent to the caller.
     pub(super) fn record_events(&mut self, received: &ReceivedRequest, now: Millis) {
         let before = self.last_event_at.replace(now);
         let length_ms = before.map_or(0, |before| now.since(before));
@@ -170,7 +170,7 @@
         }
     }
 
-    /// The request is over.
+    /// Counts the outcome and writes the line.
     pub(super) fn finish(
         &mut self,
         gateway: &Gateway,
@@ -219,8 +219,8 @@
     }
 }
 
-/// Engines of the service that are passed over for what they said in answers, a few of them;
-/// nothing where there are none.
+/// Lists up to [`MAX_PASSED_OVER`] engines of the service that are passed over because of
+/// notices in their answers; `None` when there are none.
 fn passed_over(gateway: &Gateway, service: &ServiceName) -> Option<String> {
     let now = gateway.clock.now();
     let beliefs = gateway.beliefs();
--- a/crates/gateway/src/forward/running_request.rs
+++ b/crates/gateway/src/forward/running_request.rs
@@ -1,4 +1,4 @@
-//! Counting a request as running on a version of its engine's software.
+//! Counts a request as running on the software version of its engine.
 
 use crate::beliefs::Beliefs;
 use crate::state::Gateway;
@@ -6,7 +6,7 @@
 use ploverlift_routing::software::SoftwareVersion;
 use std::sync::Arc;
 
-/// A request that was given to an engine, counted until this is dropped.
+/// A request that was assigned to an engine, counted until this is dropped.
 pub(super) struct RunningRequest {
     gateway: Arc<Gateway>,
     service: ServiceName,
@@ -14,7 +14,7 @@
 }
 
 impl RunningRequest {
-    /// Counts a request; `beliefs` are those of the gateway, locked.
+    /// Counts a request; `beliefs` is the locked state of `gateway`.
     pub(super) fn begin(
         gateway: &Arc<Gateway>,
         beliefs: &mut Beliefs,
--- a/crates/gateway/src/forward/sending.rs
+++ b/crates/gateway/src/forward/sending.rs
@@ -1,4 +1,4 @@
-//! Sending a request to the engine that was chosen, on a kept connection or a new one.
+//! Sending of a request to the chosen engine, on a kept connection or a new one.
 
 use super::attempt::AttemptEnd;
 use super::broken::Broken;
@@ -15,8 +15,8 @@
 use std::pin::pin;
 use std::time::{Duration, Instant};
 
-/// Time beyond that for a connection in which a choice is acted on, in milliseconds: a busy
-/// node runs a timer late.
+/// Time beyond the connect time-out for which a choice stays valid, in milliseconds: timers
+/// of a busy node run late.
 const CONNECT_SLACK_MS: u64 = 500;
 
 impl Forwarding {
@@ -65,8 +65,8 @@
         exchanged.map_err(|failure| self.broken(&failure))
     }
 
-    /// Sends the request on a kept connection, if there is one and the request may run
-    /// again; nothing when it is to be sent on a new one.
+    /// Sends the request on a kept connection, if there is one and the request is repeatable;
+    /// `None` when it is to be sent on a new connection.
     async fn send_on_idle(
         &mut self,
         chosen: &ChosenEngine,
@@ -91,10 +91,10 @@
         if failure.reason.is_connection_end() {
             self.note_cut_request(chosen, chosen.chosen_at, 0);
         }
-        // The others that were kept have likely ended, or fallen silent, as well.
+        // The other kept connections to this engine are probably broken as well.
         self.gateway.kept_connections().forget(&chosen.instance);
         if !failure.reason.is_silence() && self.take_retry() {
-            // The engine had closed or forgotten the connection, or ran the request.
+            // Either the engine had closed or dropped the connection, or it ran the request.
             self.progress.has_taken_retry = true;
             self.note_lost_send(chosen);
             if failure.reason.is_connection_end() {
@@ -105,8 +105,8 @@
         Err(self.broken(&failure))
     }
 
-    /// Sends the request on a connection and waits for the head of the answer, or until
-    /// the engine is known to be lost or its weights may be outdated.
+    /// Sends the request on a connection and waits for the head of the answer. The wait also
+    /// ends when the engine is known to be lost or its weights may be outdated.
     async fn exchange(
         &self,
         stream: BufferedStream,
@@ -116,7 +116,7 @@
         limits: ExchangeLimits,
     ) -> Result<EngineAnswer, ExchangeFailure> {
         let watch = self.watch_engine(&chosen.instance);
-        // Pinned here, or each layer around it would hold room for it once more.
+        // Pinned here: otherwise each enclosing future would reserve space for a copy of it.
         let exchanging = pin!(exchange_on(stream, head, body, limits));
         let exchanging = pin!(watch.unless_lost(exchanging));
         let ended = self.unless_outdated(chosen, exchanging).await;
@@ -131,8 +131,8 @@
         })
     }
 
-    /// Whether the request may go, right before its bytes do and after every wait, on new
-    /// connections and on kept ones.
+    /// Checks right before the bytes are sent, after every wait, whether the request may still
+    /// be sent to the chosen engine; on new connections and on kept ones.
     fn check_before_sending(&self, chosen: &ChosenEngine) -> Result<(), AttemptEnd> {
         if !self.is_still_eligible(chosen) {
             return Err(AttemptEnd::EngineLeft);
@@ -146,9 +146,9 @@
         }
     }
 
-    /// Time after which a choice is made anew, in milliseconds. A connection comes about or
-    /// is given up sooner, unless the machine slept: what the choice rests on (keys, engines,
-    /// weights, time left) is older then than it seemed.
+    /// Age beyond which a choice is repeated, in milliseconds. A connection is established or
+    /// given up sooner, unless the machine was suspended: the data behind the choice (keys,
+    /// engines, weights, time left) is then older than it seemed.
     fn max_choice_age_ms(&self) -> u64 {
         self.gateway.settings().attempts.connect_timeout_ms + CONNECT_SLACK_MS
     }
@@ -157,7 +157,7 @@
         AttemptEnd::Broken(Broken::caused_by(&failure.reason, !self.has_time()))
     }
 
-    /// What was sent and lost may have run: no later refusal of this request may say
+    /// Records a send that was lost. The request may have run: no later refusal of it may state
     /// that it has not, and it stays counted against its tenant's limit.
     fn note_lost_send(&mut self, chosen: &ChosenEngine) {
         self.progress.attempts.record_lost_send(&chosen.instance);
@@ -166,8 +166,8 @@
         }
     }
 
-    /// No connection came about. One that had the whole time, begun at `began`, and that
-    /// nobody answered counts towards the loss of the engine.
+    /// Records a failed connection. If it started at `began`, had the full connect time-out and
+    /// got no answer, it counts towards the loss of the engine.
     fn record_connect_failure(
         &self,
         chosen: &ChosenEngine,
@@ -186,8 +186,8 @@
         }
     }
 
-    /// A new connection shows that the engine is there, and how long a round trip to its
-    /// zone takes.
+    /// Records from a new connection that the engine is reachable, and the round-trip time to
+    /// its zone.
     fn learn_from_connection(&self, chosen: &ChosenEngine, connect_time: Duration) {
         let now = self.gateway.clock.now();
         let round_trip_ms = connect_time.as_secs_f64() * 1_000.0;
@@ -199,7 +199,8 @@
         }
     }
 
-    /// A kept connection to the engine on which the engine says nothing.
+    /// Takes a kept connection to the engine that has no unexpected input and is not closed;
+    /// others are discarded.
     async fn take_idle_connection(&self, chosen: &ChosenEngine) -> Option<BufferedStream> {
         loop {
             let now = self.gateway.clock.now();
@@ -213,7 +214,7 @@
         }
     }
 
-    /// Keeps the connection of a whole answer for another request.
+    /// Keeps the connection after a complete answer, for another request.
     pub(super) fn keep_connection(&self, answer: EngineAnswer, chosen: &ChosenEngine) {
         let longest_ms = self.gateway.settings().attempts.keep_connection_ms;
         if longest_ms == 0 {
--- a/crates/gateway/src/forward/start_deadline.rs
+++ b/crates/gateway/src/forward/start_deadline.rs
@@ -1,19 +1,20 @@
-//! Until when a request that waits at its engine may begin there.
+//! Deadline until which a request that waits at its engine may start there.
 //!
-//! Its engine's weights may be replaced while it waits. It is taken back before it could
-//! begin on them after the bound, whenever the newer version was named.
+//! A newer version of the weights may be announced while the request waits at its engine.
+//! The request is withdrawn before it could start on outdated weights after the bound,
+//! regardless of when the newer version was announced.
 
 use super::choice::ChosenEngine;
 use super::Forwarding;
 use crate::time::sleep;
 use std::future::Future;
 
-/// Part of the margin on outdated weights that is left when a request that has
-/// not begun is taken back from its engine.
+/// A request that has not started is withdrawn from its engine when the configured margin
+/// on outdated weights, divided by this, is left until the bound.
 const START_MARGIN_DIVISOR: u64 = 4;
 
 impl Forwarding {
-    /// Does the work; nothing when the request must no longer begin before it is done.
+    /// Runs `work`; returns `None` when the request must no longer start before `work` is done.
     pub(super) async fn unless_outdated<T>(
         &self,
         chosen: &ChosenEngine,
@@ -24,11 +25,12 @@
             self.wait_until_outdated(chosen).await;
             None
         };
-        // Nothing is sent any more once it is too late.
+        // Polled first, so that nothing is sent once the deadline has passed.
         futures_lite::future::or(outdating, working).await
     }
 
-    /// Proofs that the engine's weights are the newest put the moment off.
+    /// Waits until the request must no longer start. The deadline moves on with each proof that
+    /// the engine's weights are the newest.
     async fn wait_until_outdated(&self, chosen: &ChosenEngine) {
         loop {
             match self.remaining_start_ms(chosen) {
@@ -39,8 +41,8 @@
         }
     }
 
-    /// Time for which the request may yet begin, in milliseconds; nothing where it needs
-    /// no weights. An engine whose weights are not known may have any.
+    /// Remaining time for which the request may start, in milliseconds; `None` when it needs
+    /// no weights. Unknown weights count as version 0, since the engine may have any.
     fn remaining_start_ms(&self, chosen: &ChosenEngine) -> Option<u64> {
         let prompt = self.received.request.prompt.as_ref()?;
         let weights = chosen.weights.unwrap_or(0);
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -1,8 +1,7 @@
-//! An engine's event stream, event by event, to the caller.
+//! Forwarding of an engine's event stream to the caller.
 //!
-//! Only whole events are passed on. When the stream breaks and may be resumed,
-//! another engine continues after the last event that the caller has, inside
-//! the same answer.
+//! Only complete events are forwarded. When the stream breaks and may be resumed, another
+//! engine continues after the last event that was forwarded, within the same answer.
 
 use super::attempt::AttemptEnd;
 use super::broken::Broken;
@@ -19,10 +18,10 @@
 use std::io;
 use std::pin::pin;
 
-/// Time of a transfer that does not matter beside reading, in milliseconds.
+/// Longest KV cache transfer that is negligible beside the prefill, in milliseconds.
 const NEGLIGIBLE_TRANSFER_MS: f64 = 12.0;
 
-/// How a stream went on.
+/// The next part of a stream, or its end.
 enum StreamStep {
     Events(Vec<u8>),
     End(Vec<u8>),
@@ -30,7 +29,7 @@
 }
 
 impl Forwarding {
-    /// Passes a stream on until it ends or breaks.
+    /// Forwards a stream until it ends or breaks.
     pub(super) async fn forward_stream(
         &mut self,
         mut answer: EngineAnswer,
@@ -85,8 +84,8 @@
         }
     }
 
-    /// A request that neither waited, fetched nor went far shows how fast the engine
-    /// reads.
+    /// Learns the prefill rate from a request that did not wait in a queue, fetched next to
+    /// nothing and stayed in its region.
     fn learn_prefill_rate(&self, chosen: &ChosenEngine, first_event_ms: u64) {
         let waited = chosen.cost.queue_ms > 0.0;
         let went_far = chosen.distance == Distance::OtherRegion;
@@ -99,7 +98,7 @@
         rate.observe(chosen.tokens_to_prefill, first_event_ms);
     }
 
-    /// The engine has read the prompt, and so keeps its parts.
+    /// Records that the engine has the parts of the prompt in its cache after the prefill.
     fn note_prefilled(&self, chosen: &ChosenEngine) {
         let prompt = self.received.request.prompt.as_ref();
         if let (Some(cache), Some(prompt)) = (&chosen.cache, prompt) {
@@ -115,8 +114,8 @@
         }
     }
 
-    /// The engine has read the prompt, and so saves what it was told to. Of a part
-    /// that the store has already, no event tells.
+    /// Records that the engine saves the prompt's parts to the requested store after the
+    /// prefill. The store sends no event for a part that it already has.
     fn note_saved(&self, chosen: &ChosenEngine) {
         let Some(cache) = &chosen.cache else {
             return;
@@ -131,7 +130,7 @@
         }
     }
 
-    /// Writes events; the head goes out with the first of them.
+    /// Writes events to the caller; the head is sent together with the first ones.
     async fn deliver(&mut self, answer: &EngineAnswer, bytes: &[u8]) -> io::Result<()> {
         if self.answer.has_started() {
             if bytes.is_empty() {
@@ -145,7 +144,7 @@
             .await
     }
 
-    /// Reads until there is something to pass on, or the stream ends.
+    /// Reads until there are events to forward, or the stream ends or breaks.
     async fn next_step(
         &mut self,
         answer: &mut EngineAnswer,
@@ -198,7 +197,7 @@
         }
     }
 
-    /// All whole events, without those that the caller has already.
+    /// Takes all complete events, except those that the caller already has.
     fn take_events(&mut self, splitter: &mut EventSplitter) -> Vec<u8> {
         let mut bytes = Vec::new();
         while let Some(event) = splitter.next_event() {
