--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Requests that are refused at once because they cannot be answered in time.
+//! Requests that are refused at once because engines can't answer them in time.
 
 mod support;
 
@@ -8,10 +8,10 @@
 use support::engine::{Behaviour, StandInEngine};
 use support::{configuration, site, Fixture};
 
-/// Every request beyond what is bearable is refused.
+/// Allows the node to refuse all excess requests during overload.
 const STRICT: &str = "[admission]\nmost_refused = 1.0\n";
 
-/// Answers have shown waits of ten objectives.
+/// Makes the node observe waits of 400 s at the service's engines, with an objective of 400 ms.
 fn overload(fixture: &Fixture, service: &str) {
     let now = fixture.gateway.clock.now();
     let mut beliefs = fixture.gateway.beliefs();
@@ -24,7 +24,8 @@
     }
 }
 
-/// So many requests are at the engine, with so many tokens to read each.
+/// Adds `requests` running requests to the engine's load, each with `tokens` tokens to
+/// prefill.
 fn fill(fixture: &Fixture, engine: &StandInEngine, requests: u32, tokens: u64) {
     let instance = InstanceId(engine.instance.clone());
     let now = fixture.gateway.clock.now();
--- a/crates/gateway/tests/harmful_requests/fleets.rs
+++ b/crates/gateway/tests/harmful_requests/fleets.rs
@@ -1,4 +1,4 @@
-//! How many engines one request ends, whoever asks wherever.
+//! Limits how many engines one request ends, whichever nodes it is sent to.
 
 use crate::site::{harmful_call, harmful_prompt, Site, MAX_ENDED};
 use crate::support::caller::{self, prompt};
@@ -10,10 +10,12 @@
 const NODES: usize = 5;
 /// Engines of the site.
 const ENGINES: usize = 12;
-/// How often the request is asked for, and how long after its last answer.
+/// Number of times that the request is sent.
 const REQUESTS_SENT: usize = 30;
+/// Pause after each answer, in milliseconds.
 const PAUSE_MS: u64 = 30;
-/// Longest wait for what the nodes store once the store is back, in milliseconds.
+/// Longest wait until the nodes have stored the refused request once the store answers
+/// again, in milliseconds.
 const MAX_WAIT_MS: u64 = 20_000;
 
 #[test]
@@ -25,7 +27,7 @@
             .send_repeatedly(&harmful_prompt(), REQUESTS_SENT, PAUSE_MS)
             .await;
         assert!(site.ends() <= MAX_ENDED, "{} engines ended", site.ends());
-        // What is refused has not run, and its caller is told so.
+        // The refused request has not run, and the status reports that.
         assert_eq!(statuses.last(), Some(&503));
         // Another request of the same caller is served.
         let node = &site.nodes[0];
@@ -58,7 +60,7 @@
         site.start_nodes(NODES).await;
         site.send_repeatedly(&harmful_prompt(), NODES, 0).await;
         assert_eq!(site.ends(), before);
-        // An operator sees the one entry, and removes it.
+        // An operator can list the one entry and remove it.
         let gateway = &site.nodes[0].gateway;
         let listed = list_refused(gateway).await.expect("a list");
         assert_eq!(listed.len(), 1);
@@ -81,7 +83,7 @@
         site.send_repeatedly(&harmful_prompt(), REQUESTS_SENT / 2, PAUSE_MS)
             .await;
         assert!(site.ends() <= MAX_ENDED, "{} engines ended", site.ends());
-        // What could not be stored is stored once the store is back.
+        // The refused request is stored once the store answers again.
         site.store.set_fault(StoreFault::None);
         let stored = async {
             while site.store.names("RefusedRequests").is_empty() {
@@ -89,6 +91,6 @@
             }
         };
         let stored = within(MAX_WAIT_MS, stored).await;
-        assert!(stored.is_some(), "nothing was stored");
+        assert!(stored.is_some(), "the refused request was not stored");
     });
 }
--- a/crates/gateway/tests/harmful_requests/harmless.rs
+++ b/crates/gateway/tests/harmful_requests/harmless.rs
@@ -1,4 +1,4 @@
-//! Requests that are sent again beside engines that end for other reasons.
+//! Harmless requests that are sent repeatedly while engines end for other reasons.
 
 use crate::site::Site;
 use crate::support::caller::{self, prompt, request};
@@ -11,10 +11,10 @@
 const NODES: usize = 3;
 /// Engines of the site.
 const ENGINES: usize = 6;
-/// Times that engines end.
+/// Number of engine ends.
 const ROUNDS: usize = 8;
 
-/// Requests that this site did not send for what engines did under them.
+/// Number of requests that the site's nodes have withheld because engines ended.
 fn withheld(site: &Site) -> u64 {
     let nodes = site.nodes.iter();
     nodes
@@ -120,10 +120,10 @@
     });
 }
 
-/// Copies of one harmless request were on their way on kept connections when a rack went
-/// dark, its engines some milliseconds apart. Each end was told with the moment of the loss as the moment of the
-/// sending, so copies that were sent before any engine had ended counted as sent after it.
-/// They are one moment, and refuse nothing.
+/// Copies of one harmless request run on kept connections when a rack loses power and its
+/// engines end some milliseconds apart. When each end was reported with the time of the loss
+/// as the time of the send, copies that had been sent before any engine ended counted as sent
+/// after it. All of these ends count once, and the request is not refused.
 #[test]
 fn copies_sent_on_kept_connections_before_any_end_count_once() {
     smol::block_on(async {
@@ -164,7 +164,7 @@
                 sleep(2).await;
             }
         }
-        // Each engine has one of them, on a connection that was kept.
+        // Each engine has one copy, on a kept connection.
         let expected: Vec<(usize, usize)> = before.iter().map(|(a, c)| (a + 1, *c)).collect();
         assert_eq!(counts(&engines), expected);
         for engine in &engines {
@@ -182,7 +182,7 @@
     });
 }
 
-/// Arrivals and connections of each engine.
+/// Number of arrived requests and of connections of each engine.
 fn counts(engines: &[StandInEngine]) -> Vec<(usize, usize)> {
     let engines = engines.iter();
     engines
--- a/crates/gateway/tests/harmful_requests/main.rs
+++ b/crates/gateway/tests/harmful_requests/main.rs
@@ -1,13 +1,13 @@
-//! One request ended twenty engines of eighteen within seconds: each engine that began it.
+//! One request must not end every engine that starts it.
 //!
-//! Seen: engines of a model service ended one after another, each a tenth of a second after
-//! it was sent the same short question of the same tenant; the caller had 502 each time and
-//! asked again at another node. All that ran beside it was lost with the engine.
-//! How it came about: each node judged each attempt as if nobody had seen the request. What
-//! it had done stood in the ledger of the attempt and was forgotten with it.
-//! Cause: nothing was kept by what a request *is*, and nobody asked whether an engine had
-//! ended or only a connection.
-//! Proof: here the same happens on nodes that run; each of the engines ends.
+//! Without quarantine, one short request of one tenant caused 20 engine ends at a model
+//! service with 18 engines within seconds, each a tenth of a second after the request was
+//! sent to the engine. The caller got 502 each time and retried at another node; all other
+//! requests at these engines were lost.
+//! Each node judged each attempt on its own: its ledger was dropped with the request, nothing
+//! was recorded by the request's fingerprint, and nodes did not check whether an engine had
+//! ended or only a connection. The tests repeat this with running nodes, where each engine
+//! that runs the request ends.
 
 mod fleets;
 mod harmless;
--- a/crates/gateway/tests/harmful_requests/relayed.rs
+++ b/crates/gateway/tests/harmful_requests/relayed.rs
@@ -1,4 +1,4 @@
-//! The same in a large fleet, whose nodes hear of each other through relays.
+//! A harmful request in a large fleet, whose nodes exchange reports through relays.
 
 use crate::site::{harmful_prompt, Site, MAX_ENDED};
 use crate::support::caller;
@@ -6,15 +6,15 @@
 use ploverlift_gateway::peers::roles::Role;
 use ploverlift_gateway::time::sleep;
 
-/// Nodes of the zone that follow its relays.
+/// Number of nodes of the zone that follow its relays.
 const FOLLOWERS: usize = 4;
 /// Engines of the site.
 const ENGINES: usize = 14;
-/// How often the request is asked for, and how long after its last answer: five times a
-/// second.
+/// Number of times that the request is sent.
 const REQUESTS_SENT: usize = 20;
+/// Pause after each answer, in milliseconds: five requests a second.
 const PAUSE_MS: u64 = 200;
-/// Time between two looks at what the test waits for, in milliseconds.
+/// Time between two checks of a condition that the test waits for, in milliseconds.
 const POLL_MS: u64 = 5;
 
 /// Starts two relays, and then the nodes that follow them.
@@ -50,7 +50,8 @@
             .await;
         assert!(site.ends() <= MAX_ENDED, "{} engines ended", site.ends());
         assert_eq!(statuses.last(), Some(&503));
-        // A fleet that starts anew knows it from the store, its followers from its relays.
+        // After a restart, relays know the refused request from the store, and followers from
+        // their relays.
         let before = site.ends();
         site.stop_nodes();
         start_fleet(&mut site).await;
--- a/crates/gateway/tests/harmful_requests/site.rs
+++ b/crates/gateway/tests/harmful_requests/site.rs
@@ -1,4 +1,4 @@
-//! A site of several nodes whose engines end under one request.
+//! A site of several nodes, with engines that end when they run one certain request.
 
 use crate::support::caller::{self, prompt, request, Request};
 use crate::support::configuration;
@@ -8,12 +8,12 @@
 use ploverlift_gateway::assembly::RunningGateway;
 use ploverlift_gateway::time::sleep;
 
-/// The body of the request under which engines end.
+/// The body of the request that ends engines.
 pub const HARMFUL: &[u8] = b"harmful";
-/// Engines that may end under one request, whoever asks wherever.
+/// Greatest number of engine ends through one request, at all nodes together.
 pub const MAX_ENDED: usize = 4;
 
-/// Nodes before engines of one service.
+/// Nodes and the engines of one service.
 pub struct Site {
     pub store: StandInStore,
     pub engines: Vec<StandInEngine>,
@@ -21,7 +21,7 @@
 }
 
 impl Site {
-    /// So many engines of a service, and no node.
+    /// Starts the given number of engines of a service, and no node.
     pub async fn new(service: &str, engines: usize) -> Self {
         let store = StandInStore::start().await;
         store.put("Configuration", "main", configuration(1));
@@ -33,22 +33,23 @@
         }
     }
 
-    /// Starts nodes that know each other.
+    /// Starts nodes that report to each other.
     pub async fn start_nodes(&mut self, count: usize) {
         self.nodes = start_known_nodes(&self.store, count).await;
     }
 
-    /// All nodes end at once.
+    /// Stops all nodes at once.
     pub fn stop_nodes(&mut self) {
         self.nodes.clear();
     }
 
-    /// How often engines have ended.
+    /// Number of times that engines have ended.
     pub fn ends(&self) -> usize {
         self.engines.iter().map(StandInEngine::ends).sum()
     }
 
-    /// Asks for a request so many times, each time at another node, at a steady pace.
+    /// Sends a request `times` times, each time to another node and with a pause after each
+    /// answer. Returns the statuses.
     pub async fn send_repeatedly(
         &self,
         request: &Request,
@@ -65,7 +66,7 @@
     }
 }
 
-/// The request under which engines end: a stream that may not be resumed.
+/// The request that ends engines: a stream that may not be resumed.
 pub fn harmful_prompt() -> Request {
     Request {
         body: HARMFUL.to_vec(),
@@ -73,7 +74,7 @@
     }
 }
 
-/// The same for a request that may run again.
+/// The same as a repeatable request.
 pub fn harmful_call() -> Request {
     Request {
         body: HARMFUL.to_vec(),
--- a/crates/gateway/tests/kept_connections.rs
+++ b/crates/gateway/tests/kept_connections.rs
@@ -1,4 +1,4 @@
-//! When a connection to an engine is used for a second request, and when it is not.
+//! When a connection to an engine is reused for another request, and when it is not.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use support::engine::{Behaviour, StandInEngine};
 use support::{configuration, Fixture};
 
-/// Sends requests one after the other; tells on how many connections they came.
+/// Sends requests one after another; returns the number of connections they arrived on.
 async fn connections(behaviour: Behaviour, hosts: &[&str]) -> usize {
     let app = StandInEngine::start("app-1", "app", behaviour).await;
     let fixture = Fixture::new(&[&app]).await;
@@ -60,8 +60,8 @@
     });
 }
 
-/// LOST: a request from a kept connection that was passed on to an engine has an answer,
-/// whatever becomes of the engine's own connection.
+/// A request on a caller's kept connection gets an answer, even if the connection to the
+/// engine is lost.
 #[test]
 fn a_caller_connection_survives_lost_engine_connections() {
     smol::block_on(async {
--- a/crates/gateway/tests/leaving_callers.rs
+++ b/crates/gateway/tests/leaving_callers.rs
@@ -1,4 +1,4 @@
-//! Callers that leave, that stop reading, and that come in numbers.
+//! Callers that disconnect, callers that stop reading, and bursts of callers.
 
 mod support;
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Serves one connection on which a caller wrote these bytes and left before it was
+/// Serves one connection whose caller wrote these bytes and disconnected before it was
 /// accepted.
 async fn serve_abandoned(fixture: &Fixture, bytes: &[u8]) {
     let listener = bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("bind");
@@ -60,7 +60,7 @@
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::KeepConnection).await;
         let fixture = Fixture::new(&[&app]).await;
-        // The connection that this leaves would take the next request at once.
+        // The kept connection of this request would carry the next one at once.
         fixture.send(&request("safe.test", "r1")).await;
         serve_abandoned(&fixture, &as_bytes(&request("safe.test", "r2"))).await;
         fixture.send(&request("safe.test", "r3")).await;
@@ -99,14 +99,14 @@
     smol::block_on(async {
         let bad = StandInEngine::start("app-1", "app", Behaviour::Reset).await;
         let silent = StandInEngine::start("app-2", "app", Behaviour::Silent).await;
-        // Only the leaving ends an attempt, and no silence of the engine.
+        // With this time-out, only the disconnect ends an attempt, not the engine's silence.
         let patient = "[attempts]\ntimeout_objectives = 1000.0\n";
         let fixture = Fixture::with(&[&bad, &silent], configuration(1), patient).await;
         for number in 0.. {
             let id = format!("r{number}");
             let asked = request("safe.test", &id);
             let connection = caller::open(fixture.running().callers, &asked).await;
-            // Events may be left from the round before.
+            // Events of the previous round may still be queued.
             while !ids(&silent).contains(&id) {
                 silent.happened.recv().await.expect("the engine");
             }
@@ -265,8 +265,8 @@
 fn every_caller_of_a_burst_is_answered() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
-        // The engine of the test takes its connections one by one on the same processor:
-        // how soon it does is not what is asked.
+        // The engine of the test accepts its connections one by one on the same processor.
+        // The test does not check how fast it does.
         let patient = "[attempts]\nconnect_timeout_ms = 10000\n";
         let fixture = Fixture::with(&[&app], configuration(1), patient).await;
         let address = fixture.running().callers;
@@ -292,18 +292,18 @@
     let (first, second) = (connections.open(), connections.open());
     assert!(!connections.has_capacity());
     assert!(!connections.close_longest_idle(Millis(9_000)));
-    let mut late = second.mark_idle(Millis(2_000));
-    let mut early = first.mark_idle(Millis(1_000));
-    // Neither has rested long enough: its caller is about to send a request.
+    let mut second_idle = second.mark_idle(Millis(2_000));
+    let mut first_idle = first.mark_idle(Millis(1_000));
+    // Neither has been idle long enough: its caller is about to send a request.
     assert!(!connections.close_longest_idle(Millis(1_400)));
-    let later_idle = late;
+    let moved_idle = second_idle;
     assert!(connections.close_longest_idle(Millis(2_600)));
-    late = later_idle;
-    // Rests count from when they began to be counted, so the second one's was first.
-    smol::block_on(late.wait_for_close_request());
+    second_idle = moved_idle;
+    // The order is that of the calls to `mark_idle`, so the second connection is first.
+    smol::block_on(second_idle.wait_for_close_request());
     assert!(connections.close_longest_idle(Millis(2_600)));
-    smol::block_on(early.wait_for_close_request());
-    drop((late, early));
+    smol::block_on(first_idle.wait_for_close_request());
+    drop((second_idle, first_idle));
     drop(first);
     assert!(connections.has_capacity());
 }
--- a/crates/gateway/tests/requests/answers.rs
+++ b/crates/gateway/tests/requests/answers.rs
@@ -1,4 +1,4 @@
-//! What engines and callers are told of a request, and how bad input is answered.
+//! What engines and callers receive for a request, and the answers to invalid input.
 
 use crate::app_engine::app;
 use crate::support::caller::{self, prompt, request};
--- a/crates/gateway/tests/requests/app_engine.rs
+++ b/crates/gateway/tests/requests/app_engine.rs
@@ -1,4 +1,4 @@
-//! An engine of the service without a model.
+//! An engine of the plain service, which serves requests without prompts.
 
 use crate::support::engine::{Behaviour, StandInEngine};
 
--- a/crates/gateway/tests/requests/cached_prompts.rs
+++ b/crates/gateway/tests/requests/cached_prompts.rs
@@ -1,4 +1,4 @@
-//! Prompts that engines or the KV cache store keep.
+//! Prompts that are cached by engines or by the KV cache store.
 
 use crate::support::caller::{self, prompt, request};
 use crate::support::engine::{Behaviour, StandInEngine};
@@ -11,8 +11,9 @@
 use ploverlift_http1::RequestHead;
 use ploverlift_routing::prompt::{Prompt, PromptPart};
 
-/// Whether the first three requests for one prompt fetched and saved,
-/// with a KV cache store that answers calls for events so.
+/// Whether each of the first three requests for one prompt fetched from the KV cache store
+/// and saved to it. The store answers calls for events with `status`, and requests begin
+/// once the node has it in `state`.
 async fn cache_use(status: u16, state: CacheStoreState) -> Vec<(bool, bool)> {
     let llm = StandInEngine::start("llm-1", "llm", Behaviour::Answer).await;
     let (address, _task) = start_cache_store(status).await;
@@ -48,7 +49,7 @@
     assert_eq!(uses, [(false, true), (true, false), (true, false)]);
 }
 
-/// Reading the stand-in's short prompts anew costs more than anything else.
+/// Makes the prefill of the stand-in's short prompts the highest of all costs.
 const SLOW_PREFILL: &str = "[cost]\nprefill_tokens_per_ms = 0.1\n";
 
 #[test]
@@ -59,7 +60,7 @@
         let mut with_events = configuration(1);
         with_events["event_calls"] = 1.into();
         let fixture = Fixture::with(&[&engines[0], &engines[1]], with_events, SLOW_PREFILL).await;
-        // The engine that the prompt would not be sent to first keeps it.
+        // The engine that rendezvous hashing does not prefer for the prompt has it cached.
         let parts = [1, 2, 3].map(|id| PromptPart { id, tokens: 10 });
         let prompt_parts = Prompt {
             model: "m".to_owned(),
@@ -82,7 +83,7 @@
                 .is_some_and(|kept| kept.len() == 2)
         };
         while !is_reported() {
-            // Asking the node lets its tasks run.
+            // A readiness request lets the node's tasks run.
             caller::get_status(fixture.running().readiness).await;
         }
         fixture.send(&prompt("stream.test", "r1")).await;
@@ -106,11 +107,11 @@
             known.is_some_and(|engine| engine.health.is_suspected())
         };
         while !is_followed() {
-            // Asking the node lets its tasks run.
+            // A readiness request lets the node's tasks run.
             caller::get_status(fixture.running().readiness).await;
         }
         assert!(!is_suspected());
-        // The next call is held, and nobody answers it any more.
+        // The next call for events stays open, and is never answered.
         engine.keep("1/m/", 1, 10);
         drop(engine);
         while !is_suspected() {
--- a/crates/gateway/tests/requests/main.rs
+++ b/crates/gateway/tests/requests/main.rs
@@ -1,4 +1,4 @@
-//! One request through a gateway: what its caller is told, and what engines get.
+//! One request through a gateway: the answer to its caller, and what engines receive.
 
 mod answers;
 mod app_engine;
--- a/crates/gateway/tests/requests/not_run.rs
+++ b/crates/gateway/tests/requests/not_run.rs
@@ -1,9 +1,9 @@
-//! A refusal that says "not run" is true, or callers do the work twice.
+//! A "not run" refusal of a request that has run makes callers do the work twice.
 //!
-//! Seen: 503 for requests at which an engine was at work. Two ways led there: a request
-//! that was sent on a kept connection and lost there was forgotten when the new
-//! connection did not come about or was refused, and an engine's own 503 or 429, after
-//! it had run the request, was handed on although that status promises the contrary.
+//! These tests guard against a 503 for a request that an engine is working on. There were two
+//! ways to it: a request that was lost on a kept connection was left out of account when the
+//! new connection failed or the engine then refused; and an engine's own 503 or 429, sent
+//! after it had run the request, was forwarded although that status promises "not run".
 
 use crate::app_engine::app;
 use crate::support::caller::{request, Answer};
@@ -13,7 +13,7 @@
 
 const BUDGET: &str = "[attempts]\nretry_reserve = 50.0\n";
 
-/// Serves one request, so that a connection is kept.
+/// Serves one request, after which a connection to the engine is kept.
 async fn with_kept_connection(app: &StandInEngine) -> Fixture {
     let fixture = Fixture::with(&[app], configuration(1), BUDGET).await;
     let first = fixture.send(&request("safe.test", "r1")).await;
@@ -48,7 +48,7 @@
     });
 }
 
-/// Asks an engine that runs requests and fails with a status.
+/// Sends a request to an engine that runs it and fails with a status.
 async fn failed_with(status: u16, host: &str) -> Answer {
     let app = app(Behaviour::FailWith(status)).await;
     let fixture = Fixture::new(&[&app]).await;
@@ -65,7 +65,7 @@
             for host in ["safe.test", "unsafe.test"] {
                 let answer = failed_with(status, host).await;
                 assert_eq!(answer.status(), 502, "{status} at {host}");
-                // An answer in an engine's name has that engine's status.
+                // A signed answer would have the engine's own status.
                 assert_eq!(answer.head.headers.get(site::SIGNED), None);
             }
         }
--- a/crates/gateway/tests/requests/retries.rs
+++ b/crates/gateway/tests/requests/retries.rs
@@ -1,4 +1,4 @@
-//! Requests that are sent again, and engines that are not what they were taken for.
+//! Retries of requests, and engines whose identity or weights differ from the expected ones.
 
 use crate::app_engine::app;
 use crate::support::caller::{self, prompt, request};
@@ -8,7 +8,7 @@
 
 #[test]
 fn misdirected_requests_do_not_mark_an_engine_as_leaving() {
-    /// Longest time until it is asked again.
+    /// Longest time until the engine gets requests again.
     const MAX_RECOVERY_TIME: std::time::Duration = std::time::Duration::from_secs(20);
     smol::block_on(async {
         let app = app(Behaviour::IsAnother).await;
@@ -16,11 +16,14 @@
         let status = || async { fixture.send(&request("safe.test", "r")).await.status() };
         assert_eq!(status().await, 503);
         assert_eq!(app.heads().len(), 1);
-        // It is well again, and its entry in the store has not changed.
+        // The engine answers correctly again, and its entry in the store has not changed.
         app.set(Behaviour::Answer);
         let until = std::time::Instant::now() + MAX_RECOVERY_TIME;
         while status().await != 200 {
-            assert!(std::time::Instant::now() < until, "it is never asked again");
+            assert!(
+                std::time::Instant::now() < until,
+                "the engine gets no request"
+            );
             ploverlift_gateway::time::sleep(50).await;
         }
     });
@@ -97,7 +100,7 @@
     smol::block_on(async {
         let llm = StandInEngine::start("llm-1", "llm", Behaviour::HidesWeights).await;
         let fixture = Fixture::new(&[&llm]).await;
-        // Another node's order: the store's record lags.
+        // As if another node had ordered the new weights: the engine's record in the store lags.
         fixture.gateway.begin_stop();
         fixture.store.put("Weights", "m", json!({"version": 4}));
         while fixture.gateway.beliefs().weights.newest("m").is_none() {
@@ -107,7 +110,7 @@
         let answer = fixture.send(&prompt("stream.test", "r")).await;
         assert_eq!(answer.text(), all_events());
         assert_eq!(llm.heads().len(), 2);
-        // Neither the one that it had nor the newest: nothing is expected of it.
+        // The engine has neither the version it had nor the newest: its version is unknown.
         fixture.store.put("Weights", "m", json!({"version": 6}));
         llm.set_weights(5);
         let answers = async {
--- a/crates/gateway/tests/requests/start.rs
+++ b/crates/gateway/tests/requests/start.rs
@@ -1,4 +1,4 @@
-//! Requests that come before the configuration is known.
+//! Requests that arrive before the configuration is known.
 
 use crate::app_engine::app;
 use crate::support::caller::{self, request};
@@ -31,7 +31,7 @@
         let node = start_node(&store, "node", "[callers]\nstart_hold_ms = 600000\n");
         let mut held = caller::open(node.callers, &request("safe.test", "r1")).await;
         let left = caller::open(node.callers, &request("safe.test", "r2")).await;
-        // Both were read: the node answers its readiness after them.
+        // Wait until both requests have been read.
         while node.gateway.requests_under_way() < 2 {
             assert_eq!(caller::get_status(node.readiness).await, 503);
         }
--- a/crates/gateway/tests/requests/streams.rs
+++ b/crates/gateway/tests/requests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams that break off.
+//! Streams that break off at an engine.
 
 use crate::support::caller::prompt;
 use crate::support::engine::{all_events, event, Behaviour, StandInEngine};
--- a/crates/gateway/tests/silent_connections.rs
+++ b/crates/gateway/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Engines that fall silent without a reset, and what requests there are told.
+//! Engines that stop answering without a connection reset, and the answers to their requests.
 
 mod support;
 
@@ -13,7 +13,7 @@
 use support::engine::{all_events, event, Behaviour, StandInEngine};
 use support::{configuration, Fixture};
 
-/// Silence alone moves no stream.
+/// Time-outs so long that silence alone does not move a stream to another engine.
 const NO_SILENCE_TIMEOUTS: &str =
     "[attempts]\nstream_silence_ms = 600000\ntimeout_objectives = 1000.0\n";
 
@@ -23,12 +23,12 @@
     known.is_some_and(|engine| engine.health.is_suspected())
 }
 
-/// Asking the node lets its tasks run.
+/// Lets the node's tasks run by sending a readiness request.
 async fn let_tasks_run(fixture: &Fixture) {
     caller::get_status(fixture.running().readiness).await;
 }
 
-/// Waits until the node itself has found that the engine is lost.
+/// Waits until the node itself has detected the loss of the engine.
 async fn wait_until_lost(fixture: &Fixture, instance: &InstanceId) {
     let tag = EngineTag::of(instance);
     loop {
@@ -54,7 +54,8 @@
     fixture.gateway.engine_check_due.notify(usize::MAX);
 }
 
-/// A silent engine at which a request waits, the node and the caller's connection.
+/// Starts a silent engine and a node, and sends a request that waits at the engine; returns
+/// both and the caller's connection.
 async fn waiting_request(host: &str) -> (StandInEngine, Fixture, BufferedStream) {
     let app = StandInEngine::start("app-1", "app", Behaviour::Silent).await;
     let fixture = Fixture::new(&[&app]).await;
@@ -85,7 +86,8 @@
         assert_eq!(refused.status(), 503);
         wait_until_lost(&fixture, &instance).await;
         assert_eq!(app.dropped(), 0, "given up before the engine was lost");
-        // An answer may still come when the link is back: the route's time-out decides.
+        // An answer may still arrive when the link works again, so the request waits until the
+        // route's time-out.
         let answer = caller::read(&mut connection).await.expect("an answer");
         assert_eq!(answer.status(), 504);
     });
@@ -142,7 +144,7 @@
         let asked = request("patient.test", "r1");
         let mut connection = caller::open(fixture.running().callers, &asked).await;
         app.happened.recv().await.expect("the request arrived");
-        // It ends as planned: its listener is closed and its record goes.
+        // The engine stops as planned: its listener is closed and its record removed.
         drop(app);
         fixture.store.remove("Engines", "app-1");
         let answer = caller::read(&mut connection).await.expect("an answer");
@@ -185,7 +187,7 @@
         let refused = fixture.send(&request("unsafe.test", "r2")).await;
         assert_eq!(refused.status(), 503);
         wait_until_lost(&fixture, &instance).await;
-        // Six more checks come about by then, the last at a pause of two seconds.
+        // Time for six more checks, the last one after a pause of two seconds.
         sleep(5_000).await;
         fixture.store.remove("Engines", "app-1");
         let answer = caller::read(&mut connection).await.expect("an answer");
@@ -221,7 +223,7 @@
             let_tasks_run(&fixture).await;
         }
         assert!(!is_suspected(&fixture, &instance));
-        // Told again, it does not even check.
+        // A repeated report does not even cause a check.
         report_loss(&fixture, &instance);
         assert!(!is_checked());
         let answer = fixture.send(&request("unsafe.test", "r1")).await;
@@ -244,7 +246,7 @@
         assert_eq!(
             silent.connections(),
             2,
-            "the second request took the first one's"
+            "the second request reused the first connection"
         );
         silent.set(Behaviour::Silent);
         let other = StandInEngine::start("app-2", "app", Behaviour::Answer).await;
