--- a/crates/gateway/src/forward/attempt.rs
+++ b/crates/gateway/src/forward/attempt.rs
@@ -148,13 +148,13 @@
         let metrics = &self.gateway.metrics;
         metrics.count_distance(chosen.distance, self.received.body.len() as u64);
         if let Some(prompt) = &self.received.request.prompt {
-            let held = chosen.locally_cached_tokens;
-            let own = prompt.tokens() - prompt.shared_tokens();
-            let read = chosen.tokens_to_prefill.saturating_sub(own);
-            let moved = prompt.shared_tokens().saturating_sub(held + read);
-            metrics.count_shared_tokens("held", held);
-            metrics.count_shared_tokens("moved", moved);
-            metrics.count_shared_tokens("read", read);
+            let cached = chosen.locally_cached_tokens;
+            let unshared = prompt.tokens() - prompt.shared_tokens();
+            let prefilled = chosen.tokens_to_prefill.saturating_sub(unshared);
+            let transferred = prompt.shared_tokens().saturating_sub(cached + prefilled);
+            metrics.count_shared_tokens("held", cached);
+            metrics.count_shared_tokens("moved", transferred);
+            metrics.count_shared_tokens("read", prefilled);
         }
     }
 
--- a/crates/gateway/src/forward/engine_notices.rs
+++ b/crates/gateway/src/forward/engine_notices.rs
@@ -56,9 +56,9 @@
     /// all engines of the service are in backoff, it is the time until the first backoff ends,
     /// plus a random part that spreads the retries.
     pub(super) fn retry_after_ms(&self) -> u64 {
-        let usual_ms = self.gateway.settings().attempts.retry_after_ms;
+        let default_ms = self.gateway.settings().attempts.retry_after_ms;
         let Some(wait_ms) = self.shortest_backoff_ms() else {
-            return usual_ms;
+            return default_ms;
         };
         let spread_ms = wait_ms / RETRY_SPREAD_DIVISOR;
         let spread_ms = spread_ms.clamp(MIN_RETRY_SPREAD_MS, MAX_RETRY_SPREAD_MS);
--- a/crates/gateway/src/forward/load_shedding.rs
+++ b/crates/gateway/src/forward/load_shedding.rs
@@ -83,9 +83,9 @@
         let route = &self.received.admission.route;
         let beliefs = self.gateway.beliefs();
         let overload = beliefs.overloads.get(&self.received.admission.service)?;
-        let most = overload.refused_share(Urgency::Least, &limits, now);
+        let max_share = overload.refused_share(Urgency::Least, &limits, now);
         let draw = fastrand::f64();
-        if draw >= most {
+        if draw >= max_share {
             return None;
         }
         let share = overload.refused_share(self.urgency(), &limits, now);
@@ -110,11 +110,11 @@
             targets.any(|target| target.service == admission.service)
         };
         let routes = admission.configuration.document.routes.iter();
-        let least = routes
+        let lowest = routes
             .filter(targets_service)
             .map(|route| route.priority)
             .max();
-        match least.is_some_and(|least| admission.priority() < least) {
+        match lowest.is_some_and(|lowest| admission.priority() < lowest) {
             true => Urgency::Higher,
             false => Urgency::Least,
         }
@@ -125,15 +125,15 @@
         let now = self.gateway.clock.now();
         let beliefs = self.gateway.beliefs();
         let engines = beliefs.engines.of_service(&self.received.admission.service);
-        let up = engines.filter(|engine| {
+        let available = engines.filter(|engine| {
             let wants_requests = !beliefs.engines.is_leaving(engine)
                 && beliefs.engines.backoff(engine, now).is_none();
             wants_requests && engine.health.may_be_chosen(now)
         });
         let rate_limits = &beliefs.engines.rate_limits;
-        let up = up.filter(|engine| rate_limits.has_token(engine.tag, now));
+        let available = available.filter(|engine| rate_limits.has_token(engine.tag, now));
         let mut occupancy = SlotOccupancy::default();
-        for engine in up {
+        for engine in available {
             occupancy.requests += requests_at(&beliefs, engine);
             occupancy.slots += u64::from(engine.record.slots);
         }
--- a/crates/gateway/src/forward/quarantine.rs
+++ b/crates/gateway/src/forward/quarantine.rs
@@ -53,7 +53,7 @@
     pub(super) async fn wait_for_permission(&mut self) -> Result<(), Withheld> {
         let began = self.gateway.clock.now();
         let left_ms = self.received.limits.left_ms(began);
-        let until = began.plus(MAX_HOLD_MS.min(left_ms / HOLD_DIVISOR));
+        let hold_until = began.plus(MAX_HOLD_MS.min(left_ms / HOLD_DIVISOR));
         loop {
             let gateway = Arc::clone(&self.gateway);
             let changed = gateway.quarantine_changed.listen();
@@ -75,17 +75,17 @@
                     retry_after_ms,
                 } => {
                     let now = gateway.clock.now();
-                    self.progress.has_waited |= until <= now;
+                    self.progress.has_waited |= hold_until <= now;
                     if self.may_run_concurrently(moments) {
                         return Ok(());
                     }
-                    if until <= now {
+                    if hold_until <= now {
                         return Err(Withheld {
                             reason: "an engine ended while it ran this request, and another is running it",
                             retry_after_ms,
                         });
                     }
-                    within(until.since(now), changed).await;
+                    within(hold_until.since(now), changed).await;
                 }
             }
         }
@@ -103,16 +103,16 @@
     /// request.
     fn has_new_software(&self, beliefs: &Beliefs) -> bool {
         let request = self.received.fingerprint;
-        let Some(ended) = beliefs.quarantine.refused_software(request) else {
+        let Some(ended_versions) = beliefs.quarantine.refused_software(request) else {
             return false;
         };
         let service = &self.received.admission.service;
         let mut engines = beliefs.engines.of_service(service).peekable();
-        let is_version_known = ended.iter().any(|version| !version.0.is_empty());
+        let is_version_known = ended_versions.iter().any(|version| !version.0.is_empty());
         let has_engines = engines.peek().is_some();
         is_version_known
             && has_engines
-            && engines.all(|engine| !ended.contains(&engine.record.software))
+            && engines.all(|engine| !ended_versions.contains(&engine.record.software))
     }
 
     /// Claims the request and waits for the claims of other nodes; returns whether this node
@@ -129,8 +129,8 @@
             own,
         });
         let has_relays = self.gateway.address_book().has_relays();
-        let others = self.gateway.address_book().listed_nodes() > 1;
-        match (others, has_relays) {
+        let has_other_nodes = self.gateway.address_book().listed_nodes() > 1;
+        match (has_other_nodes, has_relays) {
             (false, _) => {}
             (true, false) => sleep(CLAIM_DELAY_MS).await,
             (true, true) => sleep(RELAYED_CLAIM_DELAY_MS).await,
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -106,9 +106,9 @@
             let now = self.gateway.clock.now();
             let mut beliefs = self.gateway.beliefs();
             beliefs.holders.note_own(&parts, chosen.tag, now);
-            if let Some(kept) = beliefs.engine_caches.of_mut(chosen.tag) {
+            if let Some(cache_contents) = beliefs.engine_caches.of_mut(chosen.tag) {
                 for part in prompt.shared_parts() {
-                    kept.note_kept(&cache.salt, part);
+                    cache_contents.note_kept(&cache.salt, part);
                 }
             }
         }
@@ -123,9 +123,9 @@
         let prompt = self.received.request.prompt.as_ref();
         if let (Some(store), Some(prompt)) = (cache.save_to, prompt) {
             let mut beliefs = self.gateway.beliefs();
-            let belief = beliefs.cache_stores.of_mut(store);
+            let known_store = beliefs.cache_stores.of_mut(store);
             for part in prompt.shared_parts() {
-                belief.contents_mut().note_kept(&cache.salt, part);
+                known_store.contents_mut().note_kept(&cache.salt, part);
             }
         }
     }
