--- a/crates/gateway/src/forward/broken.rs
+++ b/crates/gateway/src/forward/broken.rs
@@ -43,12 +43,12 @@
 
     /// An error occurred after the head of the answer.
     pub(super) fn in_answer(error: &HttpError) -> Self {
-        Self::caused_by(&FailureReason::of(error), false)
+        Self::due_to(&FailureReason::of(error), false)
     }
 
     /// The exchange with the engine failed for a reason. `time_is_up` when the request itself
     /// has no time left.
-    pub(super) fn caused_by(reason: &FailureReason, time_is_up: bool) -> Self {
+    pub(super) fn due_to(reason: &FailureReason, time_is_up: bool) -> Self {
         let text = reason.to_string();
         match reason {
             _ if time_is_up => Self::timed_out(&text, true),
--- a/crates/gateway/src/forward/buffered_answer.rs
+++ b/crates/gateway/src/forward/buffered_answer.rs
@@ -88,9 +88,7 @@
         let watch = self.watch_engine(&chosen.instance);
         let reading = pin!(self.read_buffered(answer, Some(&watch)));
         let read = watch.unless_lost(reading).await;
-        read.unwrap_or_else(|| {
-            ReadEnd::Broken(Broken::caused_by(&FailureReason::EngineLost, false))
-        })
+        read.unwrap_or_else(|| ReadEnd::Broken(Broken::due_to(&FailureReason::EngineLost, false)))
     }
 
     async fn read_buffered(
--- a/crates/gateway/src/forward/sending.rs
+++ b/crates/gateway/src/forward/sending.rs
@@ -154,7 +154,7 @@
     }
 
     fn broken(&self, failure: &ExchangeFailure) -> AttemptEnd {
-        AttemptEnd::Broken(Broken::caused_by(&failure.reason, !self.has_time()))
+        AttemptEnd::Broken(Broken::due_to(&failure.reason, !self.has_time()))
     }
 
     /// Records a send that was lost. The request may have run: no later refusal of it may state
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -45,7 +45,7 @@
                 watch.unless_lost(step).await
             };
             match step.unwrap_or_else(|| {
-                StreamStep::Broken(Broken::caused_by(&FailureReason::EngineLost, false))
+                StreamStep::Broken(Broken::due_to(&FailureReason::EngineLost, false))
             }) {
                 StreamStep::Events(bytes) => {
                     watch.record_activity();
