--- a/crates/gateway/src/callers/connection.rs
+++ b/crates/gateway/src/callers/connection.rs
@@ -1,7 +1,7 @@
-//! One connection of a caller: request after request.
+//! Serves the requests of one caller connection.
 
 use super::start_hold::{start_hold_ms, wait_for_site};
-use super::{OpenConnection, RestingConnection};
+use super::{IdleConnection, OpenConnection};
 use crate::forward::{
     admit, refuse, serve, AfterAnswer, CallerAnswer, ReceivedRequest, TimeLimits,
 };
@@ -17,20 +17,19 @@
 use std::net::Shutdown;
 use std::sync::Arc;
 
-/// Rest of a kept connection after which a stopping node closes it, in
-/// milliseconds.
+/// Idle time after which a stopping node closes a kept connection, in milliseconds.
 const STOPPING_IDLE_MS: u64 = 1_500;
-/// Longest wait for a caller to read a refusal and close, in milliseconds.
+/// Longest wait for a caller to read the last answer and close, in milliseconds.
 const LINGER_MS: u64 = 300;
-/// Bytes that a caller may send ahead of the answer to its present request. Beyond
-/// them its connection ends after that answer.
+/// Bytes that a caller may pipeline before the answer to its current request. If it sends
+/// more, its connection is closed after that answer.
 const MAX_PIPELINED_BYTES: usize = 64 * 1024;
 
-/// How reading a head ended without a request.
+/// Why reading a head gave no request.
 enum NoRequest {
-    /// The connection ends without a word.
+    /// The connection has ended or is closed without an answer.
     Ended,
-    /// The caller is told why.
+    /// The caller gets a refusal.
     Refused(Refusal),
 }
 
@@ -59,7 +58,7 @@
     }
 }
 
-/// Waits for the next head, within the limits on its size and on time.
+/// Waits for the next head, within the limits on its size and time.
 async fn read_head(
     gateway: &Arc<Gateway>,
     connection: &mut BufferedStream,
@@ -67,28 +66,28 @@
 ) -> Result<(RequestHead, BodyDecoder), NoRequest> {
     let limits = caller_limits(gateway);
     if connection.pending().is_empty() {
-        let rest = open.rest(gateway.clock.now());
-        wait_for_bytes(gateway, connection, rest, limits.idle_timeout_ms).await?;
+        let idle = open.mark_idle(gateway.clock.now());
+        wait_for_bytes(gateway, connection, idle, limits.idle_timeout_ms).await?;
     }
     let reading = read_request_head(connection, limits.max_head_bytes);
     let refused = |kind, reason: &str| Err(NoRequest::Refused(Refusal::new(kind, reason)));
     match within(limits.head_timeout_ms, reading).await {
         Some(Ok(read)) => Ok(read),
-        None => refused(RefusalKind::RequestTimeout, "the head did not come in time"),
+        None => refused(RefusalKind::RequestTimeout, "the request head timed out"),
         Some(Err(HttpError::HeadTooLarge { .. })) => {
-            refused(RefusalKind::HeadTooLarge, "the head is over its limit")
+            refused(RefusalKind::HeadTooLarge, "the request head is too large")
         }
         Some(Err(HttpError::Malformed { reason })) => refused(RefusalKind::BadRequest, &reason),
         Some(Err(_)) => Err(NoRequest::Ended),
     }
 }
 
-/// Waits for the first byte of the next request. A stopping node waits shorter, and
-/// so does one that needs room for other callers.
+/// Waits for the first byte of the next request. The wait is shorter when the node is
+/// stopping, or needs the connection's slot for other callers.
 async fn wait_for_bytes(
     gateway: &Arc<Gateway>,
     connection: &mut BufferedStream,
-    mut rest: RestingConnection,
+    mut idle: IdleConnection,
     idle_timeout_ms: u64,
 ) -> Result<(), NoRequest> {
     let filling = async {
@@ -97,7 +96,7 @@
             _ => Err(NoRequest::Ended),
         }
     };
-    let resting = async {
+    let idling = async {
         let stop_began = gateway.stop_began.listen();
         if !gateway.is_stopping() {
             within(idle_timeout_ms, stop_began).await;
@@ -107,17 +106,17 @@
         }
         Err(NoRequest::Ended)
     };
-    let making_room = async {
-        rest.must_close().await;
+    let close_requested = async {
+        idle.wait_for_close_request().await;
         Err(NoRequest::Ended)
     };
-    let ending = futures_lite::future::or(resting, making_room);
+    let ending = futures_lite::future::or(idling, close_requested);
     futures_lite::future::or(filling, ending).await
 }
 
-fn new_answer(gateway: &Gateway, connection: &BufferedStream, keep: bool) -> CallerAnswer {
+fn new_answer(gateway: &Gateway, connection: &BufferedStream, keep_open: bool) -> CallerAnswer {
     let stalled_ms = gateway.settings().callers.stalled_ms;
-    CallerAnswer::new(connection.writer(), keep, stalled_ms)
+    CallerAnswer::new(connection.writer(), keep_open, stalled_ms)
 }
 
 fn caller_limits(gateway: &Gateway) -> CallerLimits {
@@ -132,15 +131,15 @@
     mut decoder: BodyDecoder,
 ) -> io::Result<AfterAnswer> {
     let received = gateway.clock.now();
-    let keep = head.keeps_alive() && !gateway.is_stopping();
-    let mut answer = new_answer(gateway, connection, keep);
+    let keep_open = head.keeps_alive() && !gateway.is_stopping();
+    let mut answer = new_answer(gateway, connection, keep_open);
     let expects_continue = head.headers.has_token("expect", "100-continue");
     let request = gateway.site.read_request(head);
     let limits = caller_limits(gateway);
     let deadline_ms = request.as_ref().ok().and_then(|known| known.deadline_ms);
     let limits = BodyLimits {
         max_bytes: limits.max_body_bytes,
-        // Nobody waits for the answer to a body that comes after the deadline.
+        // After the caller's deadline, nobody waits for the answer any more.
         timeout_ms: deadline_ms.map_or(limits.idle_timeout_ms, |deadline_ms| {
             deadline_ms.min(limits.idle_timeout_ms)
         }),
@@ -158,7 +157,7 @@
     };
     let hold_ms = start_hold_ms(gateway, deadline_ms);
     if let Some(hold_ms) = hold_ms {
-        if !hold(gateway, connection, hold_ms).await {
+        if !hold_until_site_known(gateway, connection, hold_ms).await {
             return Ok(AfterAnswer::Abort);
         }
         answer.close_after();
@@ -168,7 +167,7 @@
         Err((refusal, id)) => {
             log_refusal(gateway, &refusal, id.as_deref());
             if refusal.kind == RefusalKind::NotRun {
-                // The caller's next connection likely meets another node.
+                // The caller's next connection probably reaches another node.
                 answer.close_after();
             }
             refuse(gateway, &mut answer, &refusal, id.as_deref()).await
@@ -176,11 +175,16 @@
     }
 }
 
-/// Holds a request until this node knows its site; false when its caller has left.
-async fn hold(gateway: &Gateway, connection: &mut BufferedStream, hold_ms: u64) -> bool {
-    let mut has_dropped = false;
+/// Holds a request until this node has loaded the data of its site; returns false when the
+/// caller has disconnected.
+async fn hold_until_site_known(
+    gateway: &Gateway,
+    connection: &mut BufferedStream,
+    hold_ms: u64,
+) -> bool {
+    let mut has_discarded = false;
     let leaving = async {
-        caller_left(connection, &mut has_dropped).await;
+        wait_for_caller_close(connection, &mut has_discarded).await;
         false
     };
     let waiting = async {
@@ -234,7 +238,7 @@
         "configuration_age_ms" => age);
 }
 
-/// Answers, and gives up as soon as the caller closes its connection.
+/// Serves a request, and cancels it as soon as the caller closes its connection.
 async fn answer_watched(
     gateway: &Arc<Gateway>,
     connection: &mut BufferedStream,
@@ -242,34 +246,35 @@
     answer: CallerAnswer,
 ) -> io::Result<AfterAnswer> {
     let serving = serve(Arc::clone(gateway), received, answer);
-    let mut has_dropped = false;
+    let mut has_discarded = false;
     let watching = async {
-        caller_left(connection, &mut has_dropped).await;
+        wait_for_caller_close(connection, &mut has_discarded).await;
         Err(io::ErrorKind::ConnectionAborted.into())
     };
-    // A caller that left while it was queued or its body was read is seen before
-    // anything is sent.
+    // Polled first: a caller that disconnected while its connection was queued or its body
+    // was being read is noticed before anything is sent.
     let after = futures_lite::future::or(watching, serving).await?;
     Ok(match after {
-        AfterAnswer::Keep if has_dropped => AfterAnswer::Close,
+        AfterAnswer::Keep if has_discarded => AfterAnswer::Close,
         after => after,
     })
 }
 
-/// Waits until the caller closes its connection. What it sends ahead is kept for its
-/// next request up to a limit; beyond it everything is dropped, since only reading on
-/// shows the close.
-async fn caller_left(connection: &mut BufferedStream, has_dropped: &mut bool) {
+/// Waits until the caller closes its connection. Pipelined bytes are kept for the next
+/// request up to a limit. Beyond it all bytes are discarded, since the close is only
+/// noticed by reading on.
+async fn wait_for_caller_close(connection: &mut BufferedStream, has_discarded: &mut bool) {
     loop {
         match connection.fill().await {
             Ok(count) if count > 0 => {}
             _ => return,
         }
         let count = connection.pending().len();
-        if count > MAX_PIPELINED_BYTES || *has_dropped {
-            *has_dropped = true;
+        if count > MAX_PIPELINED_BYTES || *has_discarded {
+            *has_discarded = true;
             connection.consume(count);
-            // A caller that sends faster than this reads would hold the thread for ever.
+            // Without this, a caller that sends faster than it is read would block the thread
+            // for ever.
             futures_lite::future::yield_now().await;
         }
     }
@@ -279,23 +284,23 @@
 #[derive(Clone, Copy, Debug)]
 struct BodyLimits {
     max_bytes: usize,
-    /// Longest time for all of it, in milliseconds.
+    /// Longest time for reading the whole body, in milliseconds.
     timeout_ms: u64,
-    /// Whether the caller waits to be asked for it.
+    /// Whether the caller waits for `100 Continue` before it sends the body.
     expects_continue: bool,
 }
 
 /// Reads a body within its limits.
 ///
 /// # Errors
-/// The refusal, or nothing when the caller broke off.
+/// The refusal, or `None` when the connection broke.
 async fn read_body(
     connection: &mut BufferedStream,
     decoder: &mut BodyDecoder,
     limits: BodyLimits,
 ) -> Result<Vec<u8>, Option<Refusal>> {
     let too_large = || {
-        let reason = format!("the body is over {} bytes", limits.max_bytes);
+        let reason = format!("the body is larger than {} bytes", limits.max_bytes);
         Some(Refusal::new(RefusalKind::BodyTooLarge, reason))
     };
     let declared = decoder.declared_length().unwrap_or(0);
@@ -321,7 +326,7 @@
     };
     let read = within(limits.timeout_ms, reading).await;
     let slow = || {
-        let reason = "the body did not come in time";
+        let reason = "the request body timed out";
         Err(Some(Refusal::new(RefusalKind::RequestTimeout, reason)))
     };
     read.unwrap_or_else(slow)?;
@@ -335,8 +340,8 @@
     }
 }
 
-/// Ends a connection after a whole answer. Closing with unread bytes would
-/// reset the connection, and the caller could lose the answer.
+/// Closes a connection after a complete answer. Unread bytes are drained first: closing
+/// with them would reset the connection, and the caller could lose the answer.
 async fn linger(connection: &mut BufferedStream) {
     let _ = connection.writer().shutdown(Shutdown::Write);
     let draining = async {
@@ -348,7 +353,8 @@
     within(LINGER_MS, draining).await;
 }
 
-/// Ends a connection inside an answer. Its framing shows that it is not whole.
+/// Closes a connection within an answer. The framing shows the caller that the answer is
+/// incomplete.
 fn abort(connection: &BufferedStream) {
     let _ = connection.writer().shutdown(Shutdown::Both);
 }
--- a/crates/gateway/src/callers/open_connections.rs
+++ b/crates/gateway/src/callers/open_connections.rs
@@ -1,9 +1,8 @@
-//! Open connections of callers: how many there may be, and which of them rest.
+//! Open connections of callers: their limit, and which of them are idle.
 //!
-//! A connection that carries no request holds a descriptor, and may have fallen silent
-//! for good. At the limit the one that has rested longest is closed to make room, so
-//! that half-open connections never keep callers out. Connections with a request under
-//! way are left alone.
+//! An idle connection uses a file descriptor and may be half-open. At the limit, the
+//! connection that has been idle longest is closed for a new one, so that half-open
+//! connections never keep callers out. Connections with a request in progress stay open.
 
 use event_listener::{Event, EventListener};
 use ploverlift_policy::ids::Millis;
@@ -15,36 +14,36 @@
 pub struct ConnectionLimits {
     /// Connections that may be open at the same time.
     pub max_open: usize,
-    /// Rest after which a connection may be closed to make room, in milliseconds. A
+    /// Idle time after which a connection may be closed for a new one, in milliseconds. A
     /// caller that has just connected is about to send its request.
-    pub min_rest_ms: u64,
+    pub min_idle_ms: u64,
 }
 
-/// Counts connections.
+/// The open connections of a listener.
 #[derive(Debug)]
 pub struct OpenConnections {
     limits: ConnectionLimits,
     state: Mutex<State>,
-    /// Told whenever a connection has ended.
+    /// Notified whenever a connection has ended.
     pub ended: Event,
 }
 
 #[derive(Debug, Default)]
 struct State {
     open: usize,
-    next_rest: u64,
-    /// Resting connections; the one that has rested longest is first.
-    resting: BTreeMap<u64, Rest>,
+    next_idle_number: u64,
+    /// Idle connections by number; the one that became idle first has the lowest number.
+    idle: BTreeMap<u64, IdleEntry>,
 }
 
 #[derive(Debug)]
-struct Rest {
+struct IdleEntry {
     since: Millis,
     close: Arc<Event>,
 }
 
 impl OpenConnections {
-    /// No connections yet.
+    /// Creates the state without connections.
     pub fn new(limits: ConnectionLimits) -> Arc<Self> {
         Arc::new(Self {
             limits,
@@ -58,17 +57,17 @@
         state.unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub fn count(&self) -> usize {
         self.state().open
     }
 
     /// Whether one more connection may be opened.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.count() < self.limits.max_open
     }
 
-    /// Counts a connection until the guard is dropped.
+    /// Counts a connection as open until the guard is dropped.
     pub fn open(self: &Arc<Self>) -> OpenConnection {
         self.state().open += 1;
         OpenConnection {
@@ -76,36 +75,37 @@
         }
     }
 
-    /// Asks the connection that has rested longest to close; false when none has rested
-    /// long enough.
-    pub fn make_room(&self, now: Millis) -> bool {
+    /// Requests the connection that has been idle longest to close; returns false when none has
+    /// been idle long enough.
+    pub fn close_longest_idle(&self, now: Millis) -> bool {
         let mut state = self.state();
-        let oldest = state.resting.first_entry();
-        let rested = oldest.filter(|rest| now.since(rest.get().since) >= self.limits.min_rest_ms);
-        let Some(rested) = rested else {
+        let oldest = state.idle.first_entry();
+        let longest_idle = oldest
+            .filter(|idle_entry| now.since(idle_entry.get().since) >= self.limits.min_idle_ms);
+        let Some(longest_idle) = longest_idle else {
             return false;
         };
-        rested.remove().close.notify(usize::MAX);
+        longest_idle.remove().close.notify(usize::MAX);
         true
     }
 }
 
-/// One open connection.
+/// Guard of one open connection.
 #[derive(Debug)]
 pub struct OpenConnection {
     connections: Arc<OpenConnections>,
 }
 
 impl OpenConnection {
-    /// The connection carries no request until the rest is dropped.
-    pub fn rest(&self, now: Millis) -> RestingConnection {
+    /// Marks the connection as idle until the returned guard is dropped.
+    pub fn mark_idle(&self, now: Millis) -> IdleConnection {
         let close = Arc::new(Event::new());
         let closing = close.listen();
         let mut state = self.connections.state();
-        let number = state.next_rest;
-        state.next_rest += 1;
-        state.resting.insert(number, Rest { since: now, close });
-        RestingConnection {
+        let number = state.next_idle_number;
+        state.next_idle_number += 1;
+        state.idle.insert(number, IdleEntry { since: now, close });
+        IdleConnection {
             connections: Arc::clone(&self.connections),
             number,
             closing,
@@ -120,22 +120,22 @@
     }
 }
 
-/// A connection that carries no request.
-pub struct RestingConnection {
+/// Guard of a connection that has no request in progress.
+pub struct IdleConnection {
     connections: Arc<OpenConnections>,
     number: u64,
     closing: EventListener,
 }
 
-impl RestingConnection {
-    /// Waits until the connection has to make room.
-    pub async fn must_close(&mut self) {
+impl IdleConnection {
+    /// Waits until the connection should close for a new one.
+    pub async fn wait_for_close_request(&mut self) {
         (&mut self.closing).await;
     }
 }
 
-impl Drop for RestingConnection {
+impl Drop for IdleConnection {
     fn drop(&mut self) {
-        self.connections.state().resting.remove(&self.number);
+        self.connections.state().idle.remove(&self.number);
     }
 }
--- a/crates/gateway/src/forward/attempt.rs
+++ b/crates/gateway/src/forward/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt: choosing an engine, sending the request, judging the answer.
+//! One attempt: sends the request to the chosen engine, processes its answer and records
+//! the outcome.
 
 use super::broken::{BreakCause, Broken};
 use super::choice::ChosenEngine;
@@ -11,45 +12,46 @@
 use ploverlift_policy::ids::Millis;
 use std::io;
 
-/// Silence that is borne for a prompt, as a multiple of the time to read it. A
-/// long prompt that is sent to a second engine too early is read twice.
-const PROMPT_PATIENCE: f64 = 2.0;
+/// Time added to the time-out of an attempt for the prefill, as a multiple of the expected
+/// prefill time. If a long prompt is sent to a second engine too early, it is prefilled
+/// twice.
+const PREFILL_TIMEOUT_FACTOR: f64 = 2.0;
 
 /// How an attempt ended.
 pub(super) enum AttemptEnd {
-    /// The caller has its answer.
+    /// The answer to the caller has ended, completely or broken off.
     Done {
         /// What becomes of the caller's connection.
         after: AfterAnswer,
-        /// For the log.
+        /// Outcome for the request's log line.
         outcome: &'static str,
     },
-    /// No connection came about; nothing was sent.
+    /// The connection could not be established; nothing was sent.
     Unreachable {
-        /// What happened.
+        /// Why the connection failed.
         reason: String,
-        /// Whether that speaks against the engine, and not against this node.
+        /// Whether the engine caused the failure, as opposed to this node.
         is_engines_fault: bool,
     },
-    /// The engine began to leave, or was gone, while a connection to it came about;
+    /// The engine began to leave or was removed while the connection was being established;
     /// nothing was sent.
-    Left,
-    /// What was known when the engine was chosen does not hold any more, or an engine ended
-    /// under this request meanwhile; nothing was sent.
+    EngineLeft,
+    /// The choice of the engine is no longer valid, or an engine ended meanwhile while it ran
+    /// this request; nothing was sent.
     Withheld,
-    /// The engine did not run it.
+    /// The engine refused the request and did not run it.
     Refused,
-    /// The engine did not run it: its weights are not those expected. They are
-    /// known now.
+    /// The engine refused the request and did not run it: its weights are not the expected
+    /// ones. The version of its weights has been recorded.
     OtherWeights,
-    /// The engine ran it and failed.
+    /// The engine ran the request and failed.
     Failed {
-        /// The engine's answer.
+        /// Head of the engine's answer.
         head: ResponseHead,
-        /// Its body.
+        /// Body of the engine's answer.
         body: Vec<u8>,
     },
-    /// It may have run and there is no whole answer.
+    /// The request may have run, and there is no complete answer.
     Broken(Broken),
 }
 
@@ -59,7 +61,7 @@
         matches!(
             self,
             Self::Unreachable { .. }
-                | Self::Left
+                | Self::EngineLeft
                 | Self::Withheld
                 | Self::Refused
                 | Self::OtherWeights
@@ -68,12 +70,12 @@
 }
 
 impl Forwarding {
-    /// Sends the request to an engine and hands its answer on.
+    /// Sends the request to an engine and forwards its answer to the caller.
     ///
     /// # Errors
-    /// When the caller is gone.
+    /// When writing to the caller fails.
     pub(super) async fn attempt(&mut self, chosen: ChosenEngine) -> io::Result<AttemptEnd> {
-        let tokens = chosen.tokens_to_read;
+        let tokens = chosen.tokens_to_prefill;
         let subject = AttemptSubject {
             service: self.received.admission.service.clone(),
             route: self.received.admission.route.name.clone(),
@@ -89,7 +91,7 @@
         self.note_choice(&chosen);
         self.record.begin_attempt(&chosen);
         let end = match self.send(&chosen).await {
-            Ok(answer) => self.hand_on(answer, &chosen, &mut in_flight).await?,
+            Ok(answer) => self.process_answer(answer, &chosen, &mut in_flight).await?,
             Err(end) => {
                 self.note_unanswered(&in_flight, &end);
                 end
@@ -101,7 +103,7 @@
             reservation.not_run();
         }
         match &end {
-            AttemptEnd::Broken(broken) => self.note_break(broken, &chosen, &in_flight),
+            AttemptEnd::Broken(broken) => self.note_broken_attempt(broken, &chosen, &in_flight),
             AttemptEnd::Done {
                 outcome: "answered" | "rejected_by_engine",
                 ..
@@ -113,16 +115,21 @@
         Ok(end)
     }
 
-    /// An attempt broke; its engine may have ended.
-    pub(super) fn note_break(&self, broken: &Broken, chosen: &ChosenEngine, at: &InFlight) {
+    /// Records a broken attempt. If the connection ended, the engine itself may have ended.
+    pub(super) fn note_broken_attempt(
+        &self,
+        broken: &Broken,
+        chosen: &ChosenEngine,
+        at: &InFlight,
+    ) {
         if broken.cause == BreakCause::ConnectionEnded {
-            self.note_cut(chosen, at.begun(), at.streamed_ms());
+            self.note_cut_request(chosen, at.start_time(), at.streamed_ms());
         }
     }
 
-    /// The engine ended the connection: what ran there is remembered while this node
-    /// finds out whether the engine has ended.
-    pub(super) fn note_cut(&self, chosen: &ChosenEngine, begun: Millis, streamed_ms: u64) {
+    /// Records that the engine closed or reset the connection. The request is remembered until
+    /// this node has determined whether the engine itself has ended.
+    pub(super) fn note_cut_request(&self, chosen: &ChosenEngine, begun: Millis, streamed_ms: u64) {
         let cut = CutRequest {
             fingerprint: self.received.fingerprint,
             tenant: self.tenant_tag(),
@@ -141,18 +148,18 @@
         let metrics = &self.gateway.metrics;
         metrics.count_distance(chosen.distance, self.received.body.len() as u64);
         if let Some(prompt) = &self.received.request.prompt {
-            let held = chosen.held_tokens;
-            let own = prompt.tokens() - prompt.shared_tokens();
-            let read = chosen.tokens_to_read.saturating_sub(own);
-            let moved = prompt.shared_tokens().saturating_sub(held + read);
-            metrics.count_shared_tokens("held", held);
-            metrics.count_shared_tokens("moved", moved);
-            metrics.count_shared_tokens("read", read);
+            let cached = chosen.locally_cached_tokens;
+            let unshared = prompt.tokens() - prompt.shared_tokens();
+            let prefilled = chosen.tokens_to_prefill.saturating_sub(unshared);
+            let transferred = prompt.shared_tokens().saturating_sub(cached + prefilled);
+            metrics.count_shared_tokens("held", cached);
+            metrics.count_shared_tokens("moved", transferred);
+            metrics.count_shared_tokens("read", prefilled);
         }
     }
 
-    /// Notes an attempt without an answer. That a request had less time than engines
-    /// usually take says nothing about its engine.
+    /// Records an attempt without an answer. If the request had less time left than engines
+    /// usually take, the outcome is not held against the engine.
     fn note_unanswered(&self, in_flight: &InFlight, end: &AttemptEnd) {
         let settings = self.gateway.settings();
         let waited_ms = in_flight.age_ms();
@@ -162,39 +169,41 @@
                 is_engines_fault: false,
                 ..
             }
-            | AttemptEnd::Left
+            | AttemptEnd::EngineLeft
             | AttemptEnd::Withheld => {}
             AttemptEnd::Unreachable { .. } => {
                 if waited_ms >= settings.attempts.connect_timeout_ms || self.has_time() {
-                    in_flight.note(Outcome::Unreachable);
+                    in_flight.note_outcome(Outcome::Unreachable);
                 }
             }
             AttemptEnd::Broken(broken) => {
-                if !broken.time_is_up() || waited_ms >= self.usual_silence_ms() {
-                    in_flight.note(Outcome::Broken);
+                if !broken.time_is_up() || waited_ms >= self.answer_timeout_ms() {
+                    in_flight.note_outcome(Outcome::Broken);
                 }
             }
-            _ => in_flight.note(Outcome::Broken),
+            _ => in_flight.note_outcome(Outcome::Broken),
         }
     }
 
-    /// Silence after which another engine is tried; nothing when none may be.
+    /// Time without an answer after which another engine is tried, in milliseconds; `None` when
+    /// this is the last attempt.
     pub(super) fn attempt_timeout_ms(&self) -> Option<u64> {
         if self.progress.attempts.is_last_attempt() {
             return None;
         }
-        Some(self.usual_silence_ms())
+        Some(self.answer_timeout_ms())
     }
 
-    /// Silence after which an engine that may still answer is taken to have failed.
-    fn usual_silence_ms(&self) -> u64 {
+    /// Time without an answer after which the attempt counts as failed, in milliseconds,
+    /// although the engine may still answer.
+    fn answer_timeout_ms(&self) -> u64 {
         let objective_ms = self.received.admission.route.objective_ms as f64;
         let settings = self.gateway.settings();
         let usual_ms = objective_ms * settings.attempts.timeout_objectives;
-        (usual_ms + self.prefill_ms() * PROMPT_PATIENCE) as u64
+        (usual_ms + self.prefill_ms() * PREFILL_TIMEOUT_FACTOR) as u64
     }
 
-    /// Time that an engine takes to read the prompt, in milliseconds.
+    /// Expected time of an engine for the prefill of the prompt, in milliseconds.
     fn prefill_ms(&self) -> f64 {
         let prompt = self.received.request.prompt.as_ref();
         let tokens = prompt.map_or(0, |prompt| prompt.tokens());
--- a/crates/gateway/src/forward/broken.rs
+++ b/crates/gateway/src/forward/broken.rs
@@ -1,20 +1,20 @@
-//! How an attempt broke that was sent and has no whole answer.
+//! Attempts whose request was sent and that got no complete answer.
 
 use crate::engine_connection::FailureReason;
 use ploverlift_http1::HttpError;
 
-/// What broke an attempt.
+/// Why an attempt broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BreakCause {
-    /// The engine closed or reset the connection: it may have ended.
+    /// The engine closed or reset the connection; the engine itself may have ended.
     ConnectionEnded,
-    /// The request's time was up.
+    /// The request's deadline or its route's time-out has passed.
     TimeIsUp,
-    /// The wait was given up, or the answer is none.
+    /// The wait was given up, or the answer is invalid.
     Other,
 }
 
-/// An attempt that was sent and has no whole answer.
+/// A request was sent and got no complete answer.
 #[derive(Clone, Debug)]
 pub(super) struct Broken {
     pub(super) reason: String,
@@ -22,7 +22,7 @@
 }
 
 impl Broken {
-    /// A wait that was given up, or an answer that is none.
+    /// The wait was given up, or the answer is invalid.
     pub(super) fn other(reason: impl Into<String>) -> Self {
         Self {
             reason: reason.into(),
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Silence for too long.
-    pub(super) fn silent(reason: &str, time_is_up: bool) -> Self {
+    /// Nothing arrived in time. `time_is_up` when the request itself has no time left.
+    pub(super) fn timed_out(reason: &str, time_is_up: bool) -> Self {
         Self {
             reason: reason.to_owned(),
             cause: match time_is_up {
@@ -41,16 +41,17 @@
         }
     }
 
-    /// What an error inside an answer says.
-    pub(super) fn inside_answer(error: &HttpError) -> Self {
-        Self::failed(&FailureReason::of(error), false)
+    /// An error occurred after the head of the answer.
+    pub(super) fn in_answer(error: &HttpError) -> Self {
+        Self::due_to(&FailureReason::of(error), false)
     }
 
-    /// What kept the head of an answer from coming.
-    pub(super) fn failed(reason: &FailureReason, time_is_up: bool) -> Self {
+    /// The exchange with the engine failed for a reason. `time_is_up` when the request itself
+    /// has no time left.
+    pub(super) fn due_to(reason: &FailureReason, time_is_up: bool) -> Self {
         let text = reason.to_string();
         match reason {
-            _ if time_is_up => Self::silent(&text, true),
+            _ if time_is_up => Self::timed_out(&text, true),
             FailureReason::ConnectionEnded(_) => Self {
                 reason: text,
                 cause: BreakCause::ConnectionEnded,
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -1,39 +1,39 @@
-//! One request, from its head to the end of its answer.
+//! Forwarding of one request, from its admission to the end of its answer.
 //!
 //! ```text
-//! admission ─▶ attempt ─▶ whole answer ─▶ caller
+//! admission ─▶ attempt ─▶ buffered answer ─▶ caller
 //!     │          │  ▲  └▶ event stream ─▶
-//!     │          └──┘ another engine, while that is true, allowed and in budget
+//!     │          └──┘ retry at another engine, while permitted and within the budget
 //!     └▶ refusal
 //! ```
 //!
-//! What may be said of a request and whether it may be sent again follows from all that
-//! was sent ([`AttemptLedger`]): 503 ("has not run and will not") only when no byte can
-//! have reached an engine, or each engine said that it did not run it
-//! ([`final_answer`]).
+//! The final status and whether a request may be retried follow from all sends of it
+//! ([`AttemptLedger`]), not only from the last attempt. It is answered with 503 ("has not
+//! run and will not") only when no byte can have reached an engine, or when each engine
+//! that was tried reported that it did not run it ([`final_answer`]).
 
 mod admission;
 mod answer_head;
 mod attempt;
-mod begin_limit;
 mod broken;
+mod buffered_answer;
 mod caller_answer;
 mod choice;
-mod engine_limit;
+mod engine_data_hold;
 mod engine_notices;
+mod engine_tokens;
 mod engine_watch;
-mod engines_hold;
 mod events;
 mod final_answer;
 mod in_flight;
 mod limits;
-mod prospects;
+mod load_shedding;
 mod quarantine;
 mod record;
 mod running_request;
 mod sending;
+mod start_deadline;
 mod stream;
-mod whole;
 
 pub use admission::{admit, Admission};
 pub use caller_answer::{AfterAnswer, CallerAnswer};
@@ -44,33 +44,33 @@
 use crate::state::Gateway;
 use attempt::AttemptEnd;
 use choice::ChosenEngine;
-use engine_limit::EngineToken;
+use engine_tokens::EngineToken;
 use final_answer::{EngineFailure, FinalAnswer};
+use load_shedding::Unservable;
 use ploverlift_balancing::attempts::{AttemptLedger, AttemptLimits, AttemptOutcome};
 use ploverlift_balancing::catalogue::InstanceId;
 use ploverlift_balancing::selection::NoChoice;
 use ploverlift_quarantine::fingerprint::RequestFingerprint;
-use prospects::Unservable;
 use quarantine::RequestClaim;
 use record::RequestRecord;
 use std::io;
 use std::sync::Arc;
 
-/// A request whose head and body were read.
+/// A request whose head and body have been read.
 pub struct ReceivedRequest {
-    /// What the head says.
+    /// The parsed head.
     pub request: CallerRequest,
     /// The body.
     pub body: Vec<u8>,
-    /// Why it may run.
+    /// The result of admission: route, service, tenant and reservation.
     pub admission: Admission,
-    /// The time it has.
+    /// Its deadline and its route's time-out.
     pub limits: TimeLimits,
-    /// What is the same in each repeat of it.
+    /// Identifies the request: equal for all copies and retries of it.
     pub fingerprint: RequestFingerprint,
 }
 
-/// What the attempts so far have left for the final answer.
+/// Results of the attempts so far, from which the final answer is made.
 struct Progress {
     attempts: AttemptLedger,
     last_event: Option<String>,
@@ -78,13 +78,13 @@
     retry_after_ms: Option<u64>,
     time_is_up: bool,
     reason: String,
-    /// Whether rollouts have counted it.
+    /// Whether the request has been counted for rollouts.
     is_counted: bool,
-    /// Whether a repeat was taken from the budget and not made yet.
-    has_taken_repeat: bool,
-    /// Whether it has waited for a copy of it that runs elsewhere.
+    /// Whether a retry was taken from the retry budget and has not been sent yet.
+    has_taken_retry: bool,
+    /// Whether the request has used up its wait for a copy of it that runs elsewhere.
     has_waited: bool,
-    /// Engines that had no token for it.
+    /// Number of token requests for it that were denied.
     denials: u32,
 }
 
@@ -95,16 +95,16 @@
     answer: CallerAnswer,
     progress: Progress,
     record: RequestRecord,
-    /// This node's claim on a request under which an engine ended.
+    /// This node's claim to send a request during which an engine ended.
     claim: Option<RequestClaim>,
     /// The token for an engine that has a rate limit.
     token: Option<EngineToken>,
 }
 
-/// Answers a request.
+/// Forwards a request to an engine and writes the answer to the caller.
 ///
 /// # Errors
-/// When the caller is gone.
+/// When writing to the caller fails.
 pub async fn serve(
     gateway: Arc<Gateway>,
     received: ReceivedRequest,
@@ -124,7 +124,7 @@
         time_is_up: false,
         reason: String::new(),
         is_counted: false,
-        has_taken_repeat: false,
+        has_taken_retry: false,
         has_waited: false,
         denials: 0,
     };
@@ -151,7 +151,7 @@
             .record_request(now);
         loop {
             if !self.has_time() {
-                "its time was up before it could be sent".clone_into(&mut self.progress.reason);
+                "time ran out before the request was sent".clone_into(&mut self.progress.reason);
                 return self.give_up().await;
             }
             if !self.may_accept_key() {
@@ -162,7 +162,7 @@
                 "this node lacks news of the engines".clone_into(&mut self.progress.reason);
                 return self.give_up().await;
             }
-            if let Err(withheld) = self.may_be_sent().await {
+            if let Err(withheld) = self.wait_for_permission().await {
                 self.note_withheld(&withheld);
                 return self.give_up().await;
             }
@@ -180,18 +180,18 @@
                     return self.give_up().await;
                 }
             };
-            if let Some(unservable) = self.first_refusal(&chosen) {
+            if let Some(unservable) = self.check_first_attempt(&chosen) {
                 self.note_unservable(unservable);
                 return self.give_up().await;
             }
             if !self.acquire_token(&chosen).await {
                 self.progress.denials += 1;
-                self.record.denied(&chosen);
+                self.record.record_denial(&chosen);
                 continue;
             }
             let is_repeat = self.progress.attempts.next_is_repeat();
-            let is_taken = std::mem::take(&mut self.progress.has_taken_repeat);
-            if is_repeat && !is_taken && !self.take_repeat() {
+            let is_taken = std::mem::take(&mut self.progress.has_taken_retry);
+            if is_repeat && !is_taken && !self.take_retry() {
                 "the retry budget is spent".clone_into(&mut self.progress.reason);
                 return self.give_up().await;
             }
@@ -201,21 +201,21 @@
                 self.finish(outcome, "");
                 return Ok(after);
             }
-            if !self.may_go_on(end, instance) {
+            if !self.conclude_attempt(end, instance) {
                 return self.give_up().await;
             }
         }
     }
 
-    /// Whether the request is refused before anything was tried.
-    fn first_refusal(&self, chosen: &ChosenEngine) -> Option<Unservable> {
+    /// Checks before the first attempt only whether the request can be served.
+    fn check_first_attempt(&self, chosen: &ChosenEngine) -> Option<Unservable> {
         match self.progress.attempts.tried().is_empty() {
-            true => self.unservable(chosen),
+            true => self.check_servable(chosen),
             false => None,
         }
     }
 
-    fn take_repeat(&self) -> bool {
+    fn take_retry(&self) -> bool {
         let now = self.gateway.clock.now();
         let settings = self.gateway.settings();
         let mut beliefs = self.gateway.beliefs();
@@ -238,15 +238,15 @@
             NoChoice::SoftwareHeldBack => "no engine has a version that may serve",
             NoChoice::WeightsTooOld => "no engine has the new weights yet",
             NoChoice::WeightsNotProven => "it is not proven which weights are the newest",
-            NoChoice::BackingOff => "this node backs off from all engines",
-            NoChoice::RateLimited => "the engine that takes a request may not serve it",
+            NoChoice::BackingOff => "all engines of the service are in backoff",
+            NoChoice::RateLimited => "the engine that granted a token may not serve the request",
             NoChoice::AllTried => return,
         };
         reason.clone_into(&mut self.progress.reason);
     }
 
-    /// Takes in how an attempt ended; tells whether another one may follow.
-    fn may_go_on(&mut self, end: AttemptEnd, instance: InstanceId) -> bool {
+    /// Records the end of an attempt; returns whether another attempt may follow.
+    fn conclude_attempt(&mut self, end: AttemptEnd, instance: InstanceId) -> bool {
         let progress = &mut self.progress;
         let outcome = match end {
             AttemptEnd::Done { .. } => return false,
@@ -255,8 +255,8 @@
                 progress.reason = reason;
                 AttemptOutcome::Unreachable
             }
-            AttemptEnd::Left => {
-                "the engine left before it was sent".clone_into(&mut progress.reason);
+            AttemptEnd::EngineLeft => {
+                "the engine left before the request was sent".clone_into(&mut progress.reason);
                 AttemptOutcome::Unreachable
             }
             AttemptEnd::Refused => {
@@ -281,8 +281,9 @@
         progress.attempts.record_outcome(instance, outcome) && self.has_time()
     }
 
-    /// Whether the caller's key may still be accepted: the request may have waited here
-    /// since it was admitted, and the machine slept.
+    /// Whether the caller's key may still be accepted. The request may have waited since its
+    /// admission, also through a suspension of the machine, and keys may have been revoked
+    /// meanwhile.
     fn may_accept_key(&self) -> bool {
         let admission = &self.received.admission;
         let needs_key = admission.configuration.tenants.is_some() && !admission.route.is_public;
@@ -293,9 +294,9 @@
         self.received.limits.left_ms(self.gateway.clock.now()) > 0
     }
 
-    /// The final answer of a request that no engine has answered.
+    /// Sends the final answer of a request that no engine has answered.
     async fn give_up(&mut self) -> io::Result<AfterAnswer> {
-        // What did not run is given back before the caller may come back for it.
+        // An unused reservation is returned before the caller may retry.
         self.received.admission.reservation = None;
         let reason = self.progress.reason.clone();
         if self.answer.has_started() {
@@ -308,7 +309,7 @@
         let id = Some(self.received.request.id.as_str());
         match last {
             FinalAnswer::EngineFailure(failure) => {
-                self.answer.whole(failure.head, &failure.body).await
+                self.answer.send_complete(failure.head, &failure.body).await
             }
             FinalAnswer::Refusal(refusal) => {
                 refuse(&self.gateway, &mut self.answer, &refusal, id).await
@@ -322,10 +323,10 @@
     }
 }
 
-/// Answers with a refusal.
+/// Writes a refusal to the caller.
 ///
 /// # Errors
-/// When the caller is gone.
+/// When writing to the caller fails.
 pub async fn refuse(
     gateway: &Gateway,
     answer: &mut CallerAnswer,
@@ -334,5 +335,5 @@
 ) -> io::Result<AfterAnswer> {
     let head = gateway.site.refusal_head(refusal, request_id);
     let body = format!("{}\n", refusal.reason);
-    answer.whole(head, body.as_bytes()).await
+    answer.send_complete(head, body.as_bytes()).await
 }
--- a/crates/gateway/src/forward/quarantine.rs
+++ b/crates/gateway/src/forward/quarantine.rs
@@ -1,7 +1,7 @@
-//! Whether a request is sent, by what it did to engines before, whoever sent it.
+//! Withholds requests during which engines have ended, at this node or at others.
 //!
-//! Asked each time right before the bytes go: a request may wait here while engines end
-//! under a copy of it elsewhere.
+//! This is checked each time right before the bytes are sent: while a request waits here,
+//! engines may end elsewhere during a copy of it.
 
 use super::Forwarding;
 use crate::beliefs::Beliefs;
@@ -13,24 +13,25 @@
 use ploverlift_routing::rate_limit::TenantTag;
 use std::sync::Arc;
 
-/// Longest wait for a copy that runs elsewhere, in milliseconds: most end engines, or are
-/// answered, sooner.
-const LONGEST_HOLD_MS: u64 = 300;
-/// Part of the time that a request has left for which it waits at most.
-const LEFT_SHARE: u64 = 4;
-/// Time from a claim until it counts, in milliseconds, in which the claims of others arrive:
-/// where nodes report to each other, and where relays pass reports on.
-const CLAIM_MS: u64 = 25;
-const RELAYED_CLAIM_MS: u64 = 150;
+/// Longest wait for a copy that runs elsewhere, in milliseconds. Most copies are answered,
+/// or end their engine, sooner.
+const MAX_HOLD_MS: u64 = 300;
+/// A request waits at most for its remaining time divided by this.
+const HOLD_DIVISOR: u64 = 4;
+/// Time from a claim until it takes effect, in milliseconds, during which the claims of other
+/// nodes arrive: where nodes report to each other directly.
+const CLAIM_DELAY_MS: u64 = 25;
+/// The same where relays forward the reports.
+const RELAYED_CLAIM_DELAY_MS: u64 = 150;
 
-/// Why a request is not sent.
+/// Why a request is withheld.
 pub(super) struct Withheld {
     reason: &'static str,
     retry_after_ms: u64,
 }
 
-/// This node's claim to send a request under which an engine ended. It is given up when
-/// it is dropped.
+/// This node's claim to send a request during which an engine ended. Dropping it releases
+/// the claim.
 pub(super) struct RequestClaim {
     gateway: Arc<Gateway>,
     request: RequestFingerprint,
@@ -47,15 +48,15 @@
 }
 
 impl Forwarding {
-    /// Waits until the request may be sent, or it is known that it may not. Under suspicion
-    /// one copy is sent at a time in the whole fleet, by the node that has claimed it.
-    pub(super) async fn may_be_sent(&mut self) -> Result<(), Withheld> {
+    /// Waits until it is decided whether the request may be sent. Of a suspected request, only
+    /// one copy at a time is sent in the whole fleet, by the node that has claimed it.
+    pub(super) async fn wait_for_permission(&mut self) -> Result<(), Withheld> {
         let began = self.gateway.clock.now();
         let left_ms = self.received.limits.left_ms(began);
-        let until = began.plus(LONGEST_HOLD_MS.min(left_ms / LEFT_SHARE));
+        let hold_until = began.plus(MAX_HOLD_MS.min(left_ms / HOLD_DIVISOR));
         loop {
             let gateway = Arc::clone(&self.gateway);
-            let news = gateway.quarantine_changed.listen();
+            let changed = gateway.quarantine_changed.listen();
             match self.permission() {
                 Permission::Free => return Ok(()),
                 Permission::Refused { retry_after_ms } => {
@@ -74,17 +75,17 @@
                     retry_after_ms,
                 } => {
                     let now = gateway.clock.now();
-                    self.progress.has_waited |= until <= now;
-                    if self.may_go_beside(moments) {
+                    self.progress.has_waited |= hold_until <= now;
+                    if self.may_run_concurrently(moments) {
                         return Ok(());
                     }
-                    if until <= now {
+                    if hold_until <= now {
                         return Err(Withheld {
                             reason: "an engine ended while it ran this request, and another is running it",
                             retry_after_ms,
                         });
                     }
-                    within(until.since(now), news).await;
+                    within(hold_until.since(now), changed).await;
                 }
             }
         }
@@ -98,21 +99,24 @@
         quarantine.permission_for(self.received.fingerprint, has_new_software, now)
     }
 
-    /// Whether no engine of the service has the software any more that ended under it.
+    /// Whether no engine of the service still has a software version that ended during the
+    /// request.
     fn has_new_software(&self, beliefs: &Beliefs) -> bool {
         let request = self.received.fingerprint;
-        let Some(ended) = beliefs.quarantine.refused_software(request) else {
+        let Some(ended_versions) = beliefs.quarantine.refused_software(request) else {
             return false;
         };
         let service = &self.received.admission.service;
         let mut engines = beliefs.engines.of_service(service).peekable();
-        let is_told = ended.iter().any(|version| !version.0.is_empty());
+        let is_version_known = ended_versions.iter().any(|version| !version.0.is_empty());
         let has_engines = engines.peek().is_some();
-        is_told && has_engines && engines.all(|engine| !ended.contains(&engine.record.software))
+        is_version_known
+            && has_engines
+            && engines.all(|engine| !ended_versions.contains(&engine.record.software))
     }
 
-    /// Claims the request, and waits for the claims of others; tells whether this node's
-    /// stands.
+    /// Claims the request and waits for the claims of other nodes; returns whether this node
+    /// holds the claim then.
     async fn claim(&mut self) -> bool {
         let request = self.received.fingerprint;
         let own = PeerId::of(&self.gateway.settings().node.name);
@@ -125,25 +129,26 @@
             own,
         });
         let has_relays = self.gateway.address_book().has_relays();
-        let others = self.gateway.address_book().listed_nodes() > 1;
-        match (others, has_relays) {
+        let has_other_nodes = self.gateway.address_book().listed_nodes() > 1;
+        match (has_other_nodes, has_relays) {
             (false, _) => {}
-            (true, false) => sleep(CLAIM_MS).await,
-            (true, true) => sleep(RELAYED_CLAIM_MS).await,
+            (true, false) => sleep(CLAIM_DELAY_MS).await,
+            (true, true) => sleep(RELAYED_CLAIM_DELAY_MS).await,
         }
-        let stands = self
+        let holds_claim = self
             .gateway
             .beliefs()
             .quarantine
             .is_claimed_by(request, own);
-        if !stands {
+        if !holds_claim {
             self.claim = None;
         }
-        stands
+        holds_claim
     }
 
-    /// Whether the request may still be sent, right before it is.
-    pub(super) fn begins(&self) -> bool {
+    /// Whether the request may still be sent, checked right before it is; a claimed request
+    /// is recorded as begun.
+    pub(super) fn begin_if_permitted(&self) -> bool {
         let now = self.gateway.clock.now();
         let mut beliefs = self.gateway.beliefs();
         if beliefs.quarantine.is_empty() {
@@ -156,36 +161,36 @@
             Some(claim) => quarantine.begin_attempt(request, claim.own, has_new_software, now),
             None => match quarantine.permission_for(request, has_new_software, now) {
                 Permission::Free => true,
-                Permission::Busy { moments, .. } => self.may_go_beside(moments),
+                Permission::Busy { moments, .. } => self.may_run_concurrently(moments),
                 Permission::AfterClaim | Permission::Refused { .. } => false,
             },
         }
     }
 
-    /// Whether it is sent beside a copy that runs elsewhere. A copy that ends its engine
-    /// mostly does so within the wait; after it, one end is not enough to refuse what may
-    /// be harmless.
-    fn may_go_beside(&self, moments: usize) -> bool {
+    /// Whether the request is sent while a copy of it runs elsewhere. A copy that ends its
+    /// engine mostly does so within the wait; after the wait, a single end is not enough to
+    /// refuse a request that may be harmless.
+    fn may_run_concurrently(&self, moments: usize) -> bool {
         self.progress.has_waited && moments <= 1
     }
 
-    /// Waits until it is found out whether the engine of a lost sending has ended.
-    pub(super) async fn wait_until_found(&self) {
+    /// Waits until it is determined whether the engine of a lost send has ended.
+    pub(super) async fn wait_until_engine_end_known(&self) {
         let gateway = &self.gateway;
         let request = self.received.fingerprint;
         let finding = async {
             loop {
-                let news = gateway.quarantine_changed.listen();
+                let changed = gateway.quarantine_changed.listen();
                 if !gateway.beliefs().quarantine.is_outcome_pending(request) {
                     return;
                 }
-                news.await;
+                changed.await;
             }
         };
-        within(LONGEST_HOLD_MS, finding).await;
+        within(MAX_HOLD_MS, finding).await;
     }
 
-    /// An engine answered the request whole: none ends under it.
+    /// Records that an engine answered the request completely, which clears it of suspicion.
     pub(super) fn note_answered(&self) {
         let now = self.gateway.clock.now();
         let request = self.received.fingerprint;
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -1,15 +1,14 @@
-//! An engine's event stream, event by event, to the caller.
+//! Forwarding of an engine's event stream to the caller.
 //!
-//! Only whole events are passed on. When the stream breaks and may be resumed,
-//! another engine continues after the last event that the caller has, inside
-//! the same answer.
+//! Only complete events are forwarded. When the stream breaks and may be resumed, another
+//! engine continues after the last event that was forwarded, within the same answer.
 
 use super::attempt::AttemptEnd;
 use super::broken::Broken;
+use super::buffered_answer::forwarded_head;
 use super::choice::ChosenEngine;
 use super::events::{is_after, EventSplitter};
 use super::in_flight::InFlight;
-use super::whole::passed_on;
 use super::{AfterAnswer, Forwarding};
 use crate::engine_connection::{EngineAnswer, FailureReason};
 use crate::time::within;
@@ -19,10 +18,10 @@
 use std::io;
 use std::pin::pin;
 
-/// Time of a transfer that does not matter beside reading, in milliseconds.
-const SHORT_TRANSFER_MS: f64 = 12.0;
+/// Longest KV cache transfer that is negligible beside the prefill, in milliseconds.
+const NEGLIGIBLE_TRANSFER_MS: f64 = 12.0;
 
-/// How a stream went on.
+/// The next part of a stream, or its end.
 enum StreamStep {
     Events(Vec<u8>),
     End(Vec<u8>),
@@ -30,8 +29,8 @@
 }
 
 impl Forwarding {
-    /// Passes a stream on until it ends or breaks.
-    pub(super) async fn pass_stream(
+    /// Forwards a stream until it ends or breaks.
+    pub(super) async fn forward_stream(
         &mut self,
         mut answer: EngineAnswer,
         chosen: &ChosenEngine,
@@ -46,34 +45,34 @@
                 watch.unless_lost(step).await
             };
             match step.unwrap_or_else(|| {
-                StreamStep::Broken(Broken::failed(&FailureReason::EngineLost, false))
+                StreamStep::Broken(Broken::due_to(&FailureReason::EngineLost, false))
             }) {
                 StreamStep::Events(bytes) => {
-                    watch.heard();
+                    watch.record_activity();
                     if is_first {
                         is_first = false;
-                        let first_event_ms = in_flight.answered();
-                        self.learn_reading_rate(chosen, first_event_ms);
+                        let first_event_ms = in_flight.note_first_byte();
+                        self.learn_prefill_rate(chosen, first_event_ms);
                         if let Some(wait) = in_flight.wait.take() {
-                            wait.answered(first_event_ms);
+                            wait.record_wait(first_event_ms);
                         }
-                        self.note_read(chosen);
+                        self.note_prefilled(chosen);
                         self.note_saved(chosen);
                     }
                     let now = self.gateway.clock.now();
-                    self.record.events(&self.received, now);
+                    self.record.record_events(&self.received, now);
                     self.deliver(&answer, &bytes).await?;
                 }
                 StreamStep::End(rest) => {
-                    in_flight.note(Outcome::Answered);
+                    in_flight.note_outcome(Outcome::Answered);
                     self.deliver(&answer, &rest).await?;
                     self.keep_connection(answer, chosen);
-                    let after = self.answer.finish().await?;
+                    let after = self.answer.finish_stream().await?;
                     let outcome = "answered";
                     return Ok(AttemptEnd::Done { after, outcome });
                 }
                 StreamStep::Broken(broken) => {
-                    in_flight.note(Outcome::Broken);
+                    in_flight.note_outcome(Outcome::Broken);
                     if broken.time_is_up() && self.answer.has_started() {
                         let after = AfterAnswer::Abort;
                         let outcome = "timed_out";
@@ -85,38 +84,38 @@
         }
     }
 
-    /// A request that neither waited, fetched nor went far shows how fast the engine
-    /// reads.
-    fn learn_reading_rate(&self, chosen: &ChosenEngine, first_event_ms: u64) {
+    /// Learns the prefill rate from a request that did not wait in a queue, fetched next to
+    /// nothing and stayed in its region.
+    fn learn_prefill_rate(&self, chosen: &ChosenEngine, first_event_ms: u64) {
         let waited = chosen.cost.queue_ms > 0.0;
         let went_far = chosen.distance == Distance::OtherRegion;
-        if waited || went_far || chosen.cost.transfer_ms > SHORT_TRANSFER_MS {
+        if waited || went_far || chosen.cost.transfer_ms > NEGLIGIBLE_TRANSFER_MS {
             return;
         }
         let service = &self.received.admission.service;
         let mut beliefs = self.gateway.beliefs();
         let rate = beliefs.prefill_rate(service);
-        rate.observe(chosen.tokens_to_read, first_event_ms);
+        rate.observe(chosen.tokens_to_prefill, first_event_ms);
     }
 
-    /// The engine has read the prompt, and so keeps its parts.
-    fn note_read(&self, chosen: &ChosenEngine) {
+    /// Records that the engine has the parts of the prompt in its cache after the prefill.
+    fn note_prefilled(&self, chosen: &ChosenEngine) {
         let prompt = self.received.request.prompt.as_ref();
         if let (Some(cache), Some(prompt)) = (&chosen.cache, prompt) {
             let parts = part_keys(&cache.salt, prompt.shared_parts());
             let now = self.gateway.clock.now();
             let mut beliefs = self.gateway.beliefs();
             beliefs.holders.note_own(&parts, chosen.tag, now);
-            if let Some(kept) = beliefs.engine_caches.of_mut(chosen.tag) {
+            if let Some(cache_contents) = beliefs.engine_caches.of_mut(chosen.tag) {
                 for part in prompt.shared_parts() {
-                    kept.note_kept(&cache.salt, part);
+                    cache_contents.note_kept(&cache.salt, part);
                 }
             }
         }
     }
 
-    /// The engine has read the prompt, and so saves what it was told to. Of a part
-    /// that the store has already, no event tells.
+    /// Records that the engine saves the prompt's parts to the requested store after the
+    /// prefill. The store sends no event for a part that it already has.
     fn note_saved(&self, chosen: &ChosenEngine) {
         let Some(cache) = &chosen.cache else {
             return;
@@ -124,26 +123,28 @@
         let prompt = self.received.request.prompt.as_ref();
         if let (Some(store), Some(prompt)) = (cache.save_to, prompt) {
             let mut beliefs = self.gateway.beliefs();
-            let belief = beliefs.cache_stores.of_mut(store);
+            let known_store = beliefs.cache_stores.of_mut(store);
             for part in prompt.shared_parts() {
-                belief.contents_mut().note_kept(&cache.salt, part);
+                known_store.contents_mut().note_kept(&cache.salt, part);
             }
         }
     }
 
-    /// Writes events; the head goes out with the first of them.
+    /// Writes events to the caller; the head is sent together with the first ones.
     async fn deliver(&mut self, answer: &EngineAnswer, bytes: &[u8]) -> io::Result<()> {
         if self.answer.has_started() {
             if bytes.is_empty() {
                 return Ok(());
             }
-            return self.answer.chunk(bytes).await;
+            return self.answer.write_chunk(bytes).await;
         }
-        self.record.first_byte(&self.gateway, &self.received);
-        self.answer.start(passed_on(answer), bytes).await
+        self.record.record_first_byte(&self.gateway, &self.received);
+        self.answer
+            .start_stream(forwarded_head(answer), bytes)
+            .await
     }
 
-    /// Reads until there is something to pass on, or the stream ends.
+    /// Reads until there are events to forward, or the stream ends or breaks.
     async fn next_step(
         &mut self,
         answer: &mut EngineAnswer,
@@ -178,11 +179,11 @@
                     if !events.is_empty() {
                         return StreamStep::Events(events);
                     }
-                    return StreamStep::Broken(Broken::inside_answer(&error));
+                    return StreamStep::Broken(Broken::in_answer(&error));
                 }
                 None => {
                     let time_is_up = !self.has_time();
-                    return StreamStep::Broken(Broken::silent("no event in time", time_is_up));
+                    return StreamStep::Broken(Broken::timed_out("no event in time", time_is_up));
                 }
             }
         }
@@ -196,7 +197,7 @@
         }
     }
 
-    /// All whole events, without those that the caller has already.
+    /// Takes all complete events, except those that the caller already has.
     fn take_events(&mut self, splitter: &mut EventSplitter) -> Vec<u8> {
         let mut bytes = Vec::new();
         while let Some(event) = splitter.next_event() {
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Requests that are refused at once because they cannot be answered in time.
+//! Requests that are refused at once because engines can't answer them in time.
 
 mod support;
 
@@ -8,10 +8,10 @@
 use support::engine::{Behaviour, StandInEngine};
 use support::{configuration, site, Fixture};
 
-/// Every request beyond what is bearable is refused.
+/// Allows the node to refuse all excess requests during overload.
 const STRICT: &str = "[admission]\nmost_refused = 1.0\n";
 
-/// Answers have shown waits of ten objectives.
+/// Makes the node observe waits of 400 s at the service's engines, with an objective of 400 ms.
 fn overload(fixture: &Fixture, service: &str) {
     let now = fixture.gateway.clock.now();
     let mut beliefs = fixture.gateway.beliefs();
@@ -24,7 +24,8 @@
     }
 }
 
-/// So many requests are at the engine, with so many tokens to read each.
+/// Adds `requests` running requests to the engine's load, each with `tokens` tokens to
+/// prefill.
 fn fill(fixture: &Fixture, engine: &StandInEngine, requests: u32, tokens: u64) {
     let instance = InstanceId(engine.instance.clone());
     let now = fixture.gateway.clock.now();
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn a_prompt_is_refused_while_engines_are_overloaded_and_told_when_to_come_back() {
+fn a_prompt_is_refused_with_a_retry_time_while_engines_are_overloaded() {
     smol::block_on(async {
         let llm = StandInEngine::start("llm-1", "llm", Behaviour::Answer).await;
         let fixture = Fixture::with(&[&llm], configuration(1), STRICT).await;
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn nothing_is_refused_while_engines_have_room() {
+fn nothing_is_refused_while_engines_have_spare_slots() {
     smol::block_on(async {
         let llm = StandInEngine::start("llm-1", "llm", Behaviour::Answer).await;
         let fixture = Fixture::with(&[&llm], configuration(1), STRICT).await;
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn a_stream_that_its_caller_takes_up_again_is_not_refused() {
+fn a_resumed_stream_is_not_refused() {
     smol::block_on(async {
         let llm = StandInEngine::start("llm-1", "llm", Behaviour::Answer).await;
         let fixture = Fixture::with(&[&llm], configuration(1), STRICT).await;
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn what_no_engine_can_begin_in_time_is_refused_at_once() {
+fn a_request_that_no_engine_can_start_in_time_is_refused_at_once() {
     smol::block_on(async {
         let llm = StandInEngine::start("llm-1", "llm", Behaviour::Answer).await;
         let fixture = Fixture::new(&[&llm]).await;
@@ -101,8 +102,8 @@
         let refused = fixture.send(&prompt("stream.test", "r1")).await;
         assert_eq!(refused.status(), 503);
         assert!(refused.text().contains("no engine can begin"));
-        let told = refused.head.headers.get("retry-after-ms").expect("a time");
-        assert!(told.parse::<u64>().expect("a number") > 3_000);
+        let retry_after_ms = refused.head.headers.get("retry-after-ms").expect("a time");
+        assert!(retry_after_ms.parse::<u64>().expect("a number") > 3_000);
         assert!(llm.heads().is_empty());
     });
 }
--- a/crates/gateway/tests/kept_connections.rs
+++ b/crates/gateway/tests/kept_connections.rs
@@ -1,4 +1,4 @@
-//! When a connection to an engine is used for a second request, and when it is not.
+//! When a connection to an engine is reused for another request, and when it is not.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use support::engine::{Behaviour, StandInEngine};
 use support::{configuration, Fixture};
 
-/// Sends requests one after the other; tells on how many connections they came.
+/// Sends requests one after another; returns the number of connections they arrived on.
 async fn connections(behaviour: Behaviour, hosts: &[&str]) -> usize {
     let app = StandInEngine::start("app-1", "app", behaviour).await;
     let fixture = Fixture::new(&[&app]).await;
@@ -21,28 +21,28 @@
 }
 
 #[test]
-fn a_repeatable_request_follows_on_the_connection_of_a_whole_answer() {
+fn a_repeatable_request_reuses_the_connection_of_a_complete_answer() {
     let hosts = ["safe.test", "safe.test", "safe.test"];
     let used = smol::block_on(connections(Behaviour::KeepConnection, &hosts));
     assert_eq!(used, 1);
 }
 
 #[test]
-fn a_request_that_may_run_only_once_has_a_connection_of_its_own() {
+fn a_request_that_may_run_only_once_uses_a_new_connection() {
     let hosts = ["safe.test", "unsafe.test", "unsafe.test"];
     let used = smol::block_on(connections(Behaviour::KeepConnection, &hosts));
     assert_eq!(used, 3);
 }
 
 #[test]
-fn a_forgotten_connection_costs_no_answer() {
+fn a_connection_dropped_by_the_engine_loses_no_answer() {
     let hosts = ["safe.test", "safe.test"];
     let used = smol::block_on(connections(Behaviour::ForgetConnection, &hosts));
     assert_eq!(used, 2);
 }
 
 #[test]
-fn an_answer_too_many_is_taken_for_no_other_requests() {
+fn a_surplus_answer_is_not_used_for_another_request() {
     let hosts = ["safe.test", "safe.test"];
     let used = smol::block_on(connections(Behaviour::AnswerTwice, &hosts));
     assert_eq!(used, 2);
@@ -60,10 +60,10 @@
     });
 }
 
-/// LOST: a request from a kept connection that was passed on to an engine has an answer,
-/// whatever becomes of the engine's own connection.
+/// A request on a caller's kept connection gets an answer, even if the connection to the
+/// engine is lost.
 #[test]
-fn a_callers_kept_connection_outlives_those_to_engines() {
+fn a_caller_connection_survives_lost_engine_connections() {
     smol::block_on(async {
         let forgetful = StandInEngine::start("app-9", "app", Behaviour::ForgetConnection).await;
         let broken = StandInEngine::start("app-1", "app", Behaviour::Reset).await;
--- a/crates/gateway/tests/requests/not_run.rs
+++ b/crates/gateway/tests/requests/not_run.rs
@@ -1,9 +1,9 @@
-//! A refusal that says "not run" is true, or callers do the work twice.
+//! A "not run" refusal of a request that has run makes callers do the work twice.
 //!
-//! Seen: 503 for requests at which an engine was at work. Two ways led there: a request
-//! that was sent on a kept connection and lost there was forgotten when the new
-//! connection did not come about or was refused, and an engine's own 503 or 429, after
-//! it had run the request, was handed on although that status promises the contrary.
+//! These tests guard against a 503 for a request that an engine is working on. There were two
+//! ways to it: a request that was lost on a kept connection was left out of account when the
+//! new connection failed or the engine then refused; and an engine's own 503 or 429, sent
+//! after it had run the request, was forwarded although that status promises "not run".
 
 use crate::app_engine::app;
 use crate::support::caller::{request, Answer};
@@ -13,7 +13,7 @@
 
 const BUDGET: &str = "[attempts]\nretry_reserve = 50.0\n";
 
-/// Serves one request, so that a connection is kept.
+/// Serves one request, after which a connection to the engine is kept.
 async fn with_kept_connection(app: &StandInEngine) -> Fixture {
     let fixture = Fixture::with(&[app], configuration(1), BUDGET).await;
     let first = fixture.send(&request("safe.test", "r1")).await;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_was_lost_on_a_kept_connection_may_have_run_though_its_engine_then_refuses() {
+fn a_request_lost_on_a_kept_connection_may_have_run_even_if_the_engine_then_refuses() {
     smol::block_on(async {
         let app = app(Behaviour::KeepConnection).await;
         let fixture = with_kept_connection(&app).await;
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn what_was_lost_on_a_kept_connection_may_have_run_though_its_engine_is_then_gone() {
+fn a_request_lost_on_a_kept_connection_may_have_run_even_if_the_engine_is_then_gone() {
     smol::block_on(async {
         let mut app = app(Behaviour::KeepConnection).await;
         let fixture = with_kept_connection(&app).await;
@@ -48,7 +48,7 @@
     });
 }
 
-/// Asks an engine that runs requests and fails with a status.
+/// Sends a request to an engine that runs it and fails with a status.
 async fn failed_with(status: u16, host: &str) -> Answer {
     let app = app(Behaviour::FailWith(status)).await;
     let fixture = Fixture::new(&[&app]).await;
@@ -58,14 +58,14 @@
 }
 
 #[test]
-fn an_engines_own_failure_is_never_handed_on_as_a_promise() {
+fn an_engine_failure_is_never_forwarded_with_a_not_run_status() {
     smol::block_on(async {
         for status in [408, 429, 503] {
             assert!(promises_not_run(status));
             for host in ["safe.test", "unsafe.test"] {
                 let answer = failed_with(status, host).await;
                 assert_eq!(answer.status(), 502, "{status} at {host}");
-                // An answer in an engine's name has that engine's status.
+                // A signed answer would have the engine's own status.
                 assert_eq!(answer.head.headers.get(site::SIGNED), None);
             }
         }
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_engines_word_about_another_request_is_not_taken_for_this_one() {
+fn a_refusal_of_another_request_is_not_applied_to_this_one() {
     smol::block_on(async {
         let app = app(Behaviour::RefuseAnother).await;
         let fixture = Fixture::new(&[&app]).await;
--- a/crates/gateway/tests/requests/start.rs
+++ b/crates/gateway/tests/requests/start.rs
@@ -1,4 +1,4 @@
-//! Requests that come before the configuration is known.
+//! Requests that arrive before the configuration is known.
 
 use crate::app_engine::app;
 use crate::support::caller::{self, request};
@@ -7,7 +7,7 @@
 use crate::support::{configuration, site, start_node};
 
 #[test]
-fn without_a_configuration_callers_are_told_when_to_come_back() {
+fn without_a_configuration_callers_are_told_when_to_retry() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         let node = start_node(&store, "node", "");
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_request_that_comes_at_the_start_waits_for_the_configuration() {
+fn a_request_received_at_startup_waits_for_the_configuration() {
     smol::block_on(async {
         let app = app(Behaviour::Answer).await;
         let store = StandInStore::start().await;
@@ -31,7 +31,7 @@
         let node = start_node(&store, "node", "[callers]\nstart_hold_ms = 600000\n");
         let mut held = caller::open(node.callers, &request("safe.test", "r1")).await;
         let left = caller::open(node.callers, &request("safe.test", "r2")).await;
-        // Both were read: the node answers its readiness after them.
+        // Wait until both requests have been read.
         while node.gateway.requests_under_way() < 2 {
             assert_eq!(caller::get_status(node.readiness).await, 503);
         }
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_request_at_the_start_waits_for_a_quarter_of_its_deadline_at_most() {
+fn a_request_at_startup_waits_at_most_a_quarter_of_its_deadline() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         let node = start_node(&store, "node", "[callers]\nstart_hold_ms = 600000\n");
--- a/crates/gateway/tests/silent_connections.rs
+++ b/crates/gateway/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Engines that fall silent without a reset, and what requests there are told.
+//! Engines that stop answering without a connection reset, and the answers to their requests.
 
 mod support;
 
@@ -13,8 +13,9 @@
 use support::engine::{all_events, event, Behaviour, StandInEngine};
 use support::{configuration, Fixture};
 
-/// Silence alone moves no stream.
-const PATIENT: &str = "[attempts]\nstream_silence_ms = 600000\ntimeout_objectives = 1000.0\n";
+/// Time-outs so long that silence alone does not move a stream to another engine.
+const NO_SILENCE_TIMEOUTS: &str =
+    "[attempts]\nstream_silence_ms = 600000\ntimeout_objectives = 1000.0\n";
 
 fn is_suspected(fixture: &Fixture, instance: &InstanceId) -> bool {
     let beliefs = fixture.gateway.beliefs();
@@ -22,12 +23,12 @@
     known.is_some_and(|engine| engine.health.is_suspected())
 }
 
-/// Asking the node lets its tasks run.
-async fn let_run(fixture: &Fixture) {
+/// Lets the node's tasks run by sending a readiness request.
+async fn let_tasks_run(fixture: &Fixture) {
     caller::get_status(fixture.running().readiness).await;
 }
 
-/// Waits until the node itself has found that the engine is lost.
+/// Waits until the node itself has detected the loss of the engine.
 async fn wait_until_lost(fixture: &Fixture, instance: &InstanceId) {
     let tag = EngineTag::of(instance);
     loop {
@@ -35,11 +36,11 @@
         if own.iter().any(|lost| lost.engine == tag) {
             return;
         }
-        let_run(fixture).await;
+        let_tasks_run(fixture).await;
     }
 }
 
-fn hear_of_loss(fixture: &Fixture, instance: &InstanceId) {
+fn report_loss(fixture: &Fixture, instance: &InstanceId) {
     let lost = [LostEngine {
         engine: EngineTag::of(instance),
         nodes: 1,
@@ -53,7 +54,8 @@
     fixture.gateway.engine_check_due.notify(usize::MAX);
 }
 
-/// A silent engine at which a request waits, the node and the caller's connection.
+/// Starts a silent engine and a node, and sends a request that waits at the engine; returns
+/// both and the caller's connection.
 async fn waiting_request(host: &str) -> (StandInEngine, Fixture, BufferedStream) {
     let app = StandInEngine::start("app-1", "app", Behaviour::Silent).await;
     let fixture = Fixture::new(&[&app]).await;
@@ -63,7 +65,7 @@
 }
 
 #[test]
-fn a_request_that_may_run_once_is_told_when_its_engine_is_dead() {
+fn an_unrepeatable_request_fails_when_its_engine_is_dead() {
     smol::block_on(async {
         let (mut app, fixture, mut connection) = waiting_request("patient.test").await;
         app.lose_power().await;
@@ -75,7 +77,7 @@
 }
 
 #[test]
-fn what_one_node_alone_cannot_reach_is_not_given_up_for_requests_that_run_once() {
+fn an_engine_unreachable_from_one_node_keeps_its_unrepeatable_requests() {
     smol::block_on(async {
         let (mut app, fixture, mut connection) = waiting_request("unsafe.test").await;
         let instance = InstanceId(app.instance.clone());
@@ -84,37 +86,39 @@
         assert_eq!(refused.status(), 503);
         wait_until_lost(&fixture, &instance).await;
         assert_eq!(app.dropped(), 0, "given up before the engine was lost");
-        // An answer may still come when the link is back: the route's time-out decides.
+        // An answer may still arrive when the link works again, so the request waits until the
+        // route's time-out.
         let answer = caller::read(&mut connection).await.expect("an answer");
         assert_eq!(answer.status(), 504);
     });
 }
 
 #[test]
-fn another_nodes_word_confirms_a_loss() {
+fn another_nodes_report_confirms_a_loss() {
     smol::block_on(async {
         let (mut app, fixture, mut connection) = waiting_request("patient.test").await;
         let instance = InstanceId(app.instance.clone());
         app.lose_power().await;
         let reading = smol::spawn(async move { caller::read(&mut connection).await });
         while !reading.is_finished() {
-            hear_of_loss(&fixture, &instance);
-            let_run(&fixture).await;
+            report_loss(&fixture, &instance);
+            let_tasks_run(&fixture).await;
         }
         assert_eq!(reading.await.expect("an answer").status(), 502);
     });
 }
 
 #[test]
-fn a_stream_at_a_lost_engine_goes_on_at_another_one() {
+fn a_stream_at_a_lost_engine_resumes_at_another_one() {
     smol::block_on(async {
         let mut first = StandInEngine::start("llm-1", "llm", Behaviour::FallSilentAfter(2)).await;
         let mut second = StandInEngine::start("llm-2", "llm", Behaviour::FallSilentAfter(2)).await;
-        let fixture = Fixture::with(&[&first, &second], configuration(1), PATIENT).await;
+        let fixture =
+            Fixture::with(&[&first, &second], configuration(1), NO_SILENCE_TIMEOUTS).await;
         let asked = prompt("long.test", "r1");
         let mut connection = caller::open(fixture.running().callers, &asked).await;
         let (home, other) = loop {
-            let_run(&fixture).await;
+            let_tasks_run(&fixture).await;
             if !first.heads().is_empty() {
                 break (&mut first, &mut second);
             }
@@ -133,14 +137,14 @@
 }
 
 #[test]
-fn an_engine_that_refuses_connections_may_finish_what_it_has() {
+fn an_engine_that_refuses_connections_may_finish_its_requests() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::AnswerAfter(2_000)).await;
         let fixture = Fixture::new(&[&app]).await;
         let asked = request("patient.test", "r1");
         let mut connection = caller::open(fixture.running().callers, &asked).await;
         app.happened.recv().await.expect("the request arrived");
-        // It ends as planned: its listener is closed and its record goes.
+        // The engine stops as planned: its listener is closed and its record removed.
         drop(app);
         fixture.store.remove("Engines", "app-1");
         let answer = caller::read(&mut connection).await.expect("an answer");
@@ -149,11 +153,11 @@
 }
 
 #[test]
-fn a_stream_with_events_goes_on_while_connections_to_its_engine_time_out() {
+fn a_stream_with_events_continues_while_connections_to_its_engine_time_out() {
     const EVENTS: u64 = 60;
     smol::block_on(async {
         let mut llm = StandInEngine::start("llm-1", "llm", Behaviour::StreamSlowly(EVENTS)).await;
-        let fixture = Fixture::with(&[&llm], configuration(1), PATIENT).await;
+        let fixture = Fixture::with(&[&llm], configuration(1), NO_SILENCE_TIMEOUTS).await;
         let asked = prompt("long.test", "r1");
         let mut connection = caller::open(fixture.running().callers, &asked).await;
         llm.happened.recv().await.expect("the request arrived");
@@ -170,7 +174,7 @@
 }
 
 #[test]
-fn a_record_that_goes_long_after_the_loss_tells_a_request_that_may_run_once() {
+fn a_record_removed_long_after_the_loss_fails_an_unrepeatable_request() {
     smol::block_on(async {
         let mut app = StandInEngine::start("app-1", "app", Behaviour::Silent).await;
         let brisk = "[attempts]\nconnect_timeout_ms = 50\n";
@@ -183,7 +187,7 @@
         let refused = fixture.send(&request("unsafe.test", "r2")).await;
         assert_eq!(refused.status(), 503);
         wait_until_lost(&fixture, &instance).await;
-        // Six more checks come about by then, the last at a pause of two seconds.
+        // Time for six more checks, the last one after a pause of two seconds.
         sleep(5_000).await;
         fixture.store.remove("Engines", "app-1");
         let answer = caller::read(&mut connection).await.expect("an answer");
@@ -192,35 +196,35 @@
 }
 
 #[test]
-fn news_of_a_lost_engine_puts_it_aside_before_a_request_finds_out() {
+fn a_report_of_a_lost_engine_ejects_it_before_a_request_fails() {
     smol::block_on(async {
         let mut app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let fixture = Fixture::new(&[&app]).await;
         let instance = InstanceId(app.instance.clone());
         app.lose_power().await;
-        hear_of_loss(&fixture, &instance);
+        report_loss(&fixture, &instance);
         while !is_suspected(&fixture, &instance) {
-            let_run(&fixture).await;
+            let_tasks_run(&fixture).await;
         }
     });
 }
 
 #[test]
-fn news_of_an_engine_that_this_node_reaches_changes_nothing() {
+fn a_report_about_a_reachable_engine_changes_nothing() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let fixture = Fixture::new(&[&app]).await;
         let instance = InstanceId(app.instance.clone());
-        hear_of_loss(&fixture, &instance);
+        report_loss(&fixture, &instance);
         let is_checked = || fixture.gateway.beliefs().losses.is_suspected(&instance);
         assert!(is_checked());
         while is_checked() {
             assert!(!is_suspected(&fixture, &instance));
-            let_run(&fixture).await;
+            let_tasks_run(&fixture).await;
         }
         assert!(!is_suspected(&fixture, &instance));
-        // Told again, it does not even check.
-        hear_of_loss(&fixture, &instance);
+        // A repeated report does not even cause a check.
+        report_loss(&fixture, &instance);
         assert!(!is_checked());
         let answer = fixture.send(&request("unsafe.test", "r1")).await;
         assert_eq!(answer.status(), 200);
@@ -228,7 +232,7 @@
 }
 
 #[test]
-fn one_silent_kept_connection_takes_the_others_with_it() {
+fn one_silent_kept_connection_discards_the_others() {
     smol::block_on(async {
         let silent = StandInEngine::start("app-1", "app", Behaviour::KeepConnection).await;
         let fixture = Fixture::new(&[&silent]).await;
@@ -242,13 +246,13 @@
         assert_eq!(
             silent.connections(),
             2,
-            "the second request took the first one's"
+            "the second request reused the first connection"
         );
         silent.set(Behaviour::Silent);
         let other = StandInEngine::start("app-2", "app", Behaviour::Answer).await;
         fixture.store.put("Engines", "app-2", other.record());
         while fixture.gateway.beliefs().engines.len() < 2 {
-            let_run(&fixture).await;
+            let_tasks_run(&fixture).await;
         }
         let instance = InstanceId(silent.instance.clone());
         for number in 0.. {
@@ -266,7 +270,7 @@
 }
 
 #[test]
-fn a_connection_that_comes_about_dispels_the_suspicion_before_any_answer() {
+fn an_established_connection_clears_the_suspicion_before_any_answer() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Silent).await;
         let fixture = Fixture::new(&[&app]).await;
@@ -285,7 +289,7 @@
 }
 
 #[test]
-fn a_failed_connection_tells_whose_fault_it_is() {
+fn a_failed_connection_shows_its_cause() {
     smol::block_on(async {
         let mut app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let address = app.address;
