--- a/crates/gateway/src/callers/connection.rs
+++ b/crates/gateway/src/callers/connection.rs
@@ -73,9 +73,9 @@
     let refused = |kind, reason: &str| Err(NoRequest::Refused(Refusal::new(kind, reason)));
     match within(limits.head_timeout_ms, reading).await {
         Some(Ok(read)) => Ok(read),
-        None => refused(RefusalKind::RequestTimeout, "the request head timed out"),
+        None => refused(RefusalKind::RequestTimeout, "the head did not come in time"),
         Some(Err(HttpError::HeadTooLarge { .. })) => {
-            refused(RefusalKind::HeadTooLarge, "the request head is too large")
+            refused(RefusalKind::HeadTooLarge, "the head is over its limit")
         }
         Some(Err(HttpError::Malformed { reason })) => refused(RefusalKind::BadRequest, &reason),
         Some(Err(_)) => Err(NoRequest::Ended),
@@ -300,7 +300,7 @@
     limits: BodyLimits,
 ) -> Result<Vec<u8>, Option<Refusal>> {
     let too_large = || {
-        let reason = format!("the body is larger than {} bytes", limits.max_bytes);
+        let reason = format!("the body is over {} bytes", limits.max_bytes);
         Some(Refusal::new(RefusalKind::BodyTooLarge, reason))
     };
     let declared = decoder.declared_length().unwrap_or(0);
@@ -326,7 +326,7 @@
     };
     let read = within(limits.timeout_ms, reading).await;
     let slow = || {
-        let reason = "the request body timed out";
+        let reason = "the body did not come in time";
         Err(Some(Refusal::new(RefusalKind::RequestTimeout, reason)))
     };
     read.unwrap_or_else(slow)?;
--- a/crates/gateway/src/forward/buffered_answer.rs
+++ b/crates/gateway/src/forward/buffered_answer.rs
@@ -115,7 +115,7 @@
             Some(Ok(false)) => ReadEnd::TooLarge(body),
             Some(Err(error)) => ReadEnd::Broken(Broken::in_answer(&error)),
             None => {
-                let reason = "the answer was not complete in time";
+                let reason = "the answer was not whole in time";
                 ReadEnd::Broken(Broken::timed_out(reason, !self.has_time()))
             }
         }
--- a/crates/gateway/src/forward/load_shedding.rs
+++ b/crates/gateway/src/forward/load_shedding.rs
@@ -46,7 +46,7 @@
             return None;
         }
         let SlotOccupancy { requests, slots } = occupancy;
-        let _ = write!(unservable.reason, "; {requests} requests in {slots} slots");
+        let _ = write!(unservable.reason, "; {requests} requests at {slots} places");
         Some(unservable)
     }
 
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -151,7 +151,7 @@
             .record_request(now);
         loop {
             if !self.has_time() {
-                "time ran out before the request was sent".clone_into(&mut self.progress.reason);
+                "its time was up before it could be sent".clone_into(&mut self.progress.reason);
                 return self.give_up().await;
             }
             if !self.may_accept_key() {
@@ -238,8 +238,8 @@
             NoChoice::SoftwareHeldBack => "no engine has a version that may serve",
             NoChoice::WeightsTooOld => "no engine has the new weights yet",
             NoChoice::WeightsNotProven => "it is not proven which weights are the newest",
-            NoChoice::BackingOff => "all engines of the service are in backoff",
-            NoChoice::RateLimited => "the engine that granted a token may not serve the request",
+            NoChoice::BackingOff => "this node backs off from all engines",
+            NoChoice::RateLimited => "the engine that takes a request may not serve it",
             NoChoice::AllTried => return,
         };
         reason.clone_into(&mut self.progress.reason);
@@ -256,7 +256,7 @@
                 AttemptOutcome::Unreachable
             }
             AttemptEnd::EngineLeft => {
-                "the engine left before the request was sent".clone_into(&mut progress.reason);
+                "the engine left before it was sent".clone_into(&mut progress.reason);
                 AttemptOutcome::Unreachable
             }
             AttemptEnd::Refused => {
--- a/crates/policy/src/objects.rs
+++ b/crates/policy/src/objects.rs
@@ -292,7 +292,7 @@
 #[derive(Debug, Snafu, PartialEq)]
 pub enum ObjectError {
     /// The specification does not have the shape required by its kind.
-    #[snafu(display("{kind:?} '{name}': invalid spec: {reason}"))]
+    #[snafu(display("{kind:?} '{name}': spec does not fit: {reason}"))]
     Shape {
         /// Kind of the object.
         kind: Kind,
