--- a/crates/gateway/src/peers/address_book.rs
+++ b/crates/gateway/src/peers/address_book.rs
@@ -225,12 +225,12 @@
 
     /// Nodes to which the next report goes where nodes report to each other.
     pub fn receivers(&mut self, reach: Reach, now: Millis) -> Vec<SocketAddr> {
-        let is_near = reach == Reach::OwnZone;
+        let is_own_zone = reach == Reach::OwnZone;
         let own_zone = self.own.map(|own| own.zone);
         let mut due: Vec<(bool, Option<Millis>, SocketAddr)> = self
             .contacts
             .iter()
-            .filter(|(_, contact)| contact.is_in(own_zone) == is_near && contact.is_due(now))
+            .filter(|(_, contact)| contact.is_in(own_zone) == is_own_zone && contact.is_due(now))
             .map(|(address, contact)| (!contact.is_live(now), contact.tried_at, *address))
             .collect();
         // Where there are too many, each has its turn.
@@ -291,7 +291,7 @@
     }
 
     fn is_due(&self, now: Millis) -> bool {
-        let rested = |tried_at| now.since(tried_at) >= SILENT_PERIOD_MS;
-        self.is_live(now) || self.tried_at.is_none_or(rested)
+        let is_retry_due = |tried_at| now.since(tried_at) >= SILENT_PERIOD_MS;
+        self.is_live(now) || self.tried_at.is_none_or(is_retry_due)
     }
 }
--- a/crates/gateway/src/peers/discovery.rs
+++ b/crates/gateway/src/peers/discovery.rs
@@ -71,7 +71,7 @@
     let own = NodeRecord::of(&gateway, address);
     let mut next_ms = FIRST_LIST_PERIOD_MS;
     loop {
-        match look(&gateway, &mut client, &own).await {
+        match refresh_nodes(&gateway, &mut client, &own).await {
             Ok(nodes) => {
                 let period_ms = LIST_PERIOD_MS.max(LIST_PERIOD_PER_NODE_MS * nodes as u64);
                 if knows_relays(&gateway) {
@@ -99,7 +99,7 @@
 
 /// Reads the nodes, and writes this one's record where it is missing or wrong.
 /// Tells how many there are.
-async fn look(
+async fn refresh_nodes(
     gateway: &Gateway,
     client: &mut StoreClient,
     own: &NodeRecord,
--- a/crates/gateway/src/peers/encoded_engines.rs
+++ b/crates/gateway/src/peers/encoded_engines.rs
@@ -13,10 +13,10 @@
 /// Time for which engines that have changed since are told as they were, in
 /// milliseconds: less than the time for which a relay's reports repeat a change, so
 /// that nothing is lacking.
-const REUSED_MS: u64 = 150;
+const MAX_CHANGED_REUSE_MS: u64 = 150;
 /// Time for which unchanged engines are not encoded again, in milliseconds: the time
 /// that they stay slow after their start is told as of the encoding.
-const LONGEST_REUSED_MS: u64 = 1_000;
+const MAX_REUSE_MS: u64 = 1_000;
 
 /// The part of a snapshot that tells the engines.
 #[derive(Clone, Debug)]
@@ -66,7 +66,7 @@
     fn is_usable(&self, beliefs: &Beliefs, now: Millis) -> bool {
         let age_ms = now.since(self.encoded_at);
         let is_same = self.changes_through == beliefs.catalogue_log.through();
-        age_ms < REUSED_MS || (is_same && age_ms < LONGEST_REUSED_MS)
+        age_ms < MAX_CHANGED_REUSE_MS || (is_same && age_ms < MAX_REUSE_MS)
     }
 }
 
--- a/crates/gateway/src/peers/engine_limit_messages.rs
+++ b/crates/gateway/src/peers/engine_limit_messages.rs
@@ -33,11 +33,11 @@
 }
 
 pub(super) fn group_message(news: &GroupUpdate) -> peers::EngineLimitGroup {
-    let limits = news.limits.iter().map(|told| peers::EngineLimit {
-        engine: told.engine.0,
-        per_second: told.limit,
-        sequence: told.sequence,
-        age_ms: told.age_ms,
+    let limits = news.limits.iter().map(|reported| peers::EngineLimit {
+        engine: reported.engine.0,
+        per_second: reported.limit,
+        sequence: reported.sequence,
+        age_ms: reported.age_ms,
     });
     peers::EngineLimitGroup {
         group: news.group.0,
@@ -50,11 +50,11 @@
 
 /// Reads a group; nothing when its holder has no proper address.
 pub(super) fn read_group(message: &peers::EngineLimitGroup) -> Option<GroupUpdate> {
-    let limits = message.limits.iter().map(|told| UpdatedLimit {
-        engine: EngineTag(told.engine),
-        limit: told.per_second.filter(is_rate),
-        sequence: told.sequence,
-        age_ms: told.age_ms,
+    let limits = message.limits.iter().map(|reported| UpdatedLimit {
+        engine: EngineTag(reported.engine),
+        limit: reported.per_second.filter(is_rate),
+        sequence: reported.sequence,
+        age_ms: reported.age_ms,
     });
     let at = NodeAddress {
         node: PeerId(message.holder),
@@ -74,13 +74,15 @@
     per_second.is_finite() && *per_second >= 0.0
 }
 
-pub(super) fn observation_message(seen: &ReportedObservation) -> peers::EngineLimitObservation {
+pub(super) fn observation_message(
+    observation: &ReportedObservation,
+) -> peers::EngineLimitObservation {
     peers::EngineLimitObservation {
-        engine: seen.engine.0,
-        group: seen.group.0,
-        per_second: seen.limit,
-        sent_age_ms: seen.sent_age_ms,
-        head_age_ms: seen.head_age_ms,
+        engine: observation.engine.0,
+        group: observation.group.0,
+        per_second: observation.limit,
+        sent_age_ms: observation.sent_age_ms,
+        head_age_ms: observation.head_age_ms,
     }
 }
 
--- a/crates/gateway/src/peers/engine_limits.rs
+++ b/crates/gateway/src/peers/engine_limits.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 
 /// Forgets limits of engines that are gone.
-pub(super) fn forget_gone_limits(gateway: &Gateway, now: Millis) {
+pub(super) fn remove_gone_limits(gateway: &Gateway, now: Millis) {
     let beliefs = &mut *gateway.beliefs();
     if beliefs.engine_limits.is_empty() {
         return;
@@ -27,8 +27,8 @@
         .filter(|engine| engines.by_tag(*engine).is_some())
         .collect();
     let is_known = |engine| present.contains(&engine);
-    let rooms = &mut beliefs.engines.rate_limits;
-    beliefs.engine_limits.expire(is_known, rooms, now);
+    let rate_limits = &mut beliefs.engines.rate_limits;
+    beliefs.engine_limits.expire(is_known, rate_limits, now);
 }
 
 /// Takes in what another node tells of one group; tells whether it was news.
@@ -40,20 +40,21 @@
 ) -> bool {
     let beliefs = &mut *gateway.beliefs();
     let limits_of = |beliefs: &Beliefs| -> Vec<Option<f64>> {
-        let told = news.limits.iter();
-        told.map(|told| beliefs.engine_limits.limit_of(told.engine))
+        let reported = news.limits.iter();
+        reported
+            .map(|reported| beliefs.engine_limits.limit_of(reported.engine))
             .collect()
     };
     let before = limits_of(beliefs);
     let holder_before = beliefs.engine_limits.holder(news.group);
-    let rooms = &mut beliefs.engines.rate_limits;
-    let is_news = beliefs
+    let rate_limits = &mut beliefs.engines.rate_limits;
+    let is_new = beliefs
         .engine_limits
-        .apply_update(news, passes_on, rooms, now);
+        .apply_update(news, passes_on, rate_limits, now);
     let after = limits_of(beliefs);
-    for ((told, before), after) in news.limits.iter().zip(before).zip(after) {
+    for ((reported, before), after) in news.limits.iter().zip(before).zip(after) {
         if before != after {
-            log_limit(gateway, beliefs, told.engine, before, "holder");
+            log_limit(gateway, beliefs, reported.engine, before, "holder");
         }
     }
     let holder = beliefs.engine_limits.holder(news.group);
@@ -63,27 +64,27 @@
             "node" => holder.map(|holder| format!("{:016x}", holder.at.node.0)),
             "term" => holder.map(|holder| holder.term));
     }
-    is_news
+    is_new
 }
 
 /// Takes in what an answer at another node said of its engine.
-pub fn handle_observation(gateway: &Gateway, told: &ReportedObservation) {
+pub fn handle_observation(gateway: &Gateway, reported: &ReportedObservation) {
     let now = gateway.clock.now();
-    let seen = Observation {
-        engine: told.engine,
-        limit: told.limit,
-        sent_at: now.before(told.sent_age_ms),
-        head_at: now.before(told.head_age_ms),
+    let observation = Observation {
+        engine: reported.engine,
+        limit: reported.limit,
+        sent_at: now.before(reported.sent_age_ms),
+        head_at: now.before(reported.head_age_ms),
     };
     let beliefs = &mut *gateway.beliefs();
-    let before = beliefs.engine_limits.limit_of(told.engine);
-    let rooms = &mut beliefs.engines.rate_limits;
+    let before = beliefs.engine_limits.limit_of(reported.engine);
+    let rate_limits = &mut beliefs.engines.rate_limits;
     let limits = &mut beliefs.engine_limits;
-    if limits.apply_observation(&seen, told.group, rooms, now) {
+    if limits.apply_observation(&observation, reported.group, rate_limits, now) {
         log_limit(
             gateway,
             beliefs,
-            told.engine,
+            reported.engine,
             before,
             "another node's answer",
         );
--- a/crates/gateway/src/peers/engine_signal_messages.rs
+++ b/crates/gateway/src/peers/engine_signal_messages.rs
@@ -39,11 +39,11 @@
     }
 }
 
-fn leaving_message(told: &ReportedLeaving) -> peers::LeavingEngine {
+fn leaving_message(reported: &ReportedLeaving) -> peers::LeavingEngine {
     peers::LeavingEngine {
-        engine: told.life.engine.0,
-        born_ms: told.life.born_ms,
-        age_ms: told.age_ms,
+        engine: reported.life.engine.0,
+        born_ms: reported.life.born_ms,
+        age_ms: reported.age_ms,
     }
 }
 
--- a/crates/gateway/src/peers/engine_signals.rs
+++ b/crates/gateway/src/peers/engine_signals.rs
@@ -1,11 +1,11 @@
-//! UpdateBroadcast the other nodes what engines said of themselves in answers: rate limits, with who
+//! Telling the other nodes what engines said of themselves in answers: rate limits, with who
 //! counts for them, and that they leave.
 //!
 //! Nothing is sent while no engine said anything. A change is told at once, and twice again,
 //! and for a time some of what is known in each period, so that a node that was cut off hears
 //! of it. A node that starts asks before it is ready.
 
-use super::engine_limits::{apply_limit_group, forget_gone_limits};
+use super::engine_limits::{apply_limit_group, remove_gone_limits};
 use super::engine_signal_messages::EngineSignalReport;
 use super::messages::{encode, PeerMessage};
 use super::receivers::broadcast_receivers;
@@ -22,25 +22,25 @@
 use std::sync::Arc;
 
 /// Time between two tellings of what has not changed, in milliseconds.
-const PERIOD_MS: u64 = 1_000;
+const REPEAT_PERIOD_MS: u64 = 1_000;
 /// Longest time between two looks at what is due, in milliseconds: tellings that are
 /// repeated.
-const LOOK_MS: u64 = 100;
+const POLL_MS: u64 = 100;
 /// Shortest time between two reports, in milliseconds.
-const SHORTEST_PERIOD_MS: u64 = 5;
+const MIN_PERIOD_MS: u64 = 5;
 /// Longest time from its start for which a node waits to be told, in milliseconds.
 const START_WAIT_MS: u64 = 1_500;
 /// Engines that one log line names.
-const MOST_NAMED: usize = 4;
+const MAX_LOGGED_ENGINES: usize = 4;
 
 /// What is told at one time.
 #[derive(Default)]
-struct News {
+struct SignalChanges {
     groups: Vec<GroupUpdate>,
     leaving: Vec<ReportedLeaving>,
 }
 
-impl News {
+impl SignalChanges {
     fn is_empty(&self) -> bool {
         self.groups.is_empty() && self.leaving.is_empty()
     }
@@ -52,25 +52,25 @@
     loop {
         let due = gateway.engine_signals_changed.listen();
         let now = gateway.clock.now();
-        let is_period = now.since(period_began) >= PERIOD_MS;
+        let is_period = now.since(period_began) >= REPEAT_PERIOD_MS;
         if is_period {
             period_began = now;
-            forget_gone_limits(&gateway, now);
+            remove_gone_limits(&gateway, now);
         }
-        tell(&gateway, &socket, is_period, now).await;
-        sleep(SHORTEST_PERIOD_MS).await;
-        within(LOOK_MS - SHORTEST_PERIOD_MS, due).await;
+        send_due_reports(&gateway, &socket, is_period, now).await;
+        sleep(MIN_PERIOD_MS).await;
+        within(POLL_MS - MIN_PERIOD_MS, due).await;
     }
 }
 
-async fn tell(gateway: &Gateway, socket: &UdpSocket, is_period: bool, now: Millis) {
+async fn send_due_reports(gateway: &Gateway, socket: &UdpSocket, is_period: bool, now: Millis) {
     let occasion = ReportRound {
         is_period,
         passes_on: role(gateway, now) == Role::Relay,
     };
     let news = {
         let beliefs = &mut *gateway.beliefs();
-        News {
+        SignalChanges {
             groups: beliefs.engine_limits.updates_due(is_period, now),
             leaving: beliefs.engines.notices.due_reports(occasion, now),
         }
@@ -90,7 +90,7 @@
 }
 
 /// Reports that fit one datagram each, and one at least.
-fn reports(gateway: &Gateway, news: News, wants_all: bool) -> Vec<EngineSignalReport> {
+fn reports(gateway: &Gateway, news: SignalChanges, wants_all: bool) -> Vec<EngineSignalReport> {
     let empty = EngineSignalReport {
         sender: PeerId::of(&gateway.settings().node.name),
         groups: Vec::new(),
@@ -118,7 +118,7 @@
     gateway: &Gateway,
     groups: impl IntoIterator<Item = GroupUpdate>,
 ) -> Vec<EngineSignalReport> {
-    let news = News {
+    let news = SignalChanges {
         groups: groups.into_iter().collect(),
         leaving: Vec::new(),
     };
@@ -135,33 +135,33 @@
         book.list_count() > 0 && book.listed_nodes() <= 1
     };
     let has_waited = gateway.clock.now().since(gateway.started_at) >= START_WAIT_MS;
-    let hears_nobody = gateway.settings().listen.peers.is_none();
-    is_alone || has_waited || hears_nobody || gateway.beliefs().is_told_signals
+    let has_no_peer_socket = gateway.settings().listen.peers.is_none();
+    is_alone || has_waited || has_no_peer_socket || gateway.beliefs().is_told_signals
 }
 
 /// Takes in what another node tells.
 pub fn handle_signals(gateway: &Gateway, report: &EngineSignalReport, from: SocketAddr) {
     let now = gateway.clock.now();
     if report.wants_all {
-        tell_everything(gateway, from, now);
+        send_all_signals(gateway, from, now);
     }
     let passes_on = role(gateway, now) == Role::Relay;
-    let mut is_news = false;
+    let mut is_new = false;
     for news in &report.groups {
-        is_news |= apply_limit_group(gateway, news, passes_on, now);
+        is_new |= apply_limit_group(gateway, news, passes_on, now);
     }
-    is_news |= take_leaving(gateway, &report.leaving, passes_on, now);
+    is_new |= apply_leaving(gateway, &report.leaving, passes_on, now);
     // A node that asks as well knows no more than this one.
     gateway.beliefs().is_told_signals |= !report.wants_all;
-    if is_news {
+    if is_new {
         gateway.engine_signals_changed.notify(usize::MAX);
     }
 }
 
-fn tell_everything(gateway: &Gateway, to: SocketAddr, now: Millis) {
+fn send_all_signals(gateway: &Gateway, to: SocketAddr, now: Millis) {
     let news = {
         let beliefs = gateway.beliefs();
-        News {
+        SignalChanges {
             groups: beliefs.engine_limits.all_updates(now),
             leaving: beliefs.engines.notices.all_leaving(now),
         }
@@ -172,19 +172,24 @@
 }
 
 /// Takes in which engines leave; tells whether it was news.
-fn take_leaving(gateway: &Gateway, told: &[ReportedLeaving], passes_on: bool, now: Millis) -> bool {
+fn apply_leaving(
+    gateway: &Gateway,
+    reported: &[ReportedLeaving],
+    passes_on: bool,
+    now: Millis,
+) -> bool {
     let mut beliefs = gateway.beliefs();
     let notices = &mut beliefs.engines.notices;
-    let news: Vec<&ReportedLeaving> = told
+    let news: Vec<&ReportedLeaving> = reported
         .iter()
-        .filter(|told| notices.apply_reported(told, passes_on, now))
+        .filter(|reported| notices.apply_reported(reported, passes_on, now))
         .collect();
     let engines = &beliefs.engines;
     let known = news
         .iter()
-        .filter_map(|told| engines.by_tag(told.life.engine));
+        .filter_map(|reported| engines.by_tag(reported.life.engine));
     let names = known.map(|engine| engine.record.instance.0.as_str());
-    let names: Vec<&str> = names.take(MOST_NAMED).collect();
+    let names: Vec<&str> = names.take(MAX_LOGGED_ENGINES).collect();
     if let Some(first) = news.first() {
         slog::info!(gateway.log, "engine leaves";
             "engine" => names.join(" "), "engines" => news.len(),
--- a/crates/gateway/src/peers/follower.rs
+++ b/crates/gateway/src/peers/follower.rs
@@ -18,7 +18,7 @@
 
 /// What a relay tells, its revisions in an era of the store. A relay of an earlier release
 /// tells none: it reads the same store as this node.
-fn in_known_era<'a>(gateway: &Gateway, report: &'a RelayReport) -> Cow<'a, RelayReport> {
+fn with_known_era<'a>(gateway: &Gateway, report: &'a RelayReport) -> Cow<'a, RelayReport> {
     let own = gateway.store_era.get();
     match own.filter(|_| report.store_era.is_none()) {
         Some(era) => Cow::Owned(report.clone().in_era(era)),
@@ -28,7 +28,7 @@
 
 /// Takes in what a relay of the zone tells.
 pub fn handle_relay_report(gateway: &Gateway, report: &RelayReport, from: SocketAddr) {
-    let report = &*in_known_era(gateway, report);
+    let report = &*with_known_era(gateway, report);
     let now = gateway.clock.now();
     let sender = report.loads.sender;
     gateway.hear_store_era(report.store_era);
@@ -48,11 +48,11 @@
     loads.apply(&report.loads, included, now);
     let (placements, loaded) = (&report.placements, &report.loaded);
     beliefs.note_reported(placements, loaded, report.lease, now);
-    for told in &report.stores {
-        beliefs.cache_stores.apply_reported(told, now);
+    for reported in &report.stores {
+        beliefs.cache_stores.apply_reported(reported, now);
     }
     beliefs.followed.note_report(report, from, sent_at, now);
-    take_proof(&mut beliefs, report, sent_at);
+    apply_proof(&mut beliefs, report, sent_at);
     let refused = report.refused_requests;
     if refused.is_some_and(|refused| beliefs.quarantine.refused() >= refused as usize) {
         beliefs.quarantine.mark_stored_list_known();
@@ -69,10 +69,10 @@
     let answers = included.zip(sent_at);
     let news = report.rollouts.as_ref();
     let order_news = news.map_or_else(Vec::new, |news| {
-        take_rollout_news(&mut beliefs, news, answers, settings, now)
+        apply_rollout_news(&mut beliefs, news, answers, settings, now)
     });
     let configuration = beliefs.configuration_version();
-    let lacks = beliefs.followed.snapshot_need(configuration, limit_ms, now);
+    let snapshot_need = beliefs.followed.snapshot_need(configuration, limit_ms, now);
     drop(beliefs);
     log_engine_updates(gateway, &changes, UpdateSource::Relay);
     hear_weights(gateway, &report.weights, sent_at, NewsOrigin::Relay);
@@ -81,14 +81,14 @@
     if !report.lost.is_empty() || !report.changes.is_empty() {
         gateway.engine_check_due.notify(usize::MAX);
     }
-    if lacks.is_some() {
+    if snapshot_need.is_some() {
         gateway.snapshot_due.notify(usize::MAX);
     }
 }
 
 /// Takes in what a relay tells of rollouts. `answers` is as for
 /// [`crate::rollouts::RolloutBeliefs::apply_sums`].
-pub(super) fn take_rollout_news(
+pub(super) fn apply_rollout_news(
     beliefs: &mut Beliefs,
     news: &RolloutNews,
     answers: Option<(u64, Millis)>,
@@ -108,7 +108,7 @@
 /// The relay's proof that the configuration is the newest counts from when this
 /// node sent the report that the relay answers, less the age that it tells: however
 /// long the answer travelled, the proof is not younger than that.
-fn take_proof(beliefs: &mut Beliefs, report: &RelayReport, sent_at: Option<Millis>) {
+fn apply_proof(beliefs: &mut Beliefs, report: &RelayReport, sent_at: Option<Millis>) {
     let is_same = report.configuration == beliefs.configuration_version();
     let (Some(sent_at), Some(age_ms)) = (sent_at, report.proof_age_ms) else {
         return;
--- a/crates/gateway/src/peers/incoming.rs
+++ b/crates/gateway/src/peers/incoming.rs
@@ -29,17 +29,17 @@
         gateway.engine_check_due.notify(usize::MAX);
     }
     if report.wants_relay_reports {
-        take_member_report(gateway, &mut beliefs, report, from);
+        handle_member_report(gateway, &mut beliefs, report, from);
         return;
     }
     beliefs.peer_loads.apply(&report.loads, now);
     let (placements, loaded) = (&report.placements, &report.loaded);
     beliefs.note_reported(placements, loaded, report.lease, now);
-    take_rollouts(&mut beliefs, report, now);
+    apply_rollouts(&mut beliefs, report, now);
 }
 
 /// Takes in the report of a node of the zone that takes this one for a relay.
-fn take_member_report(
+fn handle_member_report(
     gateway: &Gateway,
     beliefs: &mut Beliefs,
     report: &PeerReport,
@@ -55,8 +55,8 @@
         let relaying = &mut beliefs.relaying;
         relaying.note_reporter(from, loads.sender, included, now);
     }
-    take_news(beliefs, report, true, now);
-    take_rollouts(beliefs, report, now);
+    apply_changes(beliefs, report, true, now);
+    apply_rollouts(beliefs, report, now);
 }
 
 /// Takes in the sums of another zone from one of its relays.
@@ -81,16 +81,16 @@
         beliefs.hear_of_losses(ReportSource::OtherZone, zone, &report.lost, fleet, now);
         gateway.engine_check_due.notify(usize::MAX);
     }
-    take_news(&mut beliefs, report, false, now);
+    apply_changes(&mut beliefs, report, false, now);
     let zone = report.loads.zone;
     beliefs
         .rollouts
         .merge_zone_report(zone, &report.rollouts, now);
-    hear_of_rollout_lease(&mut beliefs, report, now);
+    note_rollout_lease(&mut beliefs, report, now);
 }
 
 /// What a node tells of rollouts.
-fn take_rollouts(beliefs: &mut Beliefs, report: &PeerReport, now: Millis) {
+fn apply_rollouts(beliefs: &mut Beliefs, report: &PeerReport, now: Millis) {
     let from = Reporter {
         node: report.loads.sender,
         life: report.loads.life,
@@ -98,10 +98,10 @@
     beliefs
         .rollouts
         .merge_node_report(from, &report.rollouts, now);
-    hear_of_rollout_lease(beliefs, report, now);
+    note_rollout_lease(beliefs, report, now);
 }
 
-fn hear_of_rollout_lease(beliefs: &mut Beliefs, report: &PeerReport, now: Millis) {
+fn note_rollout_lease(beliefs: &mut Beliefs, report: &PeerReport, now: Millis) {
     if let Some(renewal) = report.rollouts.lease {
         beliefs
             .leases
@@ -112,31 +112,31 @@
 
 /// Takes in loads. Which engines are about to load weights is told on at once.
 fn apply_loads(gateway: &Gateway, beliefs: &mut Beliefs, loads: &LoadReport, now: Millis) -> bool {
-    let tells_loading = loads
+    let has_new_loading = loads
         .loading
         .iter()
         .any(|engine| !beliefs.peer_loads.is_loading(*engine));
-    let is_news = beliefs.peer_loads.apply(loads, now);
-    if is_news && tells_loading {
+    let is_new = beliefs.peer_loads.apply(loads, now);
+    if is_new && has_new_loading {
         gateway.report_due.notify(usize::MAX);
     }
-    is_news
+    is_new
 }
 
 /// What a report tells besides loads. It passes on what was news here, so nothing
 /// goes round.
-fn take_news(beliefs: &mut Beliefs, report: &PeerReport, is_from_zone: bool, now: Millis) {
+fn apply_changes(beliefs: &mut Beliefs, report: &PeerReport, is_from_zone: bool, now: Millis) {
     for placement in &report.placements {
-        let news = beliefs.holders.note(*placement, now);
-        let others: Vec<EngineTag> = match news {
+        let change = beliefs.holders.note(*placement, now);
+        let others: Vec<EngineTag> = match change {
             PlacementChange::Dropped => {
                 let others = beliefs.holders.holders_of(placement.part, now);
                 others.take(MAX_REPORTED_HOLDERS).collect()
             }
             _ => Vec::new(),
         };
-        let duties = &mut beliefs.relaying;
-        duties.forward_placement(*placement, news, &others, is_from_zone);
+        let relaying = &mut beliefs.relaying;
+        relaying.forward_placement(*placement, change, &others, is_from_zone);
     }
     for loaded in &report.loaded {
         if beliefs.engines.note_loaded_weights(loaded) {
--- a/crates/gateway/src/peers/limit_messages.rs
+++ b/crates/gateway/src/peers/limit_messages.rs
@@ -65,10 +65,13 @@
         sequence: report.sequence,
         nodes: report.nodes,
         accounts_age_ms: report.accounts_age_ms,
-        tenants: levels.iter().map(|told| told.tenant.0).collect(),
-        levels: levels.iter().map(|told| told.level).collect(),
-        fleet_rates: levels.iter().map(|told| told.fleet_rate).collect(),
-        fleet_demands: levels.iter().map(|told| told.fleet_demand).collect(),
+        tenants: levels.iter().map(|reported| reported.tenant.0).collect(),
+        levels: levels.iter().map(|reported| reported.level).collect(),
+        fleet_rates: levels.iter().map(|reported| reported.fleet_rate).collect(),
+        fleet_demands: levels
+            .iter()
+            .map(|reported| reported.fleet_demand)
+            .collect(),
         counted: Vec::new(),
     }
 }
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -17,12 +17,12 @@
 
 /// Periods of a relay in which it tells at least once how long its accounts run: that
 /// shows the nodes which rely on it that it is there.
-const PERIODS_PER_LEVELS: u64 = 2;
+const PERIODS_PER_LEVEL_REPORT: u64 = 2;
 
 /// Reports of use to one set of receivers.
 #[derive(Debug, Default)]
 pub struct UseStream {
-    told: ReportedUse,
+    reported: ReportedUse,
 }
 
 impl UseStream {
@@ -39,7 +39,7 @@
             if !limiter.has_limits() {
                 return;
             }
-            self.told.next(limiter.own_uses(), gateway.clock.now())
+            self.reported.next(limiter.own_uses(), gateway.clock.now())
         };
         let reporter = Reporter {
             zone_sum: None,
@@ -75,7 +75,10 @@
             // Sums that began later are those of a later life.
             life: gateway.life + sum.begun_at.0,
         };
-        if let Some(due) = self.told.next(sum.uses.into_iter(), gateway.clock.now()) {
+        if let Some(due) = self
+            .reported
+            .next(sum.uses.into_iter(), gateway.clock.now())
+        {
             send_uses(gateway, socket, receivers, &reporter, &due).await;
         }
     }
@@ -128,7 +131,7 @@
         let limiter = &mut gateway.beliefs().limiter;
         (limiter.next_levels(now), limiter.accounts_age_ms(now))
     };
-    if levels.is_empty() && period % PERIODS_PER_LEVELS != 0 {
+    if levels.is_empty() && period % PERIODS_PER_LEVEL_REPORT != 0 {
         return;
     }
     for chunk in chunks_or_empty(&levels) {
@@ -141,7 +144,7 @@
             levels: chunk.to_vec(),
         };
         let common = encode_body(Body::LevelReport(level_message(&report)));
-        let tenants: Vec<TenantTag> = chunk.iter().map(|told| told.tenant).collect();
+        let tenants: Vec<TenantTag> = chunk.iter().map(|reported| reported.tenant).collect();
         let counted: Vec<Vec<u64>> = {
             let limiter = &gateway.beliefs().limiter;
             let receivers = receivers.iter();
--- a/crates/gateway/src/peers/message_fields.rs
+++ b/crates/gateway/src/peers/message_fields.rs
@@ -57,8 +57,8 @@
 }
 
 /// Reads an era of the store.
-pub(super) fn read_era(plus_one: u64) -> Option<StoreEra> {
-    plus_one.checked_sub(1).map(StoreEra)
+pub(super) fn read_era(encoded_era: u64) -> Option<StoreEra> {
+    encoded_era.checked_sub(1).map(StoreEra)
 }
 
 pub(super) fn load_message((engine, load): &(EngineTag, EngineLoad)) -> peers::EngineLoad {
@@ -120,16 +120,16 @@
 }
 
 /// The wire has 0 where nothing is known.
-pub(super) fn known(value: u64) -> Option<u64> {
+pub(super) fn nonzero(value: u64) -> Option<u64> {
     Some(value).filter(|value| *value > 0)
 }
 
 /// The wire has an age plus one, in milliseconds.
-pub(super) fn plus_one(age_ms: Option<u64>) -> u64 {
+pub(super) fn encode_age(age_ms: Option<u64>) -> u64 {
     age_ms.map_or(0, |age_ms| age_ms + 1)
 }
 
 /// Reads an age, in milliseconds.
-pub(super) fn less_one(age_plus_one: u64) -> Option<u64> {
-    known(age_plus_one).map(|age| age - 1)
+pub(super) fn read_age(age_plus_one: u64) -> Option<u64> {
+    nonzero(age_plus_one).map(|age| age - 1)
 }
--- a/crates/gateway/src/peers/messages.rs
+++ b/crates/gateway/src/peers/messages.rs
@@ -31,13 +31,13 @@
 
 /// Placements that make way for lost engines, so that the report stays within its
 /// datagram. On calm days there are none.
-const PLACEMENTS_BESIDE_LOSSES: usize = 6;
+const PLACEMENTS_DISPLACED_BY_LOSSES: usize = 6;
 
 /// Placements for which a report has room that would hold so many without losses.
 pub fn placement_capacity(most: usize, lost: &[LostEngine]) -> usize {
     match lost.is_empty() {
         true => most,
-        false => most - PLACEMENTS_BESIDE_LOSSES,
+        false => most - PLACEMENTS_DISPLACED_BY_LOSSES,
     }
 }
 
@@ -99,7 +99,11 @@
         PeerMessage::RelayReport(report) => Body::RelayReport(relay_report_message(report)),
         PeerMessage::Use(message) => Body::UseReport(use_message(message)),
         PeerMessage::Levels(report) => {
-            let counted = report.levels.iter().map(|told| told.counted).collect();
+            let counted = report
+                .levels
+                .iter()
+                .map(|reported| reported.counted)
+                .collect();
             Body::LevelReport(peers::LevelReport {
                 counted,
                 ..level_message(report)
@@ -112,8 +116,8 @@
         PeerMessage::EngineSignals(report) => {
             Body::EngineSignalReport(engine_signal_messages::report_message(report))
         }
-        PeerMessage::EngineLimitObserved(seen) => {
-            Body::EngineLimitObservation(engine_limit_messages::observation_message(seen))
+        PeerMessage::EngineLimitObserved(observation) => {
+            Body::EngineLimitObservation(engine_limit_messages::observation_message(observation))
         }
         PeerMessage::TokenRequest(request) => {
             Body::EngineTokenRequest(engine_limit_messages::request_message(request))
@@ -157,8 +161,8 @@
         Some(Body::EngineSignalReport(report)) => Some(PeerMessage::EngineSignals(
             engine_signal_messages::read_report(&report),
         )),
-        Some(Body::EngineLimitObservation(seen)) => Some(PeerMessage::EngineLimitObserved(
-            engine_limit_messages::read_observation(&seen),
+        Some(Body::EngineLimitObservation(observation)) => Some(PeerMessage::EngineLimitObserved(
+            engine_limit_messages::read_observation(&observation),
         )),
         Some(Body::EngineTokenRequest(request)) => Some(PeerMessage::TokenRequest(
             engine_limit_messages::read_request(&request),
--- a/crates/gateway/src/peers/quarantine_messages.rs
+++ b/crates/gateway/src/peers/quarantine_messages.rs
@@ -1,6 +1,6 @@
 //! Requests under which engines ended, as messages.
 
-use super::message_fields::{less_one, plus_one};
+use super::message_fields::{encode_age, read_age};
 use ploverlift_balancing::peer_loads::{EngineTag, PeerId};
 use ploverlift_quarantine::fingerprint::RequestFingerprint;
 use ploverlift_quarantine::node_messages::{
@@ -33,25 +33,29 @@
     }
 }
 
-fn request_message(told: &ReportedRequest) -> peers::QuarantinedRequest {
+fn request_message(reported: &ReportedRequest) -> peers::QuarantinedRequest {
     let clearing_age = |is_answer: bool| {
-        let clearing = told.clearing;
+        let clearing = reported.clearing;
         let clearing = clearing.filter(|clearing| clearing.is_answer == is_answer);
-        plus_one(clearing.map(|clearing| clearing.age_ms))
+        encode_age(clearing.map(|clearing| clearing.age_ms))
     };
     peers::QuarantinedRequest {
-        request: told.request.0,
-        tenant: told.tenant.0,
-        ended: told.ends.iter().map(|end| end.engine.0).collect(),
-        ended_ages: told.ends.iter().map(|end| end.age_ms).collect(),
-        begun_ages: told.ends.iter().map(|end| end.begun_age_ms).collect(),
-        software: told.software.iter().map(|known| known.0.clone()).collect(),
-        claimed_by: told.claim.map_or(0, |claim| claim.node.0),
-        is_sent: told.claim.is_some_and(|claim| claim.is_sent),
-        claim_age: told.claim.map_or(0, |claim| claim.age_ms),
-        refused_age_plus_one: plus_one(told.refusal.map(|refusal| refusal.age_ms)),
-        trials: told.refusal.map_or(0, |refusal| refusal.trials),
-        is_stored: told.refusal.is_some_and(|refusal| refusal.is_stored),
+        request: reported.request.0,
+        tenant: reported.tenant.0,
+        ended: reported.ends.iter().map(|end| end.engine.0).collect(),
+        ended_ages: reported.ends.iter().map(|end| end.age_ms).collect(),
+        begun_ages: reported.ends.iter().map(|end| end.begun_age_ms).collect(),
+        software: reported
+            .software
+            .iter()
+            .map(|known| known.0.clone())
+            .collect(),
+        claimed_by: reported.claim.map_or(0, |claim| claim.node.0),
+        is_sent: reported.claim.is_some_and(|claim| claim.is_sent),
+        claim_age: reported.claim.map_or(0, |claim| claim.age_ms),
+        refused_age_plus_one: encode_age(reported.refusal.map(|refusal| refusal.age_ms)),
+        trials: reported.refusal.map_or(0, |refusal| refusal.trials),
+        is_stored: reported.refusal.is_some_and(|refusal| refusal.is_stored),
         answered_age_plus_one: clearing_age(true),
         released_age_plus_one: clearing_age(false),
     }
@@ -71,13 +75,13 @@
         is_sent: message.is_sent,
         age_ms: message.claim_age,
     };
-    let refusal = less_one(message.refused_age_plus_one).map(|age_ms| ReportedRefusal {
+    let refusal = read_age(message.refused_age_plus_one).map(|age_ms| ReportedRefusal {
         age_ms,
         trials: message.trials,
         is_stored: message.is_stored,
     });
     let clearing = |is_answer: bool, age_plus_one: u64| {
-        less_one(age_plus_one).map(|age_ms| ReportedClearing { is_answer, age_ms })
+        read_age(age_plus_one).map(|age_ms| ReportedClearing { is_answer, age_ms })
     };
     let answered = clearing(true, message.answered_age_plus_one);
     let software = message.software.iter().cloned().map(SoftwareVersion);
--- a/crates/gateway/src/peers/quarantine_reports.rs
+++ b/crates/gateway/src/peers/quarantine_reports.rs
@@ -20,7 +20,7 @@
 /// Longest time between two reports while there is something to tell, in milliseconds.
 const REPORT_PERIOD_MS: u64 = 250;
 /// Shortest time between two reports, in milliseconds.
-const SHORTEST_PERIOD_MS: u64 = 5;
+const MIN_PERIOD_MS: u64 = 5;
 /// Periods after which what is refused is told again, though nothing has changed.
 const PERIODS_PER_REFUSED: u64 = 16;
 /// Requests in one datagram: with eight ends each it stays under 1,200 bytes.
@@ -44,8 +44,8 @@
             passes_on: role(&gateway, now) == Role::Relay,
         };
         report(&gateway, &socket, occasion, now).await;
-        sleep(SHORTEST_PERIOD_MS).await;
-        within(REPORT_PERIOD_MS - SHORTEST_PERIOD_MS, due).await;
+        sleep(MIN_PERIOD_MS).await;
+        within(REPORT_PERIOD_MS - MIN_PERIOD_MS, due).await;
     }
 }
 
@@ -76,17 +76,17 @@
     let own = PeerId::of(&gateway.settings().node.name);
     let now = gateway.clock.now();
     let passes_on = role(gateway, now) == Role::Relay;
-    let mut is_news = false;
+    let mut is_new = false;
     let mut refused: Vec<RequestFingerprint> = Vec::new();
     {
         let quarantine = &mut gateway.beliefs().quarantine;
-        for told in &report.requests {
-            match quarantine.merge(told, report.sender, own, passes_on, now) {
+        for reported in &report.requests {
+            match quarantine.merge(reported, report.sender, own, passes_on, now) {
                 MergeOutcome::Unchanged => {}
-                MergeOutcome::Changed => is_news = true,
+                MergeOutcome::Changed => is_new = true,
                 MergeOutcome::Refused => {
-                    is_news = true;
-                    refused.push(told.request);
+                    is_new = true;
+                    refused.push(reported.request);
                 }
             }
         }
@@ -95,7 +95,7 @@
         slog::warn!(gateway.log, "request refused from now on";
             "fingerprint" => request.to_string(), "from" => format!("{:016x}", report.sender.0));
     }
-    if is_news {
+    if is_new {
         gateway.quarantine_changed.notify(usize::MAX);
     }
 }
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -27,10 +27,10 @@
 const RELAY_PERIOD_MS: u64 = 100;
 /// Time between two looks of a node that does not relay at whether it should, in
 /// milliseconds: relays are in place long before they are needed.
-const IDLE_MS: u64 = 250;
+const ROLE_POLL_MS: u64 = 250;
 /// Shortest time between two reports, in milliseconds: news that cannot wait, as
 /// that an engine is about to load weights, goes out at once, several together.
-const SHORTEST_PERIOD_MS: u64 = 15;
+const MIN_PERIOD_MS: u64 = 15;
 
 /// The task of a node that relays.
 pub struct Relay {
@@ -59,28 +59,28 @@
     /// Reports whenever this node relays, until the task is dropped.
     pub async fn run(mut self) {
         let gateway = Arc::clone(&self.gateway);
-        let mut urgent = gateway.report_due.listen();
+        let mut report_due = gateway.report_due.listen();
         loop {
-            sleep(SHORTEST_PERIOD_MS).await;
-            within(RELAY_PERIOD_MS - SHORTEST_PERIOD_MS, urgent).await;
+            sleep(MIN_PERIOD_MS).await;
+            within(RELAY_PERIOD_MS - MIN_PERIOD_MS, report_due).await;
             // What becomes urgent while reports are sent goes out with the next ones.
-            urgent = gateway.report_due.listen();
+            report_due = gateway.report_due.listen();
             let now = gateway.clock.now();
-            self.note_role(now);
+            self.update_role(now);
             if self.role != Role::Relay {
-                self.contents.forget_told();
-                sleep(IDLE_MS).await;
+                self.contents.reset_reported();
+                sleep(ROLE_POLL_MS).await;
                 continue;
             }
             self.contents.begin_period(now);
-            self.take_own_placements();
+            self.queue_own_placements();
             self.report_to_zone().await;
-            self.tell_levels(now).await;
+            self.report_levels(now).await;
             self.report_to_other_zones(now).await;
         }
     }
 
-    fn note_role(&mut self, now: Millis) {
+    fn update_role(&mut self, now: Millis) {
         let present = role(&self.gateway, now);
         let before = std::mem::replace(&mut self.role, present);
         if before != present {
@@ -99,19 +99,19 @@
     }
 
     /// What engines read for this node itself.
-    fn take_own_placements(&mut self) {
+    fn queue_own_placements(&mut self) {
         let mut beliefs = self.gateway.beliefs();
         let (placements, next) = beliefs
             .holders
             .changes_after(self.own_placements_from, MAX_WAITING_PLACEMENTS);
         self.own_placements_from = next;
         for placement in placements {
-            let news = match placement.is_kept {
+            let change = match placement.is_kept {
                 true => PlacementChange::Kept { holders: 1 },
                 false => PlacementChange::Dropped,
             };
-            let duties = &mut beliefs.relaying;
-            duties.forward_placement(placement, news, &[], true);
+            let relaying = &mut beliefs.relaying;
+            relaying.forward_placement(placement, change, &[], true);
         }
     }
 
@@ -138,7 +138,7 @@
         }
     }
 
-    async fn tell_levels(&self, now: Millis) {
+    async fn report_levels(&self, now: Millis) {
         let receivers = self.gateway.beliefs().relaying.level_receivers();
         let period = self.contents.period();
         send_levels(&self.gateway, &self.socket, &receivers, period, now).await;
--- a/crates/gateway/src/peers/relay_contents.rs
+++ b/crates/gateway/src/peers/relay_contents.rs
@@ -27,10 +27,10 @@
 /// Engines up to which a relay tells all loads that changed in each report: they fit two
 /// datagrams. With more, those of other zones are told now and then, so that what a
 /// relay sends to each node stays bounded.
-const MAX_ENGINES_TOLD_AT_ONCE: usize = 2 * MAX_RELAYED_LOADS;
+const MAX_ENGINES_REPORTED_AT_ONCE: usize = 2 * MAX_RELAYED_LOADS;
 /// Reports in which changed loads at engines of other zones are told once where there
 /// are more engines: as measured at 153 and 240 engines.
-const PERIODS_PER_FAR_LOADS: u64 = 4;
+const PERIODS_PER_REMOTE_LOADS: u64 = 4;
 /// Reports in which each engine's load is told at least once: it repairs what was
 /// lost.
 const PERIODS_PER_REFRESH: u64 = 16;
@@ -42,17 +42,17 @@
 /// Time from its beginning after which a relay names the nodes of its zone, in
 /// milliseconds: those that lost their relays report to it after 0.7 s, at least every
 /// 0.3 s. Whoever is named few others would take over their work.
-const NAMES_MEMBERS_AFTER_MS: u64 = 1_500;
+const MEMBER_LIST_DELAY_MS: u64 = 1_500;
 /// Time for which a change of an engine is told again with each report, in
 /// milliseconds: three reports, so that two may be lost.
-const CHANGES_TOLD_MS: u64 = 320;
+const CHANGE_REPEAT_MS: u64 = 320;
 
 /// What a relay has told, and so what it has yet to tell.
 pub(super) struct RelayContents {
     gateway: Arc<Gateway>,
     own: PeerId,
     zone: ZoneTag,
-    told: HashMap<EngineTag, EngineLoad>,
+    reported: HashMap<EngineTag, EngineLoad>,
     period: u64,
     /// Since when this node relays.
     relays_since: Option<Millis>,
@@ -73,7 +73,7 @@
             gateway,
             own,
             zone,
-            told: HashMap::new(),
+            reported: HashMap::new(),
             period: 0,
             relays_since: None,
         }
@@ -96,8 +96,8 @@
     }
 
     /// What was told does not count any more, as this node does not relay.
-    pub(super) fn forget_told(&mut self) {
-        self.told.clear();
+    pub(super) fn reset_reported(&mut self) {
+        self.reported.clear();
         self.relays_since = None;
     }
 
@@ -109,21 +109,21 @@
         beliefs.relaying.expire(now);
         let peers = beliefs.peer_loads.peer_count();
         gateway.metrics.peers.set(peers as i64);
-        let changes = beliefs.catalogue_log.latest(CHANGES_TOLD_MS, now);
+        let changes = beliefs.catalogue_log.latest(CHANGE_REPEAT_MS, now);
         let mut changes = changes.pieces(MAX_RELAYED_CHANGES).into_iter();
         let mut header = self.header(&beliefs, now);
         let mut portions = self.portions(&mut beliefs, &header.lost).into_iter();
         let mut reports = Vec::new();
-        let tells_always = self.period % PERIODS_PER_MEMBERS == 0;
+        let is_repeat_due = self.period % PERIODS_PER_MEMBERS == 0;
         let rollouts = &mut beliefs.rollouts;
-        let mut news = rollouts.relay_broadcast(self.reporter(), tells_always, now);
+        let mut rollout_news = rollouts.relay_broadcast(self.reporter(), is_repeat_due, now);
         if rollouts.is_any_open() {
             // The counts fill a datagram of their own.
             let mut report = header.clone();
             report.loads.sequence = self.next_sequence();
             report.changes_after = beliefs.catalogue_log.through();
             report.changes_through = report.changes_after;
-            report.rollouts = news.take();
+            report.rollouts = rollout_news.take();
             header.loads.members.clear();
             reports.push(report);
         }
@@ -136,30 +136,30 @@
         let mut stores = stores.into_iter();
         loop {
             let (part, portion) = (changes.next(), portions.next());
-            let told = match (&part, &portion) {
+            let reported = match (&part, &portion) {
                 (None, None) => stores.next(),
                 _ => None,
             };
-            if part.is_none() && portion.is_none() && told.is_none() {
+            if part.is_none() && portion.is_none() && reported.is_none() {
                 let weights = beliefs
                     .weights
                     .current_report(&gateway.weights_bounds(0), now);
                 header.changes_through = beliefs.catalogue_log.through();
                 header.changes_after = header.changes_through;
-                self.tell_weights(&mut reports, &header, weights);
+                self.add_weights(&mut reports, &header, weights);
                 return reports;
             }
             let mut report = header.clone();
-            if told.is_some() {
+            if reported.is_some() {
                 // With the nodes of a large zone it would not fit one datagram.
                 report.loads.members.clear();
             }
-            report.stores.extend(told);
+            report.stores.extend(reported);
             report.loads.sequence = self.next_sequence();
             if !reports.is_empty() {
                 report.loads.members.clear();
             }
-            report.rollouts = news.take();
+            report.rollouts = rollout_news.take();
             if let Some(portion) = portion {
                 report.loads.loads = portion.loads;
                 report.placements = portion.placements;
@@ -183,7 +183,7 @@
 
     /// Puts what is known of the newest weights into a report that has room, or into
     /// reports of its own.
-    fn tell_weights(
+    fn add_weights(
         &self,
         reports: &mut Vec<RelayReport>,
         header: &RelayReport,
@@ -212,13 +212,13 @@
 
     /// Loads that changed and placements to pass on, in portions of one datagram.
     fn portions(&mut self, beliefs: &mut Beliefs, lost: &[LostEngine]) -> Vec<Portion> {
-        let loads = self.loads_to_tell(beliefs);
+        let loads = self.loads_to_report(beliefs);
         let mut loads = loads.chunks(MAX_RELAYED_LOADS);
-        let room = placement_capacity(MAX_RELAYED_PLACEMENTS, lost);
+        let capacity = placement_capacity(MAX_RELAYED_PLACEMENTS, lost);
         let mut portions = Vec::new();
         loop {
             let next = loads.next().unwrap_or_default();
-            let placements = beliefs.relaying.next_for_zone(room);
+            let placements = beliefs.relaying.next_for_zone(capacity);
             if next.is_empty() && placements.is_empty() {
                 return portions;
             }
@@ -229,25 +229,26 @@
         }
     }
 
-    fn loads_to_tell(&mut self, beliefs: &Beliefs) -> Vec<(EngineTag, EngineLoad)> {
+    fn loads_to_report(&mut self, beliefs: &Beliefs) -> Vec<(EngineTag, EngineLoad)> {
         let mut totals = present_loads(&beliefs.engines);
         for (engine, load) in beliefs.peer_loads.totals() {
             totals.entry(engine).or_default().add(load);
         }
         let refreshed = self.period % PERIODS_PER_REFRESH;
-        let tells_all = beliefs.engines.len() <= MAX_ENGINES_TOLD_AT_ONCE
-            || self.period % PERIODS_PER_FAR_LOADS == 0;
+        let reports_all = beliefs.engines.len() <= MAX_ENGINES_REPORTED_AT_ONCE
+            || self.period % PERIODS_PER_REMOTE_LOADS == 0;
         let zone = &self.gateway.zone;
         let in_zone = beliefs.engines.iter();
         let in_zone = in_zone.filter(|engine| engine.record.zone == *zone);
         let near: BTreeSet<EngineTag> = in_zone.map(|engine| engine.tag).collect();
-        let engines: BTreeSet<EngineTag> = totals.keys().chain(self.told.keys()).copied().collect();
+        let engines: BTreeSet<EngineTag> =
+            totals.keys().chain(self.reported.keys()).copied().collect();
         let mut loads = Vec::new();
         for engine in engines {
             let load = totals.get(&engine).copied().unwrap_or_default();
             let is_refreshed = u64::from(engine.0) % PERIODS_PER_REFRESH == refreshed;
-            let has_changed = self.told.get(&engine).copied().unwrap_or_default() != load;
-            let is_due = has_changed && (tells_all || near.contains(&engine));
+            let has_changed = self.reported.get(&engine).copied().unwrap_or_default() != load;
+            let is_due = has_changed && (reports_all || near.contains(&engine));
             if is_due || is_refreshed {
                 loads.push((engine, load));
             }
@@ -255,9 +256,9 @@
         for (engine, load) in &loads {
             let is_refreshed = u64::from(engine.0) % PERIODS_PER_REFRESH == refreshed;
             if is_refreshed && *load == EngineLoad::default() {
-                self.told.remove(engine);
+                self.reported.remove(engine);
             } else {
-                self.told.insert(*engine, *load);
+                self.reported.insert(*engine, *load);
             }
         }
         loads
@@ -276,8 +277,8 @@
                 sequence: 0,
                 loads: Vec::new(),
                 loading: loading(beliefs, |_| true),
-                members: match self.knows_members(now) {
-                    true => self.named_members(beliefs),
+                members: match self.has_complete_members(now) {
+                    true => self.listed_members(beliefs),
                     false => Vec::new(),
                 },
                 zones,
@@ -302,7 +303,7 @@
     }
 
     /// The nodes of the zone that the reports of this period name: a part of them.
-    fn named_members(&self, beliefs: &Beliefs) -> Vec<PeerId> {
+    fn listed_members(&self, beliefs: &Beliefs) -> Vec<PeerId> {
         let peers = beliefs.peer_loads.peers();
         let near = peers.filter(|(_, zone)| *zone == self.zone);
         let members: Vec<PeerId> = near.map(|(id, _)| id).chain([self.own]).collect();
@@ -310,9 +311,9 @@
     }
 
     /// Whether all nodes of the zone have had the time to report here.
-    fn knows_members(&self, now: Millis) -> bool {
+    fn has_complete_members(&self, now: Millis) -> bool {
         let since = self.relays_since;
-        since.is_some_and(|since| now.since(since) >= NAMES_MEMBERS_AFTER_MS)
+        since.is_some_and(|since| now.since(since) >= MEMBER_LIST_DELAY_MS)
     }
 
     fn reporter(&self) -> Reporter {
@@ -329,10 +330,10 @@
         let lost = beliefs.losses.of_zone(beliefs.engines.len(), now);
         let lease = beliefs.leases.of(LeaseName::Rollouts).newest();
         let header = self.zone_header(&beliefs, &lost, now);
-        let room = placement_capacity(MAX_PLACEMENTS, &lost);
+        let capacity = placement_capacity(MAX_PLACEMENTS, &lost);
         let mut reports = Vec::new();
         loop {
-            let placements = beliefs.relaying.next_for_other_zones(room);
+            let placements = beliefs.relaying.next_for_other_zones(capacity);
             if placements.is_empty() && !reports.is_empty() {
                 break;
             }
@@ -345,8 +346,8 @@
             report.placements = placements;
             reports.push(report);
         }
-        let told = beliefs.rollouts.zone_report(self.reporter(), now);
-        reports.extend(told.pieces().into_iter().map(|rollouts| PeerReport {
+        let reported = beliefs.rollouts.zone_report(self.reporter(), now);
+        reports.extend(reported.pieces().into_iter().map(|rollouts| PeerReport {
             rollouts,
             ..header.clone()
         }));
--- a/crates/gateway/src/peers/relay_forwarding.rs
+++ b/crates/gateway/src/peers/relay_forwarding.rs
@@ -113,17 +113,17 @@
     pub(super) fn forward_placement(
         &mut self,
         placement: Placement,
-        news: PlacementChange,
+        change: PlacementChange,
         others: &[EngineTag],
         is_from_zone: bool,
     ) {
-        let concerns_others = match news {
+        let is_relevant_to_other_zones = match change {
             PlacementChange::Known => return,
             PlacementChange::Kept { holders } => holders <= MAX_REPORTED_HOLDERS,
             PlacementChange::Dropped => true,
         };
         push_bounded(&mut self.for_zone, placement);
-        if !is_from_zone || !concerns_others {
+        if !is_from_zone || !is_relevant_to_other_zones {
             return;
         }
         push_bounded(&mut self.for_other_zones, placement);
--- a/crates/gateway/src/peers/relay_messages.rs
+++ b/crates/gateway/src/peers/relay_messages.rs
@@ -1,7 +1,7 @@
 //! What relays tell the nodes of their zone, as messages.
 
 use super::message_fields::{
-    era_plus_one, known, less_one, load_message, loaded_message, placement_message, plus_one,
+    encode_age, era_plus_one, load_message, loaded_message, nonzero, placement_message, read_age,
     read_era, read_included, read_load, read_loaded, read_lost, read_placement, read_renewal,
     read_revision, revision_fields, revision_in_era, IncludedReport,
 };
@@ -130,8 +130,8 @@
         members: loads.members.iter().map(|member| member.0).collect(),
         zones: loads.zones.iter().map(|zone| zone.0).collect(),
         configuration: report.configuration.unwrap_or(0),
-        proof_age_plus_one: plus_one(report.proof_age_ms),
-        engines_age_plus_one: plus_one(report.engines_age_ms),
+        proof_age_plus_one: encode_age(report.proof_age_ms),
+        engines_age_plus_one: encode_age(report.engines_age_ms),
         target_versions: target_messages(&report.weights),
         weights: Some(weights_message(&report.weights)),
         changes_after: report.changes_after,
@@ -173,9 +173,9 @@
         loaded: message.loaded.iter().map(read_loaded).collect(),
         lease: read_renewal(message.lease_revision, message.lease_token),
         store_era: read_era(message.store_era_plus_one),
-        configuration: known(message.configuration),
-        proof_age_ms: less_one(message.proof_age_plus_one),
-        engines_age_ms: less_one(message.engines_age_plus_one),
+        configuration: nonzero(message.configuration),
+        proof_age_ms: read_age(message.proof_age_plus_one),
+        engines_age_ms: read_age(message.engines_age_plus_one),
         weights: read_relayed_weights(message),
         changes_after: message.changes_after,
         changes_through: message.changes_through,
@@ -281,7 +281,7 @@
     let newest: BTreeMap<&str, u64> = weights
         .versions
         .iter()
-        .map(|told| (told.model.as_str(), told.version))
+        .map(|reported| (reported.model.as_str(), reported.version))
         .collect();
     let targets = newest
         .into_iter()
--- a/crates/gateway/src/peers/reports.rs
+++ b/crates/gateway/src/peers/reports.rs
@@ -25,18 +25,18 @@
 /// Datagrams that a node sends within its zone in that time. With more peers it
 /// reports less often, so what reports cost stays the same however large the
 /// fleet.
-const NEAR_PER_PERIOD: usize = 8;
+const OWN_ZONE_DATAGRAMS_PER_PERIOD: usize = 8;
 /// The same for nodes of other zones.
-const FAR_PER_PERIOD: usize = 4;
+const OTHER_ZONES_DATAGRAMS_PER_PERIOD: usize = 4;
 /// Shortest time between two reports to relays, in milliseconds: a little less than
 /// a relay's own period.
-const TO_RELAYS_PERIOD_MS: u64 = 80;
+const MIN_RELAY_INTERVAL_MS: u64 = 80;
 /// Longest time between two reports to relays, in milliseconds: the age of what a
 /// relay tells counts from a report that it answers.
-const TO_RELAYS_LONGEST_MS: u64 = 300;
+const MAX_RELAY_INTERVAL_MS: u64 = 300;
 /// Time between two looks at whether this node reports to other zones by itself, in
 /// milliseconds.
-const IDLE_MS: u64 = 500;
+const ROLE_POLL_MS: u64 = 500;
 
 /// Reports to the nodes of the zone, or of other zones.
 pub struct ReportStream {
@@ -78,10 +78,10 @@
                 match self.reach {
                     Reach::OwnZone => {
                         self.report_to_relays().await;
-                        within(TO_RELAYS_PERIOD_MS, due).await;
+                        within(MIN_RELAY_INTERVAL_MS, due).await;
                     }
                     // Relays do.
-                    Reach::OtherZones => sleep(IDLE_MS).await,
+                    Reach::OtherZones => sleep(ROLE_POLL_MS).await,
                 }
                 continue;
             }
@@ -96,8 +96,8 @@
                 advance_accounts(&self.gateway, self.gateway.clock.now());
             }
             let per_period = match self.reach {
-                Reach::OwnZone => NEAR_PER_PERIOD,
-                Reach::OtherZones => FAR_PER_PERIOD,
+                Reach::OwnZone => OWN_ZONE_DATAGRAMS_PER_PERIOD,
+                Reach::OtherZones => OTHER_ZONES_DATAGRAMS_PER_PERIOD,
             };
             let periods = receivers.len().div_ceil(per_period).max(1);
             within(REPORT_PERIOD_MS * periods as u64, due).await;
@@ -139,21 +139,23 @@
 
     fn next_report(&mut self, for_relays: bool) -> Option<PeerReport> {
         let now = self.gateway.clock.now();
-        let rested = |sent_at| now.since(sent_at) >= TO_RELAYS_LONGEST_MS;
-        let is_due = for_relays && self.sent_at.is_none_or(rested);
+        let is_interval_over = |sent_at| now.since(sent_at) >= MAX_RELAY_INTERVAL_MS;
+        let is_due = for_relays && self.sent_at.is_none_or(is_interval_over);
         let sequence = self.gateway.report_sequence.fetch_add(1, Ordering::Relaxed);
         let mut beliefs = self.gateway.beliefs();
         beliefs.peer_loads.expire(now);
         let peers = beliefs.peer_loads.peer_count();
         self.gateway.metrics.peers.set(peers as i64);
         let lost = beliefs.losses.own(beliefs.engines.len());
-        let room = placement_capacity(MAX_PLACEMENTS, &lost);
-        let news = beliefs.holders.changes_after(self.placements_from, room);
-        let (placements, placements_from) = news;
+        let capacity = placement_capacity(MAX_PLACEMENTS, &lost);
+        let pending_changes = beliefs
+            .holders
+            .changes_after(self.placements_from, capacity);
+        let (placements, placements_from) = pending_changes;
         let lease = beliefs.leases.of(LeaseName::Weights).held;
         let loaded = beliefs.loaded_lately(now);
         let is_rollout_open = beliefs.rollouts.is_any_open();
-        let has_other_news = is_due
+        let has_other_changes = is_due
             || is_rollout_open
             || !placements.is_empty()
             || lease != self.reported_lease
@@ -162,7 +164,7 @@
             sequence,
             &beliefs.engines,
             &beliefs.loading,
-            has_other_news,
+            has_other_changes,
             now,
         )?;
         if for_relays {
--- a/crates/gateway/src/peers/roles.rs
+++ b/crates/gateway/src/peers/roles.rs
@@ -33,16 +33,16 @@
 /// feeds look on each node; with the share of the bound that
 /// knowledge may be old ([`engines_age_limit_ms`]) it leaves 0.25 s of a bound of
 /// 2 s on leaving engines for reading them from the store.
-const LOOK_PERIOD_MS: u64 = 200;
+const POLL_PERIOD_MS: u64 = 200;
 /// The same in a node's first moments.
-const START_LOOK_PERIOD_MS: u64 = 15;
+const START_POLL_PERIOD_MS: u64 = 15;
 /// Time for which a successful call for the configuration shows that the store can
 /// be reached, in milliseconds.
-const REACHED_MS: u64 = 1_500;
+const REACHABLE_MS: u64 = 1_500;
 
 /// Time after which a relay that tells of no orders is not relied on for them, in
 /// milliseconds: it tells at least once a second.
-const ORDERS_TOLD_MS: u64 = 2_500;
+const ORDERS_TIMEOUT_MS: u64 = 2_500;
 
 /// What a node does for others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -161,7 +161,7 @@
 /// Waits while this node need not read the configuration by itself.
 pub async fn wait_while_configuration_is_relayed(gateway: &Gateway) {
     while is_starting(gateway) || is_configuration_relayed(gateway) {
-        sleep(look_period_ms(gateway)).await;
+        sleep(poll_period_ms(gateway)).await;
     }
 }
 
@@ -177,14 +177,14 @@
 /// failed, it asks only once the configuration was read: a store that is away is not
 /// asked three times by each node.
 pub async fn wait_while_engines_are_relayed(gateway: &Gateway) {
-    while is_starting(gateway) || are_engines_relayed(gateway) || waits_for_lost_store(gateway) {
-        sleep(look_period_ms(gateway)).await;
+    while is_starting(gateway) || are_engines_relayed(gateway) || awaits_failing_store(gateway) {
+        sleep(poll_period_ms(gateway)).await;
     }
 }
 
-fn waits_for_lost_store(gateway: &Gateway) -> bool {
+fn awaits_failing_store(gateway: &Gateway) -> bool {
     let is_failing = gateway.beliefs().store_outage.failing_since().is_some();
-    is_failing && waits_for_store(gateway)
+    is_failing && awaits_store(gateway)
 }
 
 /// Whether relays keep this node's engines up to date.
@@ -197,35 +197,35 @@
 pub fn are_orders_relayed(gateway: &Gateway) -> bool {
     let now = gateway.clock.now();
     let told_at = gateway.beliefs().rollouts.orders.relay_reported_at();
-    relies_on_relay(gateway, now) && told_at.is_some_and(|at| now.since(at) < ORDERS_TOLD_MS)
+    relies_on_relay(gateway, now) && told_at.is_some_and(|at| now.since(at) < ORDERS_TIMEOUT_MS)
 }
 
 /// Waits while this node need not read orders of rollouts by itself.
 pub async fn wait_while_orders_are_relayed(gateway: &Gateway) {
     while is_starting(gateway) || are_orders_relayed(gateway) || awaits_store_recovery(gateway) {
-        sleep(LOOK_PERIOD_MS).await;
+        sleep(POLL_PERIOD_MS).await;
     }
 }
 
 /// Whether this node waits until the store is back. Under relays of an earlier release it
 /// does not: they tell the configuration, so nothing else asks the store, and no orders.
 pub fn awaits_store_recovery(gateway: &Gateway) -> bool {
-    waits_for_store(gateway) && !is_configuration_relayed(gateway)
+    awaits_store(gateway) && !is_configuration_relayed(gateway)
 }
 
-fn waits_for_store(gateway: &Gateway) -> bool {
+fn awaits_store(gateway: &Gateway) -> bool {
     let now = gateway.clock.now();
     let reached_at = gateway.beliefs().store_reached_at;
-    let is_reached = reached_at.is_some_and(|at| now.since(at) < REACHED_MS);
+    let is_reached = reached_at.is_some_and(|at| now.since(at) < REACHABLE_MS);
     role(gateway, now) == Role::Follower && !is_reached
 }
 
 /// Time between two looks, in milliseconds. All nodes of a zone wait for its relays to
 /// read the store, so those look often until they know that they relay.
-fn look_period_ms(gateway: &Gateway) -> u64 {
+fn poll_period_ms(gateway: &Gateway) -> u64 {
     match is_starting(gateway) {
-        true => START_LOOK_PERIOD_MS,
-        false => LOOK_PERIOD_MS,
+        true => START_POLL_PERIOD_MS,
+        false => POLL_PERIOD_MS,
     }
 }
 
--- a/crates/gateway/src/peers/rollout_messages.rs
+++ b/crates/gateway/src/peers/rollout_messages.rs
@@ -123,8 +123,8 @@
         (RouteTag(route.route), counts)
     });
     let mut target_engines = [EngineSlotCounts::default(); ENGINE_SLOTS];
-    let told = message.engine_answers.iter().zip(&message.engine_failures);
-    for (slot, (answers, failures)) in target_engines.iter_mut().zip(told) {
+    let slot_counts = message.engine_answers.iter().zip(&message.engine_failures);
+    for (slot, (answers, failures)) in target_engines.iter_mut().zip(slot_counts) {
         slot.answers = *answers;
         slot.failures = *failures;
     }
@@ -154,17 +154,17 @@
 }
 
 /// The message for what a node said.
-pub fn confirmation_message(said: &NodeConfirmation) -> peers::RolloutConfirmation {
-    let confirmation = &said.confirmation;
+pub fn confirmation_message(reported: &NodeConfirmation) -> peers::RolloutConfirmation {
+    let confirmation = &reported.confirmation;
     peers::RolloutConfirmation {
-        node: said.node.0,
-        service: said.service.0,
+        node: reported.node.0,
+        service: reported.service.0,
         rollout: confirmation.rollout.0,
         epoch: confirmation.epoch.0,
         has_left_established: confirmation.has_left_established,
         running_on_established: confirmation.running_on_established,
         has_stopped: confirmation.has_stopped,
-        age_ms: said.age_ms,
+        age_ms: reported.age_ms,
     }
 }
 
--- a/crates/gateway/src/peers/snapshot.rs
+++ b/crates/gateway/src/peers/snapshot.rs
@@ -4,7 +4,7 @@
 //! each connection, both with their length in front.
 
 use super::followed_relays::{CatalogueCursor, SnapshotNeed, LONGEST_FETCH_MS};
-use super::follower::take_rollout_news;
+use super::follower::apply_rollout_news;
 use super::message_fields::{era_plus_one, read_era, read_revision, revision_fields};
 use super::relay_messages::read_change;
 use super::roles::{role, Role};
@@ -37,22 +37,22 @@
 
 /// Time in which a part of an answer passes, in milliseconds: 64 KB take 26 ms on a
 /// link of 20 Mbit/s that nobody else uses.
-const PROGRESS_MS: u64 = 1_200;
+const PROGRESS_TIMEOUT_MS: u64 = 1_200;
 /// Bytes that are to pass within that time.
 const CHUNK_BYTES: usize = 64 * 1024;
 /// Longest wait before a question, in milliseconds: nodes that lack the same do
 /// not all ask at once.
-const SPREAD_MS: u64 = 120;
+const MAX_REQUEST_DELAY_MS: u64 = 120;
 /// Pause after a question that failed, in milliseconds.
 const RETRY_MS: u64 = 100;
 /// Questions in a row without an answer after which this node reads by itself.
 const MAX_FAILURES: u32 = 2;
 /// Time between two looks at what is lacking, in milliseconds, where no report
 /// told of it.
-const LOOK_PERIOD_MS: u64 = 300;
+const POLL_PERIOD_MS: u64 = 300;
 /// Questions for the engines that are answered at the same time; the others wait their turn. So many
 /// readers with links of 20 Mbit/s fill one of 200 Mbit/s, and each has its answer soon.
-const MAX_ANSWERS: usize = 8;
+const MAX_CONCURRENT_ANSWERS: usize = 8;
 /// Questions that wait for their turn: all nodes of a large zone.
 const MAX_WAITING: usize = 1_024;
 
@@ -75,14 +75,14 @@
     loop {
         let due = gateway.snapshot_due.listen();
         let Some(snapshot_need) = snapshot_need(&gateway) else {
-            within(LOOK_PERIOD_MS, due).await;
+            within(POLL_PERIOD_MS, due).await;
             continue;
         };
-        sleep(fastrand::u64(0..SPREAD_MS)).await;
+        sleep(fastrand::u64(0..MAX_REQUEST_DELAY_MS)).await;
         match fetch(&gateway, snapshot_need).await {
             Ok(snapshot) => {
                 failures = 0;
-                take_snapshot(&gateway, snapshot_need, snapshot);
+                apply_snapshot(&gateway, snapshot_need, snapshot);
             }
             Err(error) => {
                 failures += 1;
@@ -122,7 +122,11 @@
         gateway.beliefs().followed.begin_fetch(now);
     }
     let exchange = async {
-        let connected = within(PROGRESS_MS, TcpStream::connect(snapshot_need.address)).await;
+        let connected = within(
+            PROGRESS_TIMEOUT_MS,
+            TcpStream::connect(snapshot_need.address),
+        )
+        .await;
         let connected = connected.ok_or(SnapshotError::TimedOut)?;
         let mut stream = connected.context(ConnectionSnafu)?;
         write_message(&mut stream, &encode_snapshot_request(&request)).await?;
@@ -130,7 +134,7 @@
         decode_snapshot(&answer).context(MessageSnafu)
     };
     let abandoned = async {
-        wait_until_silent(gateway, snapshot_need.relay).await;
+        wait_until_relay_silent(gateway, snapshot_need.relay).await;
         Err(SnapshotError::RelaySilent)
     };
     let exchange = futures_lite::future::or(exchange, abandoned);
@@ -141,9 +145,9 @@
 
 /// Waits until a relay is no longer heard. As long as it is, it answers one after
 /// another.
-async fn wait_until_silent(gateway: &Gateway, relay: PeerId) {
+async fn wait_until_relay_silent(gateway: &Gateway, relay: PeerId) {
     loop {
-        sleep(LOOK_PERIOD_MS).await;
+        sleep(POLL_PERIOD_MS).await;
         let now = gateway.clock.now();
         if !gateway.beliefs().followed.is_live(relay, now) {
             return;
@@ -164,7 +168,7 @@
     let length = parse_length_prefix(prefix).context(MessageSnafu)?;
     let mut message = vec![0; length];
     for chunk in message.chunks_mut(CHUNK_BYTES) {
-        let read = within(PROGRESS_MS, stream.read_exact(chunk)).await;
+        let read = within(PROGRESS_TIMEOUT_MS, stream.read_exact(chunk)).await;
         let read = read.ok_or(SnapshotError::TimedOut)?;
         read.context(ConnectionSnafu)?;
     }
@@ -188,14 +192,14 @@
     }
 }
 
-fn take_snapshot(
+fn apply_snapshot(
     gateway: &Arc<Gateway>,
     snapshot_need: SnapshotNeed,
     mut snapshot: peers::Snapshot,
 ) {
-    let told = read_era(snapshot.store_era_plus_one);
-    gateway.hear_store_era(told);
-    if told.is_none() {
+    let reported_era = read_era(snapshot.store_era_plus_one);
+    gateway.hear_store_era(reported_era);
+    if reported_era.is_none() {
         assume_era(gateway, &mut snapshot);
     }
     let snapshot = &snapshot;
@@ -225,7 +229,7 @@
     let now = gateway.clock.now();
     let settings = rollout_settings(&gateway.settings());
     let mut beliefs = gateway.beliefs();
-    let order_news = take_orders(&mut beliefs, snapshot, settings, now);
+    let order_news = apply_orders(&mut beliefs, snapshot, settings, now);
     let was_listed = beliefs.engines_listed;
     let revision = read_revision(snapshot.engines_revision, snapshot.engines_revision_era);
     let news = beliefs.replace_engines(records, revision, now);
@@ -255,7 +259,7 @@
 
 /// The orders that the relay knew, so that a node that starts need not wait for a report
 /// that tells them. How old they are is not known, so they prove no stage.
-fn take_orders(
+fn apply_orders(
     beliefs: &mut Beliefs,
     snapshot: &peers::Snapshot,
     settings: RolloutSettings,
@@ -264,13 +268,13 @@
     let Some(news) = snapshot.rollouts.as_ref().map(read_news) else {
         return Vec::new();
     };
-    take_rollout_news(beliefs, &news, None, settings, now)
+    apply_rollout_news(beliefs, &news, None, settings, now)
 }
 
 /// Answers questions of other nodes until the task is dropped.
 pub async fn serve_snapshots(gateway: Arc<Gateway>, listener: TcpListener) {
     let waiting = Arc::new(AtomicUsize::new(0));
-    let turns = Arc::new(Semaphore::new(MAX_ANSWERS));
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_ANSWERS));
     loop {
         let Ok((mut stream, _)) = listener.accept().await else {
             // Out of descriptors: those in use are given back soon.
@@ -283,9 +287,9 @@
         }
         waiting.fetch_add(1, Ordering::AcqRel);
         let (gateway, waiting) = (Arc::clone(&gateway), Arc::clone(&waiting));
-        let turns = Arc::clone(&turns);
+        let permits = Arc::clone(&permits);
         smol::spawn(async move {
-            if let Err(error) = answer(&gateway, &mut stream, &turns).await {
+            if let Err(error) = answer(&gateway, &mut stream, &permits).await {
                 slog::debug!(gateway.log, "snapshot not given"; "error" => error.to_string());
             }
             waiting.fetch_sub(1, Ordering::AcqRel);
@@ -299,13 +303,13 @@
 async fn answer(
     gateway: &Gateway,
     stream: &mut TcpStream,
-    turns: &Semaphore,
+    permits: &Semaphore,
 ) -> Result<(), SnapshotError> {
-    let request = within(PROGRESS_MS, read_message(stream)).await;
+    let request = within(PROGRESS_TIMEOUT_MS, read_message(stream)).await;
     let request = request.ok_or(SnapshotError::TimedOut)??;
     let request = decode_snapshot_request(&request).context(MessageSnafu)?;
-    let _turn = match request.wants_engines {
-        true => Some(turns.acquire().await),
+    let _permit = match request.wants_engines {
+        true => Some(permits.acquire().await),
         false => None,
     };
     let snapshot = snapshot(gateway, &request);
@@ -313,15 +317,15 @@
     let written = stream.write_all(&length_prefix(length)).await;
     written.context(ConnectionSnafu)?;
     for part in snapshot.parts() {
-        write_steadily(stream, part).await?;
+        write_in_chunks(stream, part).await?;
     }
     Ok(())
 }
 
 /// Writes for as long as the peer goes on reading.
-async fn write_steadily(stream: &mut TcpStream, bytes: &[u8]) -> Result<(), SnapshotError> {
+async fn write_in_chunks(stream: &mut TcpStream, bytes: &[u8]) -> Result<(), SnapshotError> {
     for chunk in bytes.chunks(CHUNK_BYTES) {
-        let written = within(PROGRESS_MS, stream.write_all(chunk)).await;
+        let written = within(PROGRESS_TIMEOUT_MS, stream.write_all(chunk)).await;
         let written = written.ok_or(SnapshotError::TimedOut)?;
         written.context(ConnectionSnafu)?;
     }
--- a/crates/gateway/src/peers/store_contents.rs
+++ b/crates/gateway/src/peers/store_contents.rs
@@ -19,9 +19,9 @@
 const MAX_WAITING_PARTS: usize = 1_024;
 /// Reports over which all parts that a store keeps are told once, in addition to
 /// changes: 10 s; more where it keeps many.
-const LEAST_SHARES: usize = 100;
+const MIN_SHARES: usize = 100;
 /// Parts that are told in one report then.
-const USUAL_SHARE_PARTS: usize = 40;
+const TARGET_SHARE_PARTS: usize = 40;
 
 /// Changes of stores that wait to be told.
 #[derive(Clone, Debug, Default)]
@@ -32,9 +32,9 @@
 impl StoreChanges {
     /// A store that this node follows has told of changes; `is_anew` says that they are
     /// of another life of it, or come after a gap.
-    pub fn note_events(&mut self, store: SocketAddr, events: &[CacheEvent], is_anew: bool) {
+    pub fn note_events(&mut self, store: SocketAddr, events: &[CacheEvent], is_reset: bool) {
         let waiting = self.waiting.entry(store).or_default();
-        if is_anew {
+        if is_reset {
             waiting.clear();
         }
         for event in events {
@@ -55,7 +55,7 @@
             let followed = belief.filter(|known| known.state() == CacheStoreState::Followed);
             let parts: Vec<(PartKey, u32)> = waiting.drain(..).collect();
             if let Some(belief) = followed {
-                pieces.extend(told(*address, belief.contents(), &parts, period));
+                pieces.extend(updates_of(*address, belief.contents(), &parts, period));
             }
         }
         pieces
@@ -68,7 +68,7 @@
 }
 
 /// Changes, and the share whose turn it is.
-fn told(
+fn updates_of(
     address: SocketAddr,
     contents: &CacheContents,
     changes: &[(PartKey, u32)],
@@ -88,14 +88,17 @@
     let changes = changes.chunks(MAX_REPORTED_PARTS);
     let mut pieces: Vec<StoreUpdate> = changes.map(|parts| piece(parts, None)).collect();
     // A share that is too large by chance is told without what it lacks.
-    let whole = (kept.len() <= MAX_REPORTED_PARTS).then_some(share);
-    pieces.push(piece(&kept[..kept.len().min(MAX_REPORTED_PARTS)], whole));
+    let complete_share = (kept.len() <= MAX_REPORTED_PARTS).then_some(share);
+    pieces.push(piece(
+        &kept[..kept.len().min(MAX_REPORTED_PARTS)],
+        complete_share,
+    ));
     pieces
 }
 
 /// The share that is told in a period: so small that it fits one datagram.
 fn share_of(contents: &CacheContents, period: u64) -> KeyShare {
-    let shares = (contents.len() / USUAL_SHARE_PARTS).max(LEAST_SHARES) as u32;
+    let shares = (contents.len() / TARGET_SHARE_PARTS).max(MIN_SHARES) as u32;
     KeyShare {
         shares,
         share: (period % u64::from(shares)) as u32,
@@ -103,14 +106,14 @@
 }
 
 /// The message for what is told of a store.
-pub fn store_message(told: &StoreUpdate) -> peers::StoreContents {
+pub fn store_message(update: &StoreUpdate) -> peers::StoreContents {
     peers::StoreContents {
-        store: told.store.0,
-        epoch: told.epoch,
-        parts: told.parts.iter().map(|(part, _)| part.0).collect(),
-        kept_tokens: told.parts.iter().map(|(_, tokens)| *tokens).collect(),
-        shares: told.share.map_or(0, |share| share.shares),
-        share: told.share.map_or(0, |share| share.share),
+        store: update.store.0,
+        epoch: update.epoch,
+        parts: update.parts.iter().map(|(part, _)| part.0).collect(),
+        kept_tokens: update.parts.iter().map(|(_, tokens)| *tokens).collect(),
+        shares: update.share.map_or(0, |share| share.shares),
+        share: update.share.map_or(0, |share| share.share),
     }
 }
 
--- a/crates/gateway/src/peers/token_requests.rs
+++ b/crates/gateway/src/peers/token_requests.rs
@@ -11,28 +11,28 @@
 
 /// Longest wait for an answer before the question is asked once more, and in all, in
 /// milliseconds: a round trip takes 3 ms between zones, and a busy node some tens more.
-const ANSWER_MS: u64 = 40;
+const ANSWER_TIMEOUT_MS: u64 = 40;
 /// Times that a question is asked.
-const TRIES: u32 = 2;
+const MAX_ATTEMPTS: u32 = 2;
 
-type Waiting = async_channel::Sender<TokenAnswer>;
+type AnswerSender = async_channel::Sender<TokenAnswer>;
 
 /// The open questions.
 #[derive(Debug)]
 pub struct PendingTokenRequests {
     next: AtomicU64,
-    waiting: Mutex<HashMap<u64, Waiting>>,
+    waiting: Mutex<HashMap<u64, AnswerSender>>,
 }
 
 /// A question that is open until this is dropped.
-struct OpenQuestion<'a> {
-    questions: &'a PendingTokenRequests,
+struct PendingRequest<'a> {
+    requests: &'a PendingTokenRequests,
     number: u64,
 }
 
-impl Drop for OpenQuestion<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        self.questions.waiting().remove(&self.number);
+        self.requests.waiting().remove(&self.number);
     }
 }
 
@@ -61,13 +61,13 @@
     ) -> Option<TokenAnswer> {
         let (sender, answered) = async_channel::bounded(1);
         self.waiting().insert(request.number, sender);
-        let _open = OpenQuestion {
-            questions: self,
+        let _pending = PendingRequest {
+            requests: self,
             number: request.number,
         };
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             outbox.put(to, &PeerMessage::TokenRequest(request.clone()));
-            if let Some(Ok(answer)) = within(ANSWER_MS, answered.recv()).await {
+            if let Some(Ok(answer)) = within(ANSWER_TIMEOUT_MS, answered.recv()).await {
                 return Some(answer);
             }
         }
@@ -75,13 +75,13 @@
     }
 
     /// The answer to a question has come. One that nobody waits for any more is dropped.
-    pub fn take(&self, number: u64, answer: TokenAnswer) {
+    pub fn resolve(&self, number: u64, answer: TokenAnswer) {
         if let Some(waiting) = self.waiting().get(&number) {
             let _ = waiting.try_send(answer);
         }
     }
 
-    fn waiting(&self) -> MutexGuard<'_, HashMap<u64, Waiting>> {
+    fn waiting(&self) -> MutexGuard<'_, HashMap<u64, AnswerSender>> {
         let waiting = self.waiting.lock();
         waiting.unwrap_or_else(|poisoned| poisoned.into_inner())
     }
--- a/crates/gateway/src/peers/weights_exchange.rs
+++ b/crates/gateway/src/peers/weights_exchange.rs
@@ -12,14 +12,14 @@
 /// one would prove nothing that is of use.
 const MAX_SENT: usize = 64;
 /// Time after which the last report of a silent node is forgotten, in milliseconds.
-const HEARD_MS: u64 = 5_000;
+const PEER_EXPIRY_MS: u64 = 5_000;
 
 /// What a node has sent and heard of these reports.
 #[derive(Clone, Debug, Default)]
 pub struct WeightsExchange {
     sequence: u64,
     sent: VecDeque<SentReport>,
-    heard: HashMap<SocketAddr, HeardReport>,
+    received: HashMap<SocketAddr, ReceivedReport>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -29,7 +29,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct HeardReport {
+struct ReceivedReport {
     report: IncludedReport,
     at: Millis,
 }
@@ -43,7 +43,8 @@
         }
         let sequence = self.sequence;
         self.sent.push_back(SentReport { sequence, at: now });
-        self.heard.retain(|_, heard| now.since(heard.at) < HEARD_MS);
+        self.received
+            .retain(|_, received| now.since(received.at) < PEER_EXPIRY_MS);
         sequence
     }
 
@@ -57,18 +58,20 @@
 
     /// A report of another node was taken in; tells whether it is the first one of its
     /// life.
-    pub fn note_heard(&mut self, from: SocketAddr, report: IncludedReport, now: Millis) -> bool {
-        let before = self.heard.insert(from, HeardReport { report, at: now });
+    pub fn note_received(&mut self, from: SocketAddr, report: IncludedReport, now: Millis) -> bool {
+        let before = self
+            .received
+            .insert(from, ReceivedReport { report, at: now });
         before.is_none_or(|before| before.report.life != report.life)
     }
 
     /// Nodes whose reports were taken in lately.
     pub fn live_peers(&self) -> impl Iterator<Item = SocketAddr> + '_ {
-        self.heard.keys().copied()
+        self.received.keys().copied()
     }
 
     /// The last report that was taken in from a node.
-    pub fn last_heard(&self, from: &SocketAddr) -> Option<IncludedReport> {
-        self.heard.get(from).map(|heard| heard.report)
+    pub fn last_received(&self, from: &SocketAddr) -> Option<IncludedReport> {
+        self.received.get(from).map(|received| received.report)
     }
 }
--- a/crates/gateway/src/peers/weights_messages.rs
+++ b/crates/gateway/src/peers/weights_messages.rs
@@ -1,6 +1,6 @@
 //! What nodes tell each other of the newest weights, as messages.
 
-use super::message_fields::{less_one, plus_one, read_included, IncludedReport};
+use super::message_fields::{encode_age, read_age, read_included, IncludedReport};
 use ploverlift_balancing::weights::{ReportedVersion, WeightsNews};
 use ploverlift_wire::peers;
 
@@ -46,31 +46,31 @@
 }
 
 pub(super) fn weights_message(news: &WeightsNews) -> peers::WeightsNews {
-    let versions = news.versions.iter().map(|told| peers::ProvenVersion {
-        model: told.model.clone(),
-        version: told.version,
-        named_age_plus_one: plus_one(told.named_age_ms),
-        proof_age_plus_one: plus_one(told.proof_age_ms),
+    let versions = news.versions.iter().map(|reported| peers::ProvenVersion {
+        model: reported.model.clone(),
+        version: reported.version,
+        named_age_plus_one: encode_age(reported.named_age_ms),
+        proof_age_plus_one: encode_age(reported.proof_age_ms),
     });
     peers::WeightsNews {
         versions: versions.collect(),
-        proof_age_plus_one: plus_one(news.proof_age_ms),
-        known_for_plus_one: plus_one(news.known_for_ms),
-        all_models_age_plus_one: plus_one(news.all_models_age_ms),
+        proof_age_plus_one: encode_age(news.proof_age_ms),
+        known_for_plus_one: encode_age(news.known_for_ms),
+        all_models_age_plus_one: encode_age(news.all_models_age_ms),
     }
 }
 
 pub(super) fn read_weights(message: &peers::WeightsNews) -> WeightsNews {
-    let versions = message.versions.iter().map(|told| ReportedVersion {
-        model: told.model.clone(),
-        version: told.version,
-        named_age_ms: less_one(told.named_age_plus_one),
-        proof_age_ms: less_one(told.proof_age_plus_one),
+    let versions = message.versions.iter().map(|reported| ReportedVersion {
+        model: reported.model.clone(),
+        version: reported.version,
+        named_age_ms: read_age(reported.named_age_plus_one),
+        proof_age_ms: read_age(reported.proof_age_plus_one),
     });
     WeightsNews {
         versions: versions.collect(),
-        proof_age_ms: less_one(message.proof_age_plus_one),
-        known_for_ms: less_one(message.known_for_plus_one),
-        all_models_age_ms: less_one(message.all_models_age_plus_one),
+        proof_age_ms: read_age(message.proof_age_plus_one),
+        known_for_ms: read_age(message.known_for_plus_one),
+        all_models_age_ms: read_age(message.all_models_age_plus_one),
     }
 }
--- a/crates/gateway/src/peers/weights_reports.rs
+++ b/crates/gateway/src/peers/weights_reports.rs
@@ -21,7 +21,7 @@
 /// that has called the store, small against the seconds of any bound on weights.
 const REPORT_PERIOD_MS: u64 = 250;
 /// Shortest time between two reports, in milliseconds.
-const SHORTEST_PERIOD_MS: u64 = 15;
+const MIN_PERIOD_MS: u64 = 15;
 
 /// Reports to the nodes of a small fleet, or as a relay to the other relays, until the
 /// task is dropped.
@@ -33,8 +33,8 @@
             // A lost report is repaired by the next one.
             let _ = socket.send_to(&datagram, receiver).await;
         }
-        sleep(SHORTEST_PERIOD_MS).await;
-        within(REPORT_PERIOD_MS - SHORTEST_PERIOD_MS, due).await;
+        sleep(MIN_PERIOD_MS).await;
+        within(REPORT_PERIOD_MS - MIN_PERIOD_MS, due).await;
     }
 }
 
@@ -53,7 +53,7 @@
     let sequence = beliefs.weights_exchange.next_sequence(now);
     let parts = news.parts(MAX_REPORTED_VERSIONS);
     let reports = receivers.into_iter().flat_map(|receiver| {
-        let included = beliefs.weights_exchange.last_heard(&receiver);
+        let included = beliefs.weights_exchange.last_received(&receiver);
         parts.iter().map(move |news| {
             let report = WeightsReport {
                 life: gateway.life,
@@ -79,14 +79,14 @@
 /// Takes in what another node tells.
 pub fn handle_weights_report(gateway: &Gateway, report: &WeightsReport, from: SocketAddr) {
     let now = gateway.clock.now();
-    let heard = IncludedReport {
+    let received = IncludedReport {
         life: report.life,
         sequence: report.sequence,
     };
     let included = report.included.filter(|known| known.life == gateway.life);
     let (is_first, sent_at) = {
         let exchange = &mut gateway.beliefs().weights_exchange;
-        let is_first = exchange.note_heard(from, heard, now);
+        let is_first = exchange.note_received(from, received, now);
         let sent_at = included.and_then(|included| exchange.sent_at(included.sequence));
         (is_first, sent_at)
     };
