--- a/crates/gateway/tests/engine_limits/changes.rs
+++ b/crates/gateway/tests/engine_limits/changes.rs
@@ -1,7 +1,7 @@
 //! Limits that end, bad values, and nodes that start while engines have limits.
 
 use crate::oracle::arrivals_in;
-use crate::play_alone;
+use crate::run_exclusively;
 use crate::support::caller;
 use crate::support::deployment::Deployment;
 use crate::support::fleet::start_peer_with;
@@ -18,10 +18,10 @@
 /// Time between two requests at one node, in milliseconds: 60 a second at the site.
 const PERIOD_MS: u64 = 50;
 /// Time between two looks at what a test waits for, in milliseconds.
-const LOOK_MS: u64 = 5;
+const POLL_MS: u64 = 5;
 
 /// The rates that a node knows.
-fn known(node: &RunningGateway) -> Vec<f64> {
+fn known_rates(node: &RunningGateway) -> Vec<f64> {
     let beliefs = node.gateway.beliefs();
     let limited = beliefs.engine_limits.limited();
     limited.map(|(_, per_second, _)| per_second).collect()
@@ -30,15 +30,15 @@
 /// Waits until all nodes know these rates.
 async fn wait_until_known(site: &Deployment, rates: &[f64]) -> Duration {
     let began = Instant::now();
-    while !site.nodes.iter().all(|node| known(node) == rates) {
-        sleep(LOOK_MS).await;
+    while !site.nodes.iter().all(|node| known_rates(node) == rates) {
+        sleep(POLL_MS).await;
     }
     began.elapsed()
 }
 
 #[test]
-fn an_engine_that_names_no_rate_any_more_gets_its_share_within_a_second() {
-    let _playing = play_alone();
+fn an_engine_that_withdraws_its_limit_regains_its_share_within_a_second() {
+    let _exclusive = run_exclusively();
     smol::block_on(async {
         let mut site = Deployment::new(ENGINES).await;
         site.start_nodes(NODES).await;
@@ -67,8 +67,8 @@
 }
 
 #[test]
-fn a_value_that_is_no_rate_changes_nothing_and_is_counted() {
-    let _playing = play_alone();
+fn an_invalid_limit_is_ignored_and_counted() {
+    let _exclusive = run_exclusively();
     smol::block_on(async {
         let mut site = Deployment::new(ENGINES).await;
         site.start_nodes(NODES).await;
@@ -87,15 +87,15 @@
                 .sum()
         };
         while invalid(&site) < 5 {
-            sleep(LOOK_MS).await;
+            sleep(POLL_MS).await;
         }
-        assert!(site.nodes.iter().all(|node| known(node) == [4.0]));
+        assert!(site.nodes.iter().all(|node| known_rates(node) == [4.0]));
     });
 }
 
 #[test]
 fn a_node_that_starts_knows_the_limits_before_it_is_ready() {
-    let _playing = play_alone();
+    let _exclusive = run_exclusively();
     smol::block_on(async {
         let mut site = Deployment::new(ENGINES).await;
         site.start_nodes(NODES).await;
@@ -106,9 +106,9 @@
         for number in 0..5 {
             let joining = start_peer_with(&site.store, &format!("joining-{number}"), 1.0, "");
             while caller::get_status(joining.readiness).await != 200 {
-                sleep(LOOK_MS).await;
+                sleep(POLL_MS).await;
             }
-            assert_eq!(known(&joining), [1.7]);
+            assert_eq!(known_rates(&joining), [1.7]);
         }
     });
 }
--- a/crates/gateway/tests/engine_limits/fleets.rs
+++ b/crates/gateway/tests/engine_limits/fleets.rs
@@ -1,7 +1,7 @@
 //! Nodes that report to each other.
 
-use crate::oracle::{arrivals_in, most_in_window, worst_window, KNOWN_AFTER};
-use crate::play_alone;
+use crate::oracle::{arrivals_in, busiest_window, max_in_window, GRACE_PERIOD};
+use crate::run_exclusively;
 use crate::support::deployment::Deployment;
 use crate::support::traffic::Traffic;
 use ploverlift_gateway::time::sleep;
@@ -19,13 +19,13 @@
 /// for each engine.
 const PERIOD_MS: u64 = 50;
 /// Time for which the fleet is watched once the bound holds.
-const WATCHED: Duration = Duration::from_secs(10);
+const OBSERVED_SPAN: Duration = Duration::from_secs(10);
 /// Longest time until a request that cannot be served is told so: an answer of the node, and
 /// nothing of the three seconds that the request has.
-const LONGEST_HOLD: Duration = Duration::from_millis(500);
+const MAX_HOLD: Duration = Duration::from_millis(500);
 
 /// The bounds on each of so many engines that name a rate.
-async fn holds_for(limited: usize) -> (Deployment, Traffic, Instant) {
+async fn assert_limits_hold(limited: usize) -> (Deployment, Traffic, Instant) {
     let mut site = Deployment::new(ENGINES).await;
     site.start_nodes(NODES).await;
     let traffic = Traffic::start(site.callers(), PERIOD_MS);
@@ -33,14 +33,14 @@
     for engine in &site.engines[..limited] {
         engine.name_limit(Some(&LIMIT.to_string()));
     }
-    let from = Instant::now() + KNOWN_AFTER;
-    sleep((KNOWN_AFTER + WATCHED).as_millis() as u64).await;
+    let from = Instant::now() + GRACE_PERIOD;
+    sleep((GRACE_PERIOD + OBSERVED_SPAN).as_millis() as u64).await;
     for engine in &site.engines[..limited] {
-        let worst = worst_window(engine, from);
-        let allowed = most_in_window(LIMIT);
+        let worst = busiest_window(engine, from);
+        let allowed = max_in_window(LIMIT);
         assert!(worst <= allowed, "{worst} in a window, allowed {allowed}");
-        let used = arrivals_in(engine, from, WATCHED) as f64;
-        let room = LIMIT * WATCHED.as_secs_f64();
+        let used = arrivals_in(engine, from, OBSERVED_SPAN) as f64;
+        let room = LIMIT * OBSERVED_SPAN.as_secs_f64();
         let allowed = 0.8 * room..=room + BURST;
         assert!(allowed.contains(&used), "{used} of {room} were used");
     }
@@ -48,10 +48,10 @@
 }
 
 #[test]
-fn an_engine_that_names_a_rate_gets_no_more_from_all_nodes_together() {
-    let _playing = play_alone();
+fn a_limited_engine_gets_its_rate_from_all_nodes_together() {
+    let _exclusive = run_exclusively();
     smol::block_on(async {
-        let (_site, traffic, from) = holds_for(1).await;
+        let (_site, traffic, from) = assert_limits_hold(1).await;
         // The others serve what it does not take.
         let asked = traffic.asked();
         let asked = asked.iter().filter(|asked| asked.at >= from);
@@ -61,10 +61,10 @@
 }
 
 #[test]
-fn a_third_of_the_engines_that_name_rates_get_no_more_each() {
-    let _playing = play_alone();
+fn limits_of_a_third_of_the_engines_hold_for_each() {
+    let _exclusive = run_exclusively();
     smol::block_on(async {
-        let (_site, traffic, from) = holds_for(ENGINES / 3).await;
+        let (_site, traffic, from) = assert_limits_hold(ENGINES / 3).await;
         let asked = traffic.asked();
         let mut asked = asked.iter().filter(|asked| asked.at >= from);
         assert!(asked.all(|asked| asked.status == 200));
@@ -72,10 +72,10 @@
 }
 
 #[test]
-fn when_all_engines_name_rates_what_is_beyond_is_rejected_at_once() {
-    let _playing = play_alone();
+fn requests_over_the_limits_of_all_engines_are_rejected_at_once() {
+    let _exclusive = run_exclusively();
     smol::block_on(async {
-        let (_site, traffic, from) = holds_for(ENGINES).await;
+        let (_site, traffic, from) = assert_limits_hold(ENGINES).await;
         let asked = traffic.asked();
         let asked: Vec<_> = asked.iter().filter(|asked| asked.at >= from).collect();
         let rejected = asked.iter().filter(|asked| asked.status != 200);
@@ -83,9 +83,9 @@
         let longest = rejected.clone().map(|asked| asked.took).max();
         let late = traffic.latest_timer();
         println!("held for {longest:?} at most; a timer was late by {late:?} at most");
-        assert!(longest < Some(LONGEST_HOLD), "held for {longest:?}");
+        assert!(longest < Some(MAX_HOLD), "held for {longest:?}");
         let served = asked.len() - rejected.count();
-        let room = LIMIT * ENGINES as f64 * WATCHED.as_secs_f64();
+        let room = LIMIT * ENGINES as f64 * OBSERVED_SPAN.as_secs_f64();
         assert!(served as f64 >= 0.8 * room, "{served} served of {room}");
     });
 }
--- a/crates/gateway/tests/engine_limits/main.rs
+++ b/crates/gateway/tests/engine_limits/main.rs
@@ -22,7 +22,7 @@
 
 /// Lets one test play at a time: all nodes and engines of this program share one thread, and
 /// the tests measure what they get done in seconds.
-pub fn play_alone() -> MutexGuard<'static, ()> {
-    static PLAYING: Mutex<()> = Mutex::new(());
-    PLAYING.lock().unwrap_or_else(PoisonError::into_inner)
+pub fn run_exclusively() -> MutexGuard<'static, ()> {
+    static RUNNING: Mutex<()> = Mutex::new(());
+    RUNNING.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/gateway/tests/engine_limits/messages.rs
+++ b/crates/gateway/tests/engine_limits/messages.rs
@@ -13,7 +13,7 @@
 use ploverlift_gateway::peers::engine_signal_messages::EngineSignalReport;
 use ploverlift_gateway::peers::messages::{decode, encode, PeerMessage};
 
-fn survives(message: PeerMessage) {
+fn assert_round_trip(message: PeerMessage) {
     let datagram = encode(&message);
     assert!(datagram.len() <= 1_200, "{} bytes", datagram.len());
     assert_eq!(decode(&datagram).expect("a message"), Some(message));
@@ -31,7 +31,7 @@
         node: PeerId(u64::MAX),
         address: "255.255.255.255:65535".parse().expect("an address"),
     };
-    survives(PeerMessage::EngineSignals(EngineSignalReport {
+    assert_round_trip(PeerMessage::EngineSignals(EngineSignalReport {
         sender: PeerId(u64::MAX),
         groups: vec![GroupUpdate {
             group: GroupTag(u32::MAX),
@@ -52,7 +52,7 @@
         },
         age_ms: 120_000,
     });
-    survives(PeerMessage::EngineSignals(EngineSignalReport {
+    assert_round_trip(PeerMessage::EngineSignals(EngineSignalReport {
         sender: PeerId(u64::MAX),
         groups: Vec::new(),
         leaving: leaving.collect(),
@@ -63,7 +63,7 @@
 #[test]
 fn tokens_survive_the_wire() {
     for limit in [Some(0.0), Some(1.7), None] {
-        survives(PeerMessage::EngineLimitObserved(ReportedObservation {
+        assert_round_trip(PeerMessage::EngineLimitObserved(ReportedObservation {
             engine: EngineTag(1),
             group: GroupTag(2),
             limit,
@@ -73,7 +73,7 @@
     }
     let excluded = (0..8).map(EngineTag).collect();
     for wanted in [Wanted::Engine(EngineTag(0)), Wanted::AnyBut(excluded)] {
-        survives(PeerMessage::TokenRequest(TokenRequest {
+        assert_round_trip(PeerMessage::TokenRequest(TokenRequest {
             sender: PeerId(3),
             number: 0,
             group: GroupTag(2),
@@ -97,10 +97,10 @@
         TokenAnswer::NotHolder,
     ];
     for answer in answers {
-        survives(PeerMessage::TokenAnswer(NumberedAnswer {
+        assert_round_trip(PeerMessage::TokenAnswer(NumberedAnswer {
             number: 1 << 40,
             answer,
         }));
     }
-    survives(PeerMessage::TokenReturn(EngineTag(9)));
+    assert_round_trip(PeerMessage::TokenReturn(EngineTag(9)));
 }
--- a/crates/gateway/tests/engine_limits/oracle.rs
+++ b/crates/gateway/tests/engine_limits/oracle.rs
@@ -6,16 +6,16 @@
 /// The span over which arrivals are summed.
 const WINDOW: Duration = Duration::from_secs(4);
 /// Time from the first naming after which the bound holds.
-pub const KNOWN_AFTER: Duration = Duration::from_secs(3);
+pub const GRACE_PERIOD: Duration = Duration::from_secs(3);
 
 /// Requests that an engine may get in one window: one and a half times what its rate allows,
 /// and five.
-pub fn most_in_window(per_second: f64) -> usize {
+pub fn max_in_window(per_second: f64) -> usize {
     (1.5 * WINDOW.as_secs_f64() * per_second + 5.0) as usize
 }
 
 /// The most requests that an engine got in any window that begins after `from`.
-pub fn worst_window(engine: &StandInEngine, from: Instant) -> usize {
+pub fn busiest_window(engine: &StandInEngine, from: Instant) -> usize {
     let times = engine.arrival_times();
     let first = times.partition_point(|at| *at < from);
     let times = &times[first..];
--- a/crates/gateway/tests/engine_limits/relayed.rs
+++ b/crates/gateway/tests/engine_limits/relayed.rs
@@ -1,7 +1,7 @@
 //! The same in a fleet of more nodes, which hear of each other through relays.
 
-use crate::oracle::{most_in_window, worst_window, KNOWN_AFTER};
-use crate::play_alone;
+use crate::oracle::{busiest_window, max_in_window, GRACE_PERIOD};
+use crate::run_exclusively;
 use crate::support::deployment::Deployment;
 use crate::support::traffic::Traffic;
 use ploverlift_gateway::time::sleep;
@@ -16,13 +16,13 @@
 /// Time between two requests at one node, in milliseconds: 100 a second at the site.
 const PERIOD_MS: u64 = 400;
 /// Time for which the fleet is watched once the bound holds.
-const WATCHED: Duration = Duration::from_secs(6);
+const OBSERVED_SPAN: Duration = Duration::from_secs(6);
 /// Time between two looks at what the test waits for, in milliseconds.
-const LOOK_MS: u64 = 10;
+const POLL_MS: u64 = 10;
 
 #[test]
-fn followers_of_relays_keep_a_rate_together() {
-    let _playing = play_alone();
+fn followers_of_relays_keep_the_limits_together() {
+    let _exclusive = run_exclusively();
     smol::block_on(async {
         let mut site = Deployment::new(ENGINES).await;
         site.start_relayed_nodes(FOLLOWERS, "").await;
@@ -33,22 +33,22 @@
             engine.name_limit(Some(&LIMIT.to_string()));
         }
         let named_at = Instant::now();
-        let from = named_at + KNOWN_AFTER;
+        let from = named_at + GRACE_PERIOD;
         let know_all = |site: &Deployment| {
             let nodes = site.nodes.iter();
             let counts = nodes.map(|node| node.gateway.beliefs().engine_limits.limited().count());
             counts.min() == Some(ENGINES / 3)
         };
         while !know_all(&site) {
-            sleep(LOOK_MS).await;
+            sleep(POLL_MS).await;
             assert!(Instant::now() < from, "not all nodes know the limits");
         }
         let known_after = named_at.elapsed();
         println!("the last node knew the last limit after {known_after:?}");
-        sleep((from + WATCHED - Instant::now()).as_millis() as u64).await;
+        sleep((from + OBSERVED_SPAN - Instant::now()).as_millis() as u64).await;
         for engine in &site.engines[..ENGINES / 3] {
-            let worst = worst_window(engine, from);
-            let allowed = most_in_window(LIMIT);
+            let worst = busiest_window(engine, from);
+            let allowed = max_in_window(LIMIT);
             assert!(worst <= allowed, "{worst} in a window, allowed {allowed}");
         }
         let asked = traffic.asked();
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_request_over_the_limit_is_refused_at_once_with_the_time_to_come_back() {
+fn a_request_over_the_limit_is_refused_at_once_with_a_retry_time() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let fixture = fixture(limited(1_000.0, 1_000.0), &[&app]).await;
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn what_no_engine_ran_is_given_back() {
+fn a_request_that_no_engine_ran_is_refunded() {
     smol::block_on(async {
         let busy = StandInEngine::start("app-1", "app", Behaviour::Refuse).await;
         let fixture = fixture(limited(1.0, 1.0), &[&busy]).await;
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn each_engine_that_may_have_run_a_request_counts() {
+fn each_engine_that_may_have_run_a_request_is_charged() {
     smol::block_on(async {
         let broken = StandInEngine::start("app-1", "app", Behaviour::Reset).await;
         let other = StandInEngine::start("app-2", "app", Behaviour::Reset).await;
@@ -131,7 +131,7 @@
 /// A sending that was lost on a kept connection counts, though the engine refused the
 /// next one.
 #[test]
-fn what_may_have_run_on_a_kept_connection_is_not_given_back() {
+fn a_request_that_may_have_run_on_a_kept_connection_is_not_refunded() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::KeepConnection).await;
         let fixture = fixture(limited(1.0, 1.0), &[&app]).await;
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn what_another_node_admits_is_taken_out_of_the_same_bucket() {
+fn admissions_of_another_node_are_charged_to_the_same_bucket() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let fixture = fixture(limited(1_000.0, 1_000.0), &[&app]).await;
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn a_node_on_its_own_keeps_its_accounts_through_a_pause() {
+fn a_single_node_keeps_its_accounts_through_a_pause() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let fixture = fixture(limited(1.0, 1.0), &[&app]).await;
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn a_follower_admits_by_what_its_relay_tells_and_what_it_admitted_since() {
+fn a_follower_admits_by_relayed_levels_and_its_own_use_since() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let store = StandInStore::start().await;
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn a_follower_that_hears_no_relay_sends_callers_elsewhere() {
+fn a_follower_without_a_live_relay_sends_callers_elsewhere() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let fixture = fixture(limited(1_000.0, 1_000.0), &[&app]).await;
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -37,11 +37,11 @@
 }
 
 /// A node of the own zone, or of another one.
-fn listed(port: u16, is_near: bool) -> ListedNode {
+fn listed(port: u16, is_own_zone: bool) -> ListedNode {
     ListedNode {
         id: PeerId(u64::from(port)),
         address: address(port),
-        zone: ZoneTag(u32::from(is_near)),
+        zone: ZoneTag(u32::from(is_own_zone)),
         capacity: Capacity::default(),
     }
 }
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn silent_nodes_are_tried_now_and_then_and_zones_are_kept_apart() {
+fn silent_nodes_are_retried_and_zones_are_kept_apart() {
     let mut book = AddressBook::default();
     book.set_own(listed(1, true));
     book.apply_list(&[listed(1, true), listed(2, false), listed(3, true)], NOW);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn where_there_are_too_many_nodes_each_has_its_turn() {
+fn too_many_nodes_are_reported_to_in_turn() {
     let mut book = AddressBook::default();
     let nodes: Vec<ListedNode> = (1..=100).map(|port| listed(port, false)).collect();
     book.apply_list(&nodes, NOW);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn nodes_that_are_neither_listed_nor_heard_are_forgotten() {
+fn nodes_that_are_neither_listed_nor_live_are_removed() {
     let mut book = AddressBook::default();
     book.set_own(listed(1, true));
     book.apply_list(&[listed(2, true), listed(3, true)], NOW);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_node_knows_what_another_one_sent_and_which_engine_read_it() {
+fn loads_and_prefix_locations_reach_other_nodes() {
     smol::block_on(async {
         let llm = StandInEngine::start("llm-1", "llm", Behaviour::Answer).await;
         let app = StandInEngine::start("app-1", "app", Behaviour::Silent).await;
@@ -196,7 +196,7 @@
 const LEASES: usize = 2;
 
 /// A node, the stored lease of another holder, and the lease's revision.
-async fn node_beside_a_holder() -> (Fixture, u64) {
+async fn node_with_lease_of_another_holder() -> (Fixture, u64) {
     let fixture = Fixture::with(&[], configuration(1), "").await;
     let lease = json!({"lease": {"holder": "other", "holderLife": 1,
                                  "fencingToken": 7, "expiresUnixMs": 0}});
@@ -208,7 +208,7 @@
     (fixture, revision)
 }
 
-fn hear_of_lease(fixture: &Fixture, revision: u64, now: Millis) {
+fn note_lease_renewal(fixture: &Fixture, revision: u64, now: Millis) {
     let renewal = LeaseRenewal {
         token: FencingToken(7),
         revision,
@@ -218,12 +218,12 @@
 }
 
 #[test]
-fn the_store_is_not_asked_for_a_lease_whose_holder_is_heard() {
+fn a_lease_with_a_live_holder_is_not_read_from_the_store() {
     smol::block_on(async {
-        let (fixture, revision) = node_beside_a_holder().await;
+        let (fixture, revision) = node_with_lease_of_another_holder().await;
         let holder = LeaseHolder::new(&fixture.gateway, LeaseName::Weights);
         let now = fixture.gateway.clock.now();
-        hear_of_lease(&fixture, revision, now);
+        note_lease_renewal(&fixture, revision, now);
         assert!(!holder.keep().await);
         assert_eq!(fixture.store.calls("get Leases"), LEASES);
         assert_eq!(fixture.store.calls("put Leases"), 0);
@@ -231,13 +231,13 @@
 }
 
 #[test]
-fn a_holder_that_was_heard_and_fell_silent_is_succeeded_at_once() {
+fn a_holder_that_stopped_reporting_is_succeeded_at_once() {
     smol::block_on(async {
-        let (fixture, revision) = node_beside_a_holder().await;
+        let (fixture, revision) = node_with_lease_of_another_holder().await;
         let holder = LeaseHolder::new(&fixture.gateway, LeaseName::Weights);
         let now = fixture.gateway.clock.now();
         let long_ago = Millis(now.0 - 10_000);
-        hear_of_lease(&fixture, revision, long_ago);
+        note_lease_renewal(&fixture, revision, long_ago);
         assert!(holder.keep().await);
         let number = NodeNumber::of(&NodeName::from("node"));
         let next = FencingToken::next(FencingToken(7), StoreEra(0), number);
@@ -246,14 +246,14 @@
 }
 
 #[test]
-fn a_lease_that_was_renewed_since_it_was_heard_is_left_to_its_holder() {
+fn a_lease_renewed_since_the_last_report_is_left_to_its_holder() {
     smol::block_on(async {
-        let (fixture, revision) = node_beside_a_holder().await;
+        let (fixture, revision) = node_with_lease_of_another_holder().await;
         let holder = LeaseHolder::new(&fixture.gateway, LeaseName::Weights);
         let now = fixture.gateway.clock.now();
         let long_ago = Millis(now.0 - 10_000);
         let earlier = revision - 1;
-        hear_of_lease(&fixture, earlier, long_ago);
+        note_lease_renewal(&fixture, earlier, long_ago);
         assert!(!holder.keep().await);
         assert_eq!(fixture.store.calls("put Leases"), 0);
     });
--- a/crates/gateway/tests/relays/address_book.rs
+++ b/crates/gateway/tests/relays/address_book.rs
@@ -26,13 +26,13 @@
 }
 
 #[test]
-fn relays_begin_with_one_node_more_than_a_mesh_bears() {
+fn relays_are_used_above_the_mesh_limit() {
     assert!(!book(MESH_NODES as u16).has_relays());
     assert!(book(MESH_NODES as u16 + 1).has_relays());
 }
 
 #[test]
-fn the_largest_nodes_of_a_zone_relay_until_they_do_not_answer() {
+fn the_largest_nodes_of_a_zone_relay_until_they_stop_answering() {
     let mut book = book(40);
     assert_eq!(ports(&book, OWN_ZONE, NOW), [39, 37]);
     assert_eq!(ports(&book, OTHER_ZONE, NOW), [40, 38]);
--- a/crates/gateway/tests/relays/followed_relays.rs
+++ b/crates/gateway/tests/relays/followed_relays.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_change_that_was_told_again_is_taken_in_once_and_a_missing_one_is_asked_for() {
+fn a_repeated_change_is_applied_once_and_a_missing_one_is_requested() {
     let mut followed = follower();
     let changes = |from: u64, through: u64| {
         let changes = (from..=through).map(|revision| engine_change("e", revision, false));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_relay_counts_as_long_as_it_is_heard_and_knows_the_engines_itself() {
+fn a_relay_is_trusted_while_it_is_live_and_knows_the_engines_itself() {
     let mut followed = follower();
     assert!(followed.is_current(LIMIT_MS, NOW.plus(RELAY_SILENCE_MS - 1)));
     // Killed, paused or cut off from this node.
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_relay_that_answers_none_of_this_nodes_reports_proves_nothing() {
+fn a_relay_that_includes_no_report_of_this_node_proves_nothing() {
     let mut followed = FollowedRelays::default();
     followed.note_report(&relay_report(1, 0, Vec::new()), address(9), None, NOW);
     followed.set_cursor(CatalogueCursor {
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn another_life_of_a_relay_is_asked_for_everything() {
+fn a_restarted_relay_is_asked_for_all_engines() {
     let mut followed = follower();
     let mut restarted = relay_report(1, 0, Vec::new());
     restarted.loads.life = 4;
@@ -93,14 +93,14 @@
     let snapshot_need = followed.snapshot_need(Some(4), LIMIT_MS, NOW);
     assert!(snapshot_need.is_some_and(|snapshot_need| snapshot_need.wants_engines));
     let change = vec![engine_change("e", 1, false)];
-    let mut told = relay_report(2, 0, change);
-    told.loads.life = 4;
-    assert!(followed.next_changes(&told).is_empty());
+    let mut reported = relay_report(2, 0, change);
+    reported.loads.life = 4;
+    assert!(followed.next_changes(&reported).is_empty());
 }
 
 /// What its former life had told does not become newer by what the present one knows.
 #[test]
-fn another_life_of_a_relay_does_not_vouch_for_what_its_former_life_told() {
+fn a_restarted_relay_does_not_prove_reports_of_its_former_incarnation() {
     let mut followed = follower();
     let mut restarted = relay_report(1, 0, Vec::new());
     restarted.loads.life = 4;
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_newer_configuration_of_a_relay_is_asked_for() {
+fn a_newer_configuration_of_a_relay_is_requested() {
     let mut followed = follower();
     assert_eq!(followed.snapshot_need(Some(4), LIMIT_MS, NOW), None);
     let snapshot_need = followed.snapshot_need(Some(3), LIMIT_MS, NOW);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_relay_vouches_only_for_a_node_that_has_all_its_changes() {
+fn a_relay_proves_freshness_only_for_a_node_with_all_its_changes() {
     let mut followed = follower();
     let known_at = followed.proven_at();
     assert!(known_at.is_some());
--- a/crates/gateway/tests/relays/partial_reports.rs
+++ b/crates/gateway/tests/relays/partial_reports.rs
@@ -31,7 +31,7 @@
 /// Whoever has taken in a part of the changes does not know all engines: only the report
 /// that tells the last of them vouches for that.
 #[test]
-fn a_report_that_tells_a_part_of_the_changes_vouches_for_nothing() {
+fn a_report_with_a_part_of_the_changes_proves_no_freshness() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         store.put("Configuration", "main", configuration(1));
@@ -60,8 +60,8 @@
             socket.send_to(&report, relay).await.expect("sent");
             let after = next_report(&socket).await;
             let is_next = after.loads.sequence == before.loads.sequence + 1;
-            let goes_on = after.changes_after == before.changes_through;
-            if is_next && goes_on && !before.changes.is_empty() && !after.changes.is_empty() {
+            let is_contiguous = after.changes_after == before.changes_through;
+            if is_next && is_contiguous && !before.changes.is_empty() && !after.changes.is_empty() {
                 assert_eq!(before.engines_age_ms, None);
                 partial += 1;
             }
--- a/crates/gateway/tests/relays/running_nodes.rs
+++ b/crates/gateway/tests/relays/running_nodes.rs
@@ -27,7 +27,7 @@
 };
 
 /// The number of lists of what nodes need to serve.
-fn lists(store: &StandInStore) -> usize {
+fn list_calls(store: &StandInStore) -> usize {
     let kinds = ["Configuration", "Engines", "Weights"];
     kinds
         .iter()
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_follower_is_told_everything_and_reads_by_itself_when_its_relays_are_gone() {
+fn a_follower_relies_on_relays_and_reads_the_store_once_they_are_gone() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         store.put("Configuration", "main", configuration(1));
@@ -53,7 +53,7 @@
             wait_until(relay, |node| node.gateway.configuration().is_some()).await;
             wait_until(relay, |node| node.gateway.beliefs().weights.is_proven()).await;
         }
-        assert_eq!(lists(&store), 3 * RELAYS_PER_ZONE);
+        assert_eq!(list_calls(&store), 3 * RELAYS_PER_ZONE);
         let follower = start_peer(&store, "small", 0.1);
         while caller::get_status(follower.readiness).await != 200 {}
         assert_eq!(role_of(&follower), Role::Follower);
@@ -71,12 +71,12 @@
         })
         .await;
         assert!(follower.gateway.accepts_keys());
-        assert_eq!(lists(&store), 3 * RELAYS_PER_ZONE);
+        assert_eq!(list_calls(&store), 3 * RELAYS_PER_ZONE);
         // Both relays are lost.
         drop(relays);
         store.put("Engines", "llm-3", llm.record());
         wait_until(&follower, knows("llm-3")).await;
-        assert!(lists(&store) > 3 * RELAYS_PER_ZONE);
+        assert!(list_calls(&store) > 3 * RELAYS_PER_ZONE);
     });
 }
 
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn what_a_member_reports_makes_a_node_a_relay_for_it() {
+fn a_member_report_makes_its_receiver_a_relay() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         store.put("Configuration", "main", configuration(1));
--- a/crates/gateway/tests/relays/sizes.rs
+++ b/crates/gateway/tests/relays/sizes.rs
@@ -34,11 +34,11 @@
         nodes: 79,
     });
     for lost in [Vec::new(), lost.collect()] {
-        the_largest_report_fits(lost);
+        assert_largest_report_fits(lost);
     }
 }
 
-fn the_largest_report_fits(lost: Vec<LostEngine>) {
+fn assert_largest_report_fits(lost: Vec<LostEngine>) {
     let mut report = relay_report(u64::MAX >> 20, 1 << 30, Vec::new());
     report.loads.loads = (0..MAX_RELAYED_LOADS as u32)
         .map(|engine| {
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn the_log_of_changes_comes_in_pieces_that_join() {
+fn pieces_of_the_change_log_are_contiguous() {
     let mut log = CatalogueLog::default();
     for revision in 1..=5 {
         log.append(
@@ -175,17 +175,17 @@
 /// A zone of a fleet of 1,000 nodes has 200; named in one report they would not fit a
 /// receiver's buffer, and no node would know any other.
 #[test]
-fn all_nodes_of_a_large_zone_are_named_within_a_second_a_few_in_each_report() {
+fn all_nodes_of_a_large_zone_are_listed_a_few_in_each_report() {
     for (nodes, periods) in [(1, 10), (59, 10), (200, 10), (400, 10), (2_000, 42)] {
         let members: Vec<PeerId> = (0..nodes).map(PeerId).collect();
-        let mut named: BTreeSet<PeerId> = BTreeSet::new();
+        let mut listed: BTreeSet<PeerId> = BTreeSet::new();
         for period in 7..7 + periods {
             let part = members_of_period(&members, period);
             assert!(part.len() <= MAX_LISTED_MEMBERS);
-            named.extend(part);
+            listed.extend(part);
         }
         assert_eq!(
-            named.len(),
+            listed.len(),
             members.len(),
             "of {nodes} in {periods} periods"
         );
--- a/crates/gateway/tests/snapshots.rs
+++ b/crates/gateway/tests/snapshots.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn all_who_ask_are_sent_the_same_bytes() {
+fn all_requests_are_answered_with_the_same_encoding() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         store.put("Configuration", "main", configuration(1));
--- a/crates/gateway/tests/store_contents.rs
+++ b/crates/gateway/tests/store_contents.rs
@@ -13,7 +13,7 @@
 /// Reports over which a relay tells everything once.
 const PERIODS: u64 = 100;
 /// What is left of an unfragmented datagram beside a relay's header, in bytes.
-const ROOM_BYTES: usize = 1_200;
+const MAX_MESSAGE_BYTES: usize = 1_200;
 
 fn address(index: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, index], 80))
@@ -27,7 +27,7 @@
     }
 }
 
-fn has(stores: &CacheStores, part: u64) -> bool {
+fn is_cached(stores: &CacheStores, part: u64) -> bool {
     let part = PromptPart {
         id: part,
         tokens: 1_000,
@@ -46,11 +46,11 @@
 }
 
 impl Relay {
-    fn hear(&mut self, epoch: u64, events: Vec<CacheEvent>) {
+    fn apply_events(&mut self, epoch: u64, events: Vec<CacheEvent>) {
         let belief = self.stores.of_mut(address(1));
         belief.note_state(CacheStoreState::Followed);
-        let is_anew = belief.contents().epoch() != Some(epoch);
-        self.changes.note_events(address(1), &events, is_anew);
+        let is_reset = belief.contents().epoch() != Some(epoch);
+        self.changes.note_events(address(1), &events, is_reset);
         belief.contents_mut().apply(&CacheEvents {
             epoch,
             events,
@@ -58,7 +58,7 @@
         });
     }
 
-    fn tell(&mut self) -> Vec<StoreUpdate> {
+    fn next_updates(&mut self) -> Vec<StoreUpdate> {
         self.period += 1;
         self.changes.next(&self.stores, self.period)
     }
@@ -71,19 +71,19 @@
     stores
 }
 
-fn take(stores: &mut CacheStores, told: &[StoreUpdate], now: Millis) {
+fn apply_updates(stores: &mut CacheStores, told: &[StoreUpdate], now: Millis) {
     for told in told {
         stores.apply_reported(&read_store(&store_message(told)), now);
     }
 }
 
 #[test]
-fn a_follower_knows_of_changes_with_the_relay_s_next_report() {
+fn a_follower_learns_changes_from_the_next_relay_report() {
     let mut relay = Relay::default();
     let mut follower = follower();
-    relay.hear(7, vec![event(1, 1_000), event(2, 1_000)]);
-    take(&mut follower, &relay.tell(), NOW);
-    assert!(has(&follower, 1) && has(&follower, 2));
+    relay.apply_events(7, vec![event(1, 1_000), event(2, 1_000)]);
+    apply_updates(&mut follower, &relay.next_updates(), NOW);
+    assert!(is_cached(&follower, 1) && is_cached(&follower, 2));
     assert_eq!(
         follower
             .of(address(1))
@@ -92,121 +92,121 @@
             .total_tokens(),
         2_000
     );
-    relay.hear(7, vec![event(1, 0)]);
-    take(&mut follower, &relay.tell(), NOW);
-    assert!(!has(&follower, 1) && has(&follower, 2));
+    relay.apply_events(7, vec![event(1, 0)]);
+    apply_updates(&mut follower, &relay.next_updates(), NOW);
+    assert!(!is_cached(&follower, 1) && is_cached(&follower, 2));
     // The store restarted: it began empty.
-    relay.hear(8, vec![event(3, 1_000)]);
-    take(&mut follower, &relay.tell(), NOW);
-    assert!(!has(&follower, 2) && has(&follower, 3));
+    relay.apply_events(8, vec![event(3, 1_000)]);
+    apply_updates(&mut follower, &relay.next_updates(), NOW);
+    assert!(!is_cached(&follower, 2) && is_cached(&follower, 3));
 }
 
 /// The datagram that told of a drop is lost.
 #[test]
-fn a_drop_that_a_follower_missed_is_noticed_in_its_turn() {
+fn a_missed_eviction_is_repaired_by_the_periodic_repeat() {
     let mut relay = Relay::default();
     let mut follower = follower();
-    relay.hear(7, (0..200).map(|part| event(part, 1_000)).collect());
-    take(&mut follower, &relay.tell(), NOW);
-    relay.hear(7, vec![event(5, 0), event(6, 0)]);
-    relay.tell();
-    assert!(has(&follower, 5));
+    relay.apply_events(7, (0..200).map(|part| event(part, 1_000)).collect());
+    apply_updates(&mut follower, &relay.next_updates(), NOW);
+    relay.apply_events(7, vec![event(5, 0), event(6, 0)]);
+    relay.next_updates();
+    assert!(is_cached(&follower, 5));
     for _ in 0..PERIODS {
-        take(&mut follower, &relay.tell(), NOW);
+        apply_updates(&mut follower, &relay.next_updates(), NOW);
     }
-    assert!(!has(&follower, 5) && !has(&follower, 6));
-    assert!((7..200).all(|part| has(&follower, part)));
+    assert!(!is_cached(&follower, 5) && !is_cached(&follower, 6));
+    assert!((7..200).all(|part| is_cached(&follower, part)));
 }
 
 /// Two relays tell of a store that restarted; one of them does not know yet.
 #[test]
-fn a_relay_that_lags_behind_does_not_bring_back_what_a_store_has_lost() {
+fn a_lagging_relay_does_not_restore_lost_parts() {
     let (mut ahead, mut behind) = (Relay::default(), Relay::default());
     let mut follower = follower();
     for relay in [&mut ahead, &mut behind] {
-        relay.hear(7, vec![event(1, 1_000)]);
-        take(&mut follower, &relay.tell(), NOW);
+        relay.apply_events(7, vec![event(1, 1_000)]);
+        apply_updates(&mut follower, &relay.next_updates(), NOW);
     }
-    ahead.hear(8, vec![event(2, 1_000)]);
-    take(&mut follower, &ahead.tell(), NOW);
-    behind.hear(7, vec![event(3, 1_000)]);
-    take(&mut follower, &behind.tell(), NOW);
-    assert!(has(&follower, 2) && !has(&follower, 1) && !has(&follower, 3));
+    ahead.apply_events(8, vec![event(2, 1_000)]);
+    apply_updates(&mut follower, &ahead.next_updates(), NOW);
+    behind.apply_events(7, vec![event(3, 1_000)]);
+    apply_updates(&mut follower, &behind.next_updates(), NOW);
+    assert!(is_cached(&follower, 2) && !is_cached(&follower, 1) && !is_cached(&follower, 3));
 }
 
 /// Datagrams are lost, and nodes start late.
 #[test]
-fn what_a_follower_missed_is_told_again_in_turns() {
+fn missed_parts_are_repeated_periodically() {
     let mut relay = Relay::default();
     let mut follower = follower();
-    relay.hear(7, (0..500).map(|part| event(part, 1_000)).collect());
-    relay.tell();
+    relay.apply_events(7, (0..500).map(|part| event(part, 1_000)).collect());
+    relay.next_updates();
     for _ in 0..PERIODS {
-        let told = relay.tell();
+        let told = relay.next_updates();
         // Each turn tells a small part of it.
         assert!(told.iter().map(|told| told.parts.len()).sum::<usize>() < 50);
-        take(&mut follower, &told, NOW);
+        apply_updates(&mut follower, &told, NOW);
     }
-    assert!((0..500).all(|part| has(&follower, part)));
+    assert!((0..500).all(|part| is_cached(&follower, part)));
 }
 
 #[test]
-fn what_is_told_of_a_store_fits_one_datagram() {
+fn updates_of_a_store_fit_one_datagram() {
     let mut relay = Relay::default();
-    relay.hear(
+    relay.apply_events(
         u64::MAX,
         (0..500).map(|part| event(part, 200_000)).collect(),
     );
-    let told = relay.tell();
+    let told = relay.next_updates();
     assert!(told.len() > 5);
     for told in told {
         assert!(told.parts.len() <= MAX_REPORTED_PARTS);
-        let encoded = prost_length(&told);
-        assert!(encoded <= ROOM_BYTES, "{encoded} bytes");
+        let encoded = encoded_length(&told);
+        assert!(encoded <= MAX_MESSAGE_BYTES, "{encoded} bytes");
     }
 }
 
 /// Length of the message on the wire, in bytes: 8 for each part, up to 3 for its
 /// tokens, 4 and 8 for the store and its life, and the tags.
-fn prost_length(told: &StoreUpdate) -> usize {
+fn encoded_length(told: &StoreUpdate) -> usize {
     let message = store_message(told);
     message.parts.len() * 8 + message.kept_tokens.len() * 3 + 4 + 8 + 12
 }
 
 /// The region is cut off, or the store is lost: relays tell of it no longer.
 #[test]
-fn a_store_that_relays_no_longer_tell_of_is_lost_and_not_believed() {
+fn a_store_that_relays_no_longer_report_is_lost_and_not_used() {
     let mut relay = Relay::default();
     let mut follower = follower();
-    relay.hear(7, vec![event(1, 1_000)]);
-    take(&mut follower, &relay.tell(), NOW);
+    relay.apply_events(7, vec![event(1, 1_000)]);
+    apply_updates(&mut follower, &relay.next_updates(), NOW);
     // A relay tells that the store answers even where nothing changes.
-    take(&mut follower, &relay.tell(), NOW.plus(1_500));
+    apply_updates(&mut follower, &relay.next_updates(), NOW.plus(1_500));
     follower.expire_reported(address(1), NOW.plus(3_000));
-    assert!(has(&follower, 1));
+    assert!(is_cached(&follower, 1));
     let belief = relay.stores.of_mut(address(1));
     belief.note_state(CacheStoreState::Lost);
-    take(&mut follower, &relay.tell(), NOW.plus(3_200));
+    apply_updates(&mut follower, &relay.next_updates(), NOW.plus(3_200));
     follower.expire_reported(address(1), NOW.plus(3_400));
     let known = follower.of(address(1)).expect("known");
     assert_eq!(known.state(), CacheStoreState::Lost);
-    assert!(!has(&follower, 1));
+    assert!(!is_cached(&follower, 1));
     // It is reached again: what it keeps is told as it is found.
-    relay.hear(7, vec![event(2, 1_000)]);
-    take(&mut follower, &relay.tell(), NOW.plus(9_000));
-    assert!(has(&follower, 2));
+    relay.apply_events(7, vec![event(2, 1_000)]);
+    apply_updates(&mut follower, &relay.next_updates(), NOW.plus(9_000));
+    assert!(is_cached(&follower, 2));
 }
 
 #[test]
-fn a_burst_of_changes_is_bounded_and_told_in_turns() {
+fn a_burst_of_changes_is_bounded_and_completed_by_repeats() {
     let mut relay = Relay::default();
     let mut follower = follower();
-    relay.hear(7, (0..5_000).map(|part| event(part, 1_000)).collect());
-    let first = relay.tell();
+    relay.apply_events(7, (0..5_000).map(|part| event(part, 1_000)).collect());
+    let first = relay.next_updates();
     assert!(first.iter().map(|told| told.parts.len()).sum::<usize>() < 1_200);
     // It keeps so many that a turn takes longer.
     for _ in 0..2 * PERIODS {
-        take(&mut follower, &relay.tell(), NOW);
+        apply_updates(&mut follower, &relay.next_updates(), NOW);
     }
-    assert!((0..5_000).all(|part| has(&follower, part)));
+    assert!((0..5_000).all(|part| is_cached(&follower, part)));
 }
