--- a/crates/gateway/src/peers/address_book.rs
+++ b/crates/gateway/src/peers/address_book.rs
@@ -1,5 +1,6 @@
-//! Whom reports are sent to: nodes that the object store names, and nodes that
-//! were heard of. It also says which nodes of a zone relay for the others.
+//! Addresses of the other nodes, to which reports are sent: nodes in the list from the
+//! object store, and nodes from which messages were received. The list also determines
+//! which nodes of a zone relay for the others.
 
 use ploverlift_balancing::peer_loads::{PeerId, ZoneTag};
 use ploverlift_policy::ids::Millis;
@@ -7,34 +8,35 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Nodes that one report is sent to, at most.
+/// Maximum number of receivers of one report.
 const MAX_RECEIVERS: usize = 64;
-/// Nodes that are remembered, at most.
+/// Maximum number of known nodes.
 const MAX_KNOWN: usize = 4_096;
-/// Time after which a silent node is sent reports only now and then, in
+/// Time after which a silent node gets reports only every [`SILENT_PERIOD_MS`], in
 /// milliseconds.
 const SILENT_AFTER_MS: u64 = 5_000;
-/// Time between two reports to a silent node, in milliseconds.
+/// Interval between two reports to a silent node, in milliseconds.
 const SILENT_PERIOD_MS: u64 = 1_000;
-/// Nodes up to which each reports to each other one. Reports then cost less than
-/// relays would; every deployment seen has either at most 8 nodes or at least 59.
+/// Maximum size of a fleet in which each node reports to each other one. Up to this size
+/// such reports cost less than relays would; every known deployment has either at most 8
+/// nodes or at least 59.
 pub const MESH_NODES: usize = 20;
-/// Nodes of a zone that relay for the others: one may be lost without notice.
+/// Number of nodes of a zone that relay for the others: one may fail without effect.
 pub const RELAYS_PER_ZONE: usize = 2;
-/// Time without an answer after which the next node relays in a node's place, in
-/// milliseconds: a relay reports every 100 ms, and some reports are lost.
+/// Time without an answer after which a relay is suspected and the next node relays in its
+/// place, in milliseconds: a relay reports every 100 ms, and some reports are lost.
 const SUSPECTED_AFTER_MS: u64 = 700;
 
-/// Which nodes.
+/// The nodes that a stream of reports goes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
-    /// Those of the own zone.
+    /// Nodes of the own zone.
     OwnZone,
-    /// Those of other zones, or of whom only a message is known.
+    /// Nodes of other zones, and nodes that are known only from a message.
     OtherZones,
 }
 
-/// What makes a node fit to relay; the larger one relays first.
+/// Capacity of a node for relaying; the nodes with the largest capacity relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Capacity {
     /// Its share of a core, in thousandths.
@@ -52,7 +54,7 @@
     pub address: SocketAddr,
     /// Its zone.
     pub zone: ZoneTag,
-    /// What it can bear.
+    /// Its capacity for relaying.
     pub capacity: Capacity,
 }
 
@@ -71,7 +73,7 @@
     listed: Option<ListedNode>,
     heard_at: Option<Millis>,
     tried_at: Option<Millis>,
-    /// Since when this node waits for an answer.
+    /// Since when this node waits for an answer from the contact.
     unanswered_since: Option<Millis>,
 }
 
@@ -80,20 +82,20 @@
 pub struct AddressBook {
     own: Option<ListedNode>,
     contacts: BTreeMap<SocketAddr, Contact>,
-    /// Listed nodes of each zone, this one included, those that relay first in
-    /// front.
+    /// Listed nodes of each zone, including this one, in the order in which they are chosen
+    /// as relays.
     by_zone: BTreeMap<u32, Vec<ListedNode>>,
     lists: u32,
 }
 
 impl AddressBook {
-    /// This node itself, to which nothing is sent.
+    /// Sets the record of this node, to which nothing is sent.
     pub fn set_own(&mut self, own: ListedNode) {
         self.own = Some(own);
     }
 
-    /// Takes in the nodes that the store names. Nodes that are neither named nor
-    /// were heard of lately are forgotten.
+    /// Applies a list of nodes from the store. Removes nodes that are neither listed nor
+    /// live.
     pub fn apply_list(&mut self, nodes: &[ListedNode], now: Millis) {
         for contact in self.contacts.values_mut() {
             contact.listed = None;
@@ -118,23 +120,23 @@
         self.lists += 1;
     }
 
-    /// Lists that were taken in.
+    /// Number of lists that were applied.
     pub fn list_count(&self) -> u32 {
         self.lists
     }
 
-    /// Whether there are so many nodes that they report to relays.
+    /// Whether the fleet is large enough for its nodes to report to relays.
     pub fn has_relays(&self) -> bool {
         self.listed_nodes() > MESH_NODES
     }
 
-    /// Nodes that the store names, this one included.
+    /// Number of listed nodes, including this one.
     pub fn listed_nodes(&self) -> usize {
         let listed: usize = self.by_zone.values().map(Vec::len).sum();
         listed.max(1)
     }
 
-    /// A node's seat among all that the store names, silent ones too.
+    /// A node's seat among all listed nodes, including silent ones.
     pub fn seat(&self, node: PeerId) -> Seat {
         let listed = self.by_zone.values().flatten();
         let before = listed.filter(|known| known.id < node).count();
@@ -144,12 +146,12 @@
         }
     }
 
-    /// All nodes that the store names, this one included.
+    /// All listed nodes, including this one.
     pub fn listed(&self) -> impl Iterator<Item = &ListedNode> {
         self.by_zone.values().flatten()
     }
 
-    /// A node was heard of.
+    /// Records that a message of a node was received.
     pub fn note_contact(&mut self, address: SocketAddr, id: PeerId, now: Millis) {
         if self.contacts.contains_key(&address) || self.contacts.len() < MAX_KNOWN {
             let contact = self.contact(address);
@@ -159,15 +161,15 @@
         }
     }
 
-    /// Something was sent that a node answers.
+    /// Records that a message was sent that the node is expected to answer.
     pub fn note_awaiting_reply(&mut self, address: SocketAddr, now: Millis) {
         let contact = self.contact(address);
         contact.tried_at = Some(now);
         contact.unanswered_since.get_or_insert(now);
     }
 
-    /// The nodes that relay for a zone, as far as this node can tell: the first
-    /// ones that are not suspected. This node may be one of them.
+    /// The nodes that relay for a zone, as far as this node knows: the first listed ones
+    /// that are not suspected. This node may be one of them.
     pub fn relays_of(&self, zone: ZoneTag, now: Millis) -> Vec<PeerAddress> {
         let listed = self.by_zone.get(&zone.0).into_iter().flatten();
         let fit = listed.filter(|node| !self.is_suspected(node.address, now));
@@ -178,8 +180,8 @@
         relays.collect()
     }
 
-    /// Nodes that would relay for a zone if they answered, and that it is time to
-    /// ask again.
+    /// Suspected nodes that would relay for a zone if they answered, and that are due for
+    /// another report.
     pub fn relays_to_probe(&self, zone: ZoneTag, now: Millis) -> Vec<SocketAddr> {
         let listed = self.by_zone.get(&zone.0).into_iter().flatten();
         let before_last_relay = match self.relays_of(zone, now).last() {
@@ -200,13 +202,13 @@
         self.by_zone.keys().copied().map(ZoneTag).collect()
     }
 
-    /// Nodes that the store names, by zone.
+    /// Number of listed nodes of each zone.
     pub fn nodes_by_zone(&self) -> impl Iterator<Item = (ZoneTag, usize)> + '_ {
         let zones = self.by_zone.iter();
         zones.map(|(zone, nodes)| (ZoneTag(*zone), nodes.len()))
     }
 
-    /// The place of a node among the relays of all zones; nothing when it is none.
+    /// Rank of a node among the relays of all zones; `None` when it is not a relay.
     pub fn relay_rank(&self, own: PeerId, now: Millis) -> Option<usize> {
         let zones = self.by_zone.keys().copied().map(ZoneTag);
         let mut relays: Vec<PeerId> = zones
@@ -223,7 +225,7 @@
         since.is_some_and(|since| now.since(since) >= SUSPECTED_AFTER_MS)
     }
 
-    /// Nodes to which the next report goes where nodes report to each other.
+    /// Receivers of the next report where nodes report to each other.
     pub fn receivers(&mut self, reach: Reach, now: Millis) -> Vec<SocketAddr> {
         let is_own_zone = reach == Reach::OwnZone;
         let own_zone = self.own.map(|own| own.zone);
@@ -233,7 +235,7 @@
             .filter(|(_, contact)| contact.is_in(own_zone) == is_own_zone && contact.is_due(now))
             .map(|(address, contact)| (!contact.is_live(now), contact.tried_at, *address))
             .collect();
-        // Where there are too many, each has its turn.
+        // With too many nodes they take turns: the one that has waited longest comes first.
         due.sort();
         due.truncate(MAX_RECEIVERS);
         for (_, _, address) in &due {
@@ -242,7 +244,7 @@
         due.into_iter().map(|(_, _, address)| address).collect()
     }
 
-    /// Nodes that were heard of lately.
+    /// Nodes from which messages were received recently.
     pub fn live(&self, now: Millis) -> Vec<SocketAddr> {
         let contacts = self.contacts.iter();
         let live = contacts.filter(|(_, contact)| contact.is_live(now));
@@ -251,7 +253,7 @@
             .collect()
     }
 
-    /// The relays of all zones but this node.
+    /// The relays of all zones except this node.
     pub fn other_relays(&self, own: PeerId, now: Millis) -> Vec<SocketAddr> {
         let zones = self.by_zone.keys().copied().map(ZoneTag);
         let relays = zones.flat_map(|zone| self.relays_of(zone, now));
@@ -259,12 +261,12 @@
         others.map(|relay| relay.address).collect()
     }
 
-    /// Nodes that are remembered.
+    /// Number of known nodes.
     pub fn len(&self) -> usize {
         self.contacts.len()
     }
 
-    /// Whether no other node is remembered.
+    /// Whether no other node is known.
     pub fn is_empty(&self) -> bool {
         self.contacts.is_empty()
     }
--- a/crates/gateway/src/peers/discovery.rs
+++ b/crates/gateway/src/peers/discovery.rs
@@ -1,5 +1,5 @@
-//! Nodes find each other by records in the object store. Whoever is sent a
-//! report answers with reports of its own, so one side's knowledge is enough.
+//! Discovery of nodes by records in the object store. A node that receives a report answers
+//! with reports of its own, so it is enough that one of two nodes knows the other.
 
 use super::address_book::{Capacity, ListedNode};
 use crate::peers::roles::lists_at_start;
@@ -13,18 +13,18 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Time between the first two lists, in milliseconds: nodes that start together
-/// do not see each other in the first. It doubles with each list.
+/// Interval between the first two lists, in milliseconds: nodes that start together are
+/// missing from the first. It doubles with each list.
 const FIRST_LIST_PERIOD_MS: u64 = 500;
-/// Time between two lists later on, in milliseconds.
+/// Interval between two lists later on, in milliseconds.
 const LIST_PERIOD_MS: u64 = 10_000;
-/// Time between two lists for each node in it, in milliseconds: what lists cost
-/// a node stays the same however large the fleet.
+/// Interval between two lists for each listed node, in milliseconds: the cost of lists for
+/// a node stays the same however large the fleet is.
 const LIST_PERIOD_PER_NODE_MS: u64 = 200;
-/// Pause after the store did not answer, in milliseconds.
+/// Pause after a failed call of the store, in milliseconds.
 const RETRY_MS: u64 = 1_000;
 
-/// A node's record.
+/// Record of a node in the object store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
     /// Where it receives reports.
@@ -65,7 +65,7 @@
     }
 }
 
-/// Keeps this node's record and reads those of others until the task is dropped.
+/// Maintains this node's record and reads those of other nodes until the task is dropped.
 pub async fn find_peers(gateway: Arc<Gateway>, address: SocketAddr) {
     let mut client = StoreClient::new(&gateway);
     let own = NodeRecord::of(&gateway, address);
@@ -81,7 +81,7 @@
                 next_ms = next_ms.saturating_mul(2);
             }
             Err(error) => {
-                slog::debug!(gateway.log, "nodes not read"; "error" => error.to_string());
+                slog::debug!(gateway.log, "list of nodes not read from the store"; "error" => error.to_string());
                 client.reset();
                 sleep(RETRY_MS + fastrand::u64(0..RETRY_MS)).await;
             }
@@ -89,16 +89,16 @@
     }
 }
 
-/// Whether this node has seen who relays. Others of the fleet, which it does not
-/// need to know, may still be missing.
+/// Whether the relays are known. Other nodes, which this node need not know, may still be
+/// missing.
 fn knows_relays(gateway: &Gateway) -> bool {
     let needed = lists_at_start(gateway);
     let book = gateway.address_book();
     book.has_relays() && book.list_count() >= needed
 }
 
-/// Reads the nodes, and writes this one's record where it is missing or wrong.
-/// Tells how many there are.
+/// Reads the nodes, and writes the record of this node where it is missing or outdated.
+/// Returns the number of nodes.
 async fn refresh_nodes(
     gateway: &Gateway,
     client: &mut StoreClient,
@@ -130,7 +130,7 @@
     let content = serde_json::to_value(own).unwrap_or_default();
     let written = client.compare_and_set(StoreKind::Nodes, name, revision, content.clone());
     match written.await {
-        // The list was old: the store tells what is there now.
+        // The list was stale: the store returns the current record.
         Err(StoreError::Conflict {
             current: Some(current),
         }) if read_record(&current).as_ref() != Some(own) => {
--- a/crates/gateway/src/peers/encoded_engines.rs
+++ b/crates/gateway/src/peers/encoded_engines.rs
@@ -1,7 +1,8 @@
-//! All engines as this node knows them, encoded once for all who ask.
+//! All engines that this node knows, encoded once for all requests.
 //!
-//! After a start or the loss of a relay all nodes of a zone ask at once. With 10,000
-//! engines encoded for each of them, 64 at a time, a relay stood at 423 MB.
+//! After a start, or after the loss of a relay, all nodes of a zone send requests at once.
+//! With 10,000 engines encoded separately for each of 64 concurrent requests, a relay used
+//! 423 MB.
 
 use super::relay_messages::{change_message, EngineChange};
 use crate::beliefs::Beliefs;
@@ -10,19 +11,19 @@
 use ploverlift_wire::{encode_snapshot, peers};
 use std::sync::Arc;
 
-/// Time for which engines that have changed since are told as they were, in
-/// milliseconds: less than the time for which a relay's reports repeat a change, so
-/// that nothing is lacking.
+/// Time for which an encoding is reused although engines have changed since, in
+/// milliseconds: less than the time for which the reports of a relay repeat a change, so
+/// that no change is missed.
 const MAX_CHANGED_REUSE_MS: u64 = 150;
-/// Time for which unchanged engines are not encoded again, in milliseconds: the time
-/// that they stay slow after their start is told as of the encoding.
+/// Time for which an encoding of unchanged engines is reused, in milliseconds: the
+/// remaining time for which a started engine is slow is given as of the encoding.
 const MAX_REUSE_MS: u64 = 1_000;
 
-/// The part of a snapshot that tells the engines.
+/// The part of a snapshot with the engines.
 #[derive(Clone, Debug)]
 pub(super) struct EncodedEngines {
-    /// A snapshot message with these engines alone. Concatenated messages are merged, so
-    /// what else a snapshot tells may stand before it.
+    /// A snapshot message with only these engines. Concatenated messages are merged when
+    /// they are read, so the other fields of a snapshot may precede it.
     pub(super) message: Arc<[u8]>,
     /// Number of the last change that it contains.
     pub(super) changes_through: u64,
@@ -38,7 +39,7 @@
 }
 
 impl EngineEncoding {
-    /// The engines as they are now or were a moment ago.
+    /// The engines as they are now, or a recent encoding.
     pub(super) fn present(&mut self, beliefs: &Beliefs, now: Millis) -> EncodedEngines {
         let last = self.last.take();
         let usable = last.filter(|last| last.is_usable(beliefs, now));
--- a/crates/gateway/src/peers/engine_limit_messages.rs
+++ b/crates/gateway/src/peers/engine_limit_messages.rs
@@ -1,4 +1,4 @@
-//! Rate limits that engines advertise, and questions for tokens, as messages.
+//! Rate limits that engines advertise, and requests for tokens, as messages.
 
 use ploverlift_balancing::peer_loads::{EngineTag, PeerId};
 use ploverlift_enginelimit::group::{GroupTag, Holder, NodeAddress};
@@ -8,14 +8,14 @@
 use ploverlift_wire::peers;
 use ploverlift_wire::peers::engine_token_answer::Verdict;
 
-/// What one answer of an engine said, with ages in place of moments.
+/// Rate limit in one answer of an engine, with ages in place of points in time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReportedObservation {
     /// The engine.
     pub engine: EngineTag,
     /// Its group.
     pub group: GroupTag,
-    /// The rate, in requests a second; nothing where it named none.
+    /// The rate limit, in requests per second; `None` when the answer has none.
     pub limit: Option<f64>,
     /// Time since the request was sent, in milliseconds.
     pub sent_age_ms: u64,
@@ -23,10 +23,10 @@
     pub head_age_ms: u64,
 }
 
-/// The answer to the sender's question with this number.
+/// The answer to the request with this number.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NumberedAnswer {
-    /// Number of the question.
+    /// Number of the request.
     pub number: u64,
     /// The answer.
     pub answer: TokenAnswer,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Reads a group; nothing when its holder has no proper address.
+/// Reads a group; `None` when the address of its holder is invalid.
 pub(super) fn read_group(message: &peers::EngineLimitGroup) -> Option<GroupUpdate> {
     let limits = message.limits.iter().map(|reported| UpdatedLimit {
         engine: EngineTag(reported.engine),
@@ -145,7 +145,7 @@
     }
 }
 
-/// Reads an answer; nothing when it says nothing that this version knows.
+/// Reads an answer; `None` when this version does not know its verdict.
 pub(super) fn read_answer(message: &peers::EngineTokenAnswer) -> Option<NumberedAnswer> {
     let answer = match message.verdict.as_ref()? {
         Verdict::Granted(granted) => TokenAnswer::Granted {
--- a/crates/gateway/src/peers/engine_limits.rs
+++ b/crates/gateway/src/peers/engine_limits.rs
@@ -1,5 +1,5 @@
-//! Rate limits that engines advertise: taking in what other nodes tell of them, and granting
-//! tokens to those who ask.
+//! Rate limits that engines advertise: handling of reports of other nodes, and granting of
+//! tokens on request.
 
 use super::engine_limit_messages::{NumberedAnswer, ReportedObservation};
 use super::engine_signals::limit_reports;
@@ -14,7 +14,7 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// Forgets limits of engines that are gone.
+/// Removes limits of engines that are gone.
 pub(super) fn remove_gone_limits(gateway: &Gateway, now: Millis) {
     let beliefs = &mut *gateway.beliefs();
     if beliefs.engine_limits.is_empty() {
@@ -31,7 +31,7 @@
     beliefs.engine_limits.expire(is_known, rate_limits, now);
 }
 
-/// Takes in what another node tells of one group; tells whether it was news.
+/// Applies the report of another node on one group; returns whether it changed anything.
 pub(super) fn apply_limit_group(
     gateway: &Gateway,
     news: &GroupUpdate,
@@ -67,7 +67,7 @@
     is_new
 }
 
-/// Takes in what an answer at another node said of its engine.
+/// Applies the limit that another node read from an answer of its engine.
 pub fn handle_observation(gateway: &Gateway, reported: &ReportedObservation) {
     let now = gateway.clock.now();
     let observation = Observation {
@@ -92,7 +92,7 @@
     }
 }
 
-/// Answers a question for a token.
+/// Answers a request for a token.
 pub fn answer_token_request(gateway: &Gateway, request: &TokenRequest, from: SocketAddr) {
     let now = gateway.clock.now();
     let answer = answer_request(gateway, request, now);
@@ -113,7 +113,7 @@
         .put(from, &PeerMessage::TokenAnswer(numbered));
 }
 
-/// A token that was granted here was not used.
+/// Handles the return of a token that was granted here and not used.
 pub fn handle_returned_token(gateway: &Gateway, engine: EngineTag) {
     let now = gateway.clock.now();
     gateway.beliefs().engine_limits.return_token(engine, now);
--- a/crates/gateway/src/peers/engine_signal_messages.rs
+++ b/crates/gateway/src/peers/engine_signal_messages.rs
@@ -1,4 +1,4 @@
-//! What engines said of themselves in answers, as messages.
+//! Signals that engines set in answers, as messages.
 
 use super::engine_limit_messages::{group_message, read_group};
 use ploverlift_balancing::engine_notices::exchange::ReportedLeaving;
@@ -7,16 +7,16 @@
 use ploverlift_enginelimit::node_messages::GroupUpdate;
 use ploverlift_wire::peers;
 
-/// What a node tells of engines by their own answers.
+/// Signals of engines that a node reports.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSignalReport {
     /// The sender.
     pub sender: PeerId,
     /// Rate limits, by group.
     pub groups: Vec<GroupUpdate>,
-    /// Engines that leave.
+    /// Engines that are leaving.
     pub leaving: Vec<ReportedLeaving>,
-    /// Whether the sender knows nothing yet and wants to be told all.
+    /// Whether the sender knows no signals yet and requests all of them.
     pub wants_all: bool,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Reads a report; a group whose holder has no proper address is left out.
+/// Reads a report; a group whose holder has an invalid address is left out.
 pub(super) fn read_report(message: &peers::EngineSignalReport) -> EngineSignalReport {
     EngineSignalReport {
         sender: PeerId(message.sender),
--- a/crates/gateway/src/peers/engine_signals.rs
+++ b/crates/gateway/src/peers/engine_signals.rs
@@ -1,9 +1,10 @@
-//! Telling the other nodes what engines said of themselves in answers: rate limits, with who
-//! counts for them, and that they leave.
+//! Broadcast of the signals that engines set in their answers: rate limits, with the node
+//! that is the limit holder, and that an engine is leaving.
 //!
-//! Nothing is sent while no engine said anything. A change is told at once, and twice again,
-//! and for a time some of what is known in each period, so that a node that was cut off hears
-//! of it. A node that starts asks before it is ready.
+//! Nothing is sent while no engine has set a signal. A change is broadcast at once and
+//! repeated twice; for some time, a part of the known signals is repeated in each period,
+//! so that a node that was cut off receives it. A node that starts requests all signals
+//! before it is ready.
 
 use super::engine_limits::{apply_limit_group, remove_gone_limits};
 use super::engine_signal_messages::EngineSignalReport;
@@ -21,19 +22,18 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Time between two tellings of what has not changed, in milliseconds.
+/// Interval at which unchanged signals are repeated, in milliseconds.
 const REPEAT_PERIOD_MS: u64 = 1_000;
-/// Longest time between two looks at what is due, in milliseconds: tellings that are
-/// repeated.
+/// Maximum interval between two checks for due reports, such as repeats, in milliseconds.
 const POLL_MS: u64 = 100;
-/// Shortest time between two reports, in milliseconds.
+/// Minimum interval between two reports, in milliseconds.
 const MIN_PERIOD_MS: u64 = 5;
-/// Longest time from its start for which a node waits to be told, in milliseconds.
+/// Maximum time after its start for which a node waits for the signals, in milliseconds.
 const START_WAIT_MS: u64 = 1_500;
-/// Engines that one log line names.
+/// Maximum number of engines listed in one log line.
 const MAX_LOGGED_ENGINES: usize = 4;
 
-/// What is told at one time.
+/// Signals that are sent together.
 #[derive(Default)]
 struct SignalChanges {
     groups: Vec<GroupUpdate>,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Reports that fit one datagram each, and one at least.
+/// Reports that fit one datagram each, at least one.
 fn reports(gateway: &Gateway, news: SignalChanges, wants_all: bool) -> Vec<EngineSignalReport> {
     let empty = EngineSignalReport {
         sender: PeerId::of(&gateway.settings().node.name),
@@ -113,7 +113,7 @@
     reports
 }
 
-/// A report of each of these groups.
+/// Reports of these groups.
 pub(super) fn limit_reports(
     gateway: &Gateway,
     groups: impl IntoIterator<Item = GroupUpdate>,
@@ -128,7 +128,7 @@
     }
 }
 
-/// Whether this node has been told what engines said, or nobody tells it.
+/// Whether this node has received the signals, or there is no node from which it could.
 pub fn knows_signals(gateway: &Gateway) -> bool {
     let is_alone = {
         let book = gateway.address_book();
@@ -139,7 +139,7 @@
     is_alone || has_waited || has_no_peer_socket || gateway.beliefs().is_told_signals
 }
 
-/// Takes in what another node tells.
+/// Applies a report of another node.
 pub fn handle_signals(gateway: &Gateway, report: &EngineSignalReport, from: SocketAddr) {
     let now = gateway.clock.now();
     if report.wants_all {
@@ -151,7 +151,7 @@
         is_new |= apply_limit_group(gateway, news, passes_on, now);
     }
     is_new |= apply_leaving(gateway, &report.leaving, passes_on, now);
-    // A node that asks as well knows no more than this one.
+    // A node that requests the signals itself knows no more than this one.
     gateway.beliefs().is_told_signals |= !report.wants_all;
     if is_new {
         gateway.engine_signals_changed.notify(usize::MAX);
@@ -171,7 +171,7 @@
     }
 }
 
-/// Takes in which engines leave; tells whether it was news.
+/// Applies reports of leaving engines; returns whether any was new.
 fn apply_leaving(
     gateway: &Gateway,
     reported: &[ReportedLeaving],
--- a/crates/gateway/src/peers/followed_relays.rs
+++ b/crates/gateway/src/peers/followed_relays.rs
@@ -1,5 +1,5 @@
-//! What a node has heard of each relay, and how far it has followed their changes of
-//! the engines.
+//! The last known state of each relay, and how far this node has applied its changes of the
+//! engines.
 
 use super::relay_messages::{EngineChange, RelayReport};
 use ploverlift_balancing::peer_loads::PeerId;
@@ -8,27 +8,26 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Time for which a node may lack a change of the engines before it reads them by
-/// itself, in milliseconds: enough for asking a relay twice.
+/// Time for which a node may miss a change of the engines before it reads them from the
+/// store, in milliseconds: enough for two requests to a relay.
 const MAX_BEHIND_MS: u64 = 600;
-/// Time after which a missed change is asked for, in milliseconds: the next two
-/// reports tell it again.
+/// Time after which a missed change is requested, in milliseconds: the next two reports
+/// repeat it.
 const ASK_AFTER_MS: u64 = 220;
-/// Time for which no relay is relied on after none answered, in milliseconds.
+/// Time for which no relay is relied on after requests failed, in milliseconds.
 const DISTRUST_MS: u64 = 2_000;
 
-/// Longest time that a node waits for a relay's answer, in milliseconds: 200 nodes of a
-/// zone take turns at two relays, whose links carry a list of 10,000 engines to all of
-/// them in 4 s.
+/// Maximum wait for the answer of a relay, in milliseconds: 200 nodes of a zone share two
+/// relays, whose links need 4 s to send a list of 10,000 engines to all of them.
 pub const LONGEST_FETCH_MS: u64 = 10_000;
 
-/// What was last heard of one relay.
+/// The last known state of one relay.
 #[derive(Clone, Copy, Debug)]
 struct FollowedRelay {
     address: SocketAddr,
     life: u64,
     heard_at: Millis,
-    /// When, at the latest, the relay knew all engines.
+    /// Latest time at which the relay is proven to have known all engines.
     engines_known_at: Option<Millis>,
     configuration: Option<u64>,
     changes_through: u64,
@@ -40,29 +39,29 @@
     }
 }
 
-/// How far the changes of one relay were followed.
+/// How far the changes of one relay were applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CatalogueCursor {
     /// The relay.
     pub relay: PeerId,
-    /// Its life.
+    /// Its incarnation.
     pub life: u64,
-    /// Number of the last change that was taken in.
+    /// Number of the last applied change.
     pub through: u64,
 }
 
-/// What this node should ask a relay for.
+/// What this node has to request from a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SnapshotNeed {
-    /// Whom to ask.
+    /// The relay to ask.
     pub relay: PeerId,
-    /// Where.
+    /// Its address.
     pub address: SocketAddr,
-    /// Whether the engines are needed, or else the configuration alone.
+    /// Whether the engines are requested; otherwise only the configuration.
     pub wants_engines: bool,
 }
 
-/// The relays that this node hears.
+/// The relays from which this node receives reports.
 #[derive(Clone, Debug, Default)]
 pub struct FollowedRelays {
     relays: BTreeMap<PeerId, FollowedRelay>,
@@ -73,9 +72,9 @@
 }
 
 impl FollowedRelays {
-    /// A relay was heard. `answers_sent_at` is when the newest of this node's own
-    /// reports was sent that the relay had taken in: what the relay tells is not
-    /// older than that, less the age that it tells.
+    /// Records a report of a relay. `answers_sent_at` is when this node sent the newest of
+    /// its reports that the relay had applied: the data of the relay is at most as old as
+    /// that time plus the age that it reports.
     pub fn note_report(
         &mut self,
         report: &RelayReport,
@@ -97,21 +96,22 @@
             heard_at: now,
             engines_known_at: engines_known_at.max(known_before),
             configuration: report.configuration,
-            // Reports may overtake each other.
+            // Reports may arrive out of order.
             changes_through: report.changes_through.max(through_before),
         };
         let is_other_life =
             |cursor: CatalogueCursor| cursor.relay == report.loads.sender && cursor.life != life;
         if self.cursor.is_some_and(is_other_life) {
-            // What the present life knows proves nothing of what the former one told.
+            // What the current incarnation knows proves nothing about the reports of the
+            // former one.
             self.behind_since.get_or_insert(now);
         }
         self.relays.insert(report.loads.sender, relay);
         self.relays.retain(|_, relay| relay.is_live(now));
     }
 
-    /// The changes of a report that this node has not taken in yet; none when
-    /// another relay is followed or some before them are missing.
+    /// The changes of a report that this node has not applied yet; empty when another relay
+    /// is followed or earlier changes are missing.
     pub fn next_changes<'a>(&mut self, report: &'a RelayReport) -> &'a [EngineChange] {
         let Some(cursor) = &mut self.cursor else {
             return &[];
@@ -126,47 +126,47 @@
         report.changes.get(known..).unwrap_or(&[])
     }
 
-    /// The engines were taken over from a relay.
+    /// Records that the engines were taken over from a relay.
     pub fn set_cursor(&mut self, cursor: CatalogueCursor) {
         self.cursor = Some(cursor);
         self.behind_since = None;
     }
 
-    /// A relay is asked for all engines.
+    /// Records that all engines are being requested from a relay.
     pub fn begin_fetch(&mut self, now: Millis) {
         self.fetching_since = Some(now);
     }
 
-    /// The relay that was asked has answered, or does not.
+    /// Records that the request was answered or abandoned.
     pub fn end_fetch(&mut self) {
         self.fetching_since = None;
     }
 
-    /// Whether a relay's answer with all engines is on its way.
+    /// Whether a request for all engines is pending.
     pub fn is_fetching(&self, now: Millis) -> bool {
         let since = self.fetching_since;
         since.is_some_and(|since| now.since(since) < LONGEST_FETCH_MS)
     }
 
-    /// Whether a relay was heard lately.
+    /// Whether a report of this relay was received recently.
     pub fn is_live(&self, relay: PeerId, now: Millis) -> bool {
         let relay = self.relays.get(&relay);
         relay.is_some_and(|relay| relay.is_live(now))
     }
 
-    /// Whether any relay was heard lately.
+    /// Whether a report of any relay was received recently.
     pub fn has_live_relay(&self, now: Millis) -> bool {
         let mut relays = self.relays.values();
         relays.any(|relay| relay.is_live(now))
     }
 
-    /// No relay answered.
+    /// Stops relying on relays for a time, after requests failed.
     pub fn distrust(&mut self, now: Millis) {
         self.distrusted_until = Some(now.plus(DISTRUST_MS));
     }
 
-    /// Whether this node knows the engines through a relay whose own knowledge is
-    /// at most `limit_ms` old.
+    /// Whether this node knows the engines through a relay whose own knowledge is at most
+    /// `limit_ms` old.
     pub fn is_current(&self, limit_ms: u64, now: Millis) -> bool {
         if self.distrusted_until.is_some_and(|until| now < until) {
             return false;
@@ -181,8 +181,8 @@
         !is_behind && relay.is_some()
     }
 
-    /// As of when the relay that is followed vouches for the engines that this node has;
-    /// nothing while some of its changes are lacking, or it is in another life.
+    /// Time as of which the followed relay proves the engines that this node knows; `None`
+    /// while some of its changes are missing, or after it restarted.
     pub fn proven_at(&self) -> Option<Millis> {
         let cursor = self.cursor?;
         let relay = self.relays.get(&cursor.relay)?;
@@ -190,7 +190,8 @@
         relay.engines_known_at.filter(|_| has_all)
     }
 
-    /// As of when any relay last knew all engines, whether this node has them or not.
+    /// Latest time as of which any relay knew all engines, whether this node has applied
+    /// its changes or not.
     pub fn newest_proof(&self) -> Option<Millis> {
         let proofs = self.relays.values();
         proofs.filter_map(|relay| relay.engines_known_at).max()
@@ -203,7 +204,7 @@
         (relay.is_live(now) && is_recent).then_some(relay)
     }
 
-    /// What to ask which relay for now; `configuration` is the version that this
+    /// What to request now, and from which relay. `configuration` is the version that this
     /// node has.
     pub fn snapshot_need(
         &mut self,
@@ -233,7 +234,7 @@
             relay.is_some_and(|relay| relay.life == cursor.life)
         });
         let Some(cursor) = followed else {
-            // The relay that was followed is gone: another one takes its place.
+            // The followed relay is no longer trusted: another one takes its place.
             return self.any_trusted(limit_ms, now);
         };
         let relay = *self.relays.get(&cursor.relay)?;
--- a/crates/gateway/src/peers/follower.rs
+++ b/crates/gateway/src/peers/follower.rs
@@ -1,4 +1,4 @@
-//! A node that is told by relays: taking in their reports.
+//! Handling of the reports of relays on a follower.
 
 use super::relay_messages::RelayReport;
 use super::roles::{role, Role};
@@ -16,8 +16,9 @@
 use std::borrow::Cow;
 use std::net::SocketAddr;
 
-/// What a relay tells, its revisions in an era of the store. A relay of an earlier release
-/// tells none: it reads the same store as this node.
+/// The report of a relay with its revisions in an era of the store. A relay of an earlier
+/// release reports no era: it reads the same store as this node, so the era that this node
+/// knows applies.
 fn with_known_era<'a>(gateway: &Gateway, report: &'a RelayReport) -> Cow<'a, RelayReport> {
     let own = gateway.store_era.get();
     match own.filter(|_| report.store_era.is_none()) {
@@ -26,7 +27,7 @@
     }
 }
 
-/// Takes in what a relay of the zone tells.
+/// Applies a report of a relay of the zone.
 pub fn handle_relay_report(gateway: &Gateway, report: &RelayReport, from: SocketAddr) {
     let report = &*with_known_era(gateway, report);
     let now = gateway.clock.now();
@@ -34,7 +35,7 @@
     gateway.hear_store_era(report.store_era);
     gateway.address_book().note_contact(from, sender, now);
     if role(gateway, now) != Role::Follower {
-        // It knows the same from the store and from the nodes themselves.
+        // Nodes with another role learn this from the store and from the nodes themselves.
         return;
     }
     let limit_ms = engines_age_limit_ms(&gateway.settings());
@@ -86,7 +87,7 @@
     }
 }
 
-/// Takes in what a relay tells of rollouts. `answers` is as for
+/// Applies the rollout data of a relay. `answers` is as for
 /// [`crate::rollouts::RolloutBeliefs::apply_sums`].
 pub(super) fn apply_rollout_news(
     beliefs: &mut Beliefs,
@@ -105,9 +106,10 @@
     taken
 }
 
-/// The relay's proof that the configuration is the newest counts from when this
-/// node sent the report that the relay answers, less the age that it tells: however
-/// long the answer travelled, the proof is not younger than that.
+/// Applies the proof of a relay that its configuration is the newest. The proof counts from
+/// when this node sent the report that the relay included, less the age in the report:
+/// however long the datagram was under way, the proof is never taken to be younger than it
+/// is.
 fn apply_proof(beliefs: &mut Beliefs, report: &RelayReport, sent_at: Option<Millis>) {
     let is_same = report.configuration == beliefs.configuration_version();
     let (Some(sent_at), Some(age_ms)) = (sent_at, report.proof_age_ms) else {
--- a/crates/gateway/src/peers/incoming.rs
+++ b/crates/gateway/src/peers/incoming.rs
@@ -1,4 +1,4 @@
-//! Taking in the reports of other nodes, and of relays of other zones.
+//! Handling of reports of other nodes, and of relays of other zones.
 
 use super::message_fields::IncludedReport;
 use super::messages::PeerReport;
@@ -13,7 +13,7 @@
 use ploverlift_policy::ids::Millis;
 use std::net::SocketAddr;
 
-/// Takes in the report of another node, as one of a small fleet or as its relay.
+/// Applies the report of another node, as a node of a small fleet or as its relay.
 pub fn handle_report(gateway: &Gateway, report: &PeerReport, from: SocketAddr) {
     let sender = report.loads.sender;
     if sender == PeerId::of(&gateway.settings().node.name) {
@@ -38,7 +38,7 @@
     apply_rollouts(&mut beliefs, report, now);
 }
 
-/// Takes in the report of a node of the zone that takes this one for a relay.
+/// Applies the report of a node of the zone that uses this one as a relay.
 fn handle_member_report(
     gateway: &Gateway,
     beliefs: &mut Beliefs,
@@ -59,7 +59,7 @@
     apply_rollouts(beliefs, report, now);
 }
 
-/// Takes in the sums of another zone from one of its relays.
+/// Applies the sums of another zone from one of its relays.
 pub fn handle_zone_report(gateway: &Gateway, report: &PeerReport, from: SocketAddr) {
     let now = gateway.clock.now();
     gateway.hear_store_era(report.store_era);
@@ -69,8 +69,9 @@
     let fleet = gateway.address_book().listed_nodes();
     let mut beliefs = gateway.beliefs();
     beliefs.relaying.note_zone_reporter(from, now);
-    // The relays of a zone report the same sums. They count as one sender, of whom
-    // the higher life is heard until it is silent for as long as a report may be late.
+    // The relays of a zone report the same sums. They count as one sender: the reports of
+    // the higher incarnation are applied until it has been silent for as long as a report
+    // may be delayed.
     let loads = LoadReport {
         sender: PeerId(u64::from(report.loads.zone.0)),
         ..report.loads.clone()
@@ -89,7 +90,7 @@
     note_rollout_lease(&mut beliefs, report, now);
 }
 
-/// What a node tells of rollouts.
+/// Applies the rollout data of a node.
 fn apply_rollouts(beliefs: &mut Beliefs, report: &PeerReport, now: Millis) {
     let from = Reporter {
         node: report.loads.sender,
@@ -110,7 +111,8 @@
     }
 }
 
-/// Takes in loads. Which engines are about to load weights is told on at once.
+/// Applies loads. Engines that are newly about to load weights are reported further at
+/// once.
 fn apply_loads(gateway: &Gateway, beliefs: &mut Beliefs, loads: &LoadReport, now: Millis) -> bool {
     let has_new_loading = loads
         .loading
@@ -123,8 +125,8 @@
     is_new
 }
 
-/// What a report tells besides loads. It passes on what was news here, so nothing
-/// goes round.
+/// Applies the parts of a report other than loads. Only what was new to this node is
+/// forwarded, so that reports do not circulate.
 fn apply_changes(beliefs: &mut Beliefs, report: &PeerReport, is_from_zone: bool, now: Millis) {
     for placement in &report.placements {
         let change = beliefs.holders.note(*placement, now);
--- a/crates/gateway/src/peers/limit_messages.rs
+++ b/crates/gateway/src/peers/limit_messages.rs
@@ -1,24 +1,24 @@
-//! Tenants' use and the levels of their buckets, as messages.
+//! Tenant usage and the levels of the tenants' token buckets, as messages.
 
 use ploverlift_balancing::peer_loads::{PeerId, ZoneTag};
 use ploverlift_ratelimit::reports::{LevelReport, TenantLevel, TenantUse, UseReport};
 use ploverlift_routing::rate_limit::TenantTag;
 use ploverlift_wire::peers;
 
-/// Tenants in one datagram of use or of levels: at most 32 bytes each, so that it
-/// stays within one unfragmented datagram.
+/// Maximum number of tenants in one datagram of usage or of levels: at most 32 bytes each,
+/// so that it is not fragmented.
 pub const MAX_TENANTS: usize = 35;
 
-/// A report of use, with the zone that it sums up.
+/// A report of usage, with the zone that it sums up.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UseMessage {
     /// The report.
     pub report: UseReport,
-    /// The zone; nothing where it is of the sender alone.
+    /// The zone; `None` for the usage of the sender alone.
     pub zone_sum: Option<ZoneTag>,
 }
 
-/// The message for a report of use.
+/// The message for a report of usage.
 pub fn use_message(message: &UseMessage) -> peers::UseReport {
     let report = &message.report;
     peers::UseReport {
@@ -33,7 +33,7 @@
     }
 }
 
-/// Reads a report of use.
+/// Reads a report of usage.
 pub fn read_use(message: &peers::UseReport) -> UseMessage {
     let totals = message.admitted.iter().zip(&message.asked);
     let uses = message.tenants.iter().zip(totals);
@@ -56,7 +56,7 @@
     }
 }
 
-/// What all receivers of a report of levels are told.
+/// The part of a report of levels that is the same for all receivers.
 pub fn level_message(report: &LevelReport) -> peers::LevelReport {
     let levels = &report.levels;
     peers::LevelReport {
@@ -76,8 +76,8 @@
     }
 }
 
-/// What follows the common bytes for one receiver: messages of one kind that stand
-/// one after the other are read as one.
+/// The part of a report of levels for one receiver. It is appended to the common bytes:
+/// concatenated messages of one kind are merged when they are read.
 pub fn counted_message(counted: Vec<u64>) -> peers::LevelReport {
     peers::LevelReport {
         counted,
@@ -85,8 +85,7 @@
     }
 }
 
-/// Reads a report of levels; of lists that are not equally long, as many entries as
-/// the shortest has.
+/// Reads a report of levels. Of lists of unequal length, excess entries are ignored.
 pub fn read_levels(message: &peers::LevelReport) -> LevelReport {
     let rates = message.fleet_rates.iter().zip(&message.fleet_demands);
     let buckets = message.levels.iter().zip(rates).zip(&message.counted);
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -1,4 +1,4 @@
-//! Telling other nodes what tenants were admitted, and what is left of their limits.
+//! Reports of tenant usage, and of the levels of the tenants' limits.
 
 use super::limit_messages::{counted_message, level_message, UseMessage, MAX_TENANTS};
 use super::messages::{encode, encode_body, PeerMessage};
@@ -15,11 +15,11 @@
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 
-/// Periods of a relay in which it tells at least once how long its accounts run: that
-/// shows the nodes which rely on it that it is there.
+/// Periods in which a relay reports the age of its accounts at least once, so that the
+/// nodes that rely on it see that it is alive.
 const PERIODS_PER_LEVEL_REPORT: u64 = 2;
 
-/// Reports of use to one set of receivers.
+/// Reports of usage to one set of receivers.
 #[derive(Debug, Default)]
 pub struct UseStream {
     reported: ReportedUse,
@@ -72,7 +72,7 @@
         let reporter = Reporter {
             zone_sum: Some(ZoneTag::of(&gateway.zone)),
             nodes: sum.nodes,
-            // Sums that began later are those of a later life.
+            // Sums that began later belong to a later incarnation.
             life: gateway.life + sum.begun_at.0,
         };
         if let Some(due) = self
@@ -84,7 +84,7 @@
     }
 }
 
-/// For whom a report of use speaks.
+/// On whose behalf usage is reported.
 struct Reporter {
     zone_sum: Option<ZoneTag>,
     nodes: u32,
@@ -115,8 +115,7 @@
     }
 }
 
-/// Brings the accounts up to date and, as a relay, tells the nodes of the zone what
-/// is left.
+/// Advances the accounts and, on a relay, reports the levels to the nodes of the zone.
 pub async fn send_levels(
     gateway: &Gateway,
     socket: &UdpSocket,
@@ -162,8 +161,8 @@
     }
 }
 
-/// The tenants of one datagram each; an empty one where there are none, which shows
-/// that this node is there.
+/// The tenants of each datagram; one empty chunk when there are none, so that the report
+/// shows that this node is alive.
 fn chunks_or_empty<T>(tenants: &[T]) -> Vec<&[T]> {
     match tenants.is_empty() {
         true => vec![tenants],
@@ -171,7 +170,7 @@
     }
 }
 
-/// Brings the accounts of a node that hears all others up to date; nothing where no
+/// Advances the accounts of a node that receives the reports of all others; `None` when no
 /// tenant has a limit.
 pub fn advance_accounts(gateway: &Gateway, now: Millis) -> Option<Membership> {
     if !gateway.beliefs().limiter.has_limits() {
@@ -182,7 +181,7 @@
     Some(membership)
 }
 
-/// Takes in what a node or a zone has admitted.
+/// Applies the reported usage of a node or a zone.
 pub fn handle_use_report(gateway: &Gateway, message: &UseMessage) {
     let now = gateway.clock.now();
     let report = &message.report;
@@ -197,7 +196,7 @@
         .apply_use_report(part, report, now);
 }
 
-/// Takes in levels that a relay tells.
+/// Applies the levels that a relay reports.
 pub fn handle_level_report(gateway: &Gateway, report: &LevelReport) {
     let now = gateway.clock.now();
     gateway.beliefs().limiter.apply_level_report(report, now);
--- a/crates/gateway/src/peers/message_fields.rs
+++ b/crates/gateway/src/peers/message_fields.rs
@@ -1,4 +1,4 @@
-//! Fields that several kinds of messages have, and how they stand on the wire.
+//! Fields shared by several kinds of messages, and their encoding.
 
 use crate::leases::LeaseRenewal;
 use ploverlift_balancing::engine_losses::LostEngine;
@@ -10,22 +10,22 @@
 use ploverlift_routing::prompt::PartKey;
 use ploverlift_wire::peers;
 
-/// A report that the sums of a relay contain.
+/// A report that the data of a relay or of another node already includes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IncludedReport {
-    /// Life of its sender.
+    /// Incarnation of its sender.
     pub life: u64,
-    /// Its number.
+    /// Its sequence number.
     pub sequence: u64,
 }
 
-/// Reads which report is included; the wire has 0 for both where none is.
+/// Reads which report is included; both fields are 0 when there is none.
 pub(super) fn read_included(life: u64, sequence: u64) -> Option<IncludedReport> {
     let included = IncludedReport { life, sequence };
     Some(included).filter(|included| included.sequence > 0)
 }
 
-/// Reads the renewal of a lease; the wire has revision 0 where none is told.
+/// Reads the renewal of a lease; the revision is 0 when there is none.
 pub(super) fn read_renewal(revision: u64, token: u64) -> Option<LeaseRenewal> {
     let renewal = LeaseRenewal {
         token: FencingToken(token),
@@ -34,14 +34,14 @@
     Some(renewal).filter(|renewal| renewal.revision > 0)
 }
 
-/// A packed revision of the store on the wire: its number, and its era. Nodes of earlier
-/// releases read the number alone.
+/// Splits a packed revision of the store into its number and its era. Nodes of earlier
+/// releases read only the number.
 pub(super) fn revision_fields(packed: u64) -> (u64, u64) {
     let revision = StoreRevision::of_packed(packed);
     (revision.number, revision.era.0)
 }
 
-/// Reads a revision of the store.
+/// Reads a revision of the store into its packed form.
 pub(super) fn read_revision(number: u64, era: u64) -> u64 {
     StoreRevision::pack(number, StoreEra(era))
 }
@@ -51,7 +51,7 @@
     StoreRevision::pack(StoreRevision::of_packed(packed).number, era)
 }
 
-/// An era of the store on the wire; 0 for none.
+/// Encodes an era of the store; 0 for none.
 pub(super) fn era_plus_one(era: Option<StoreEra>) -> u64 {
     era.map_or(0, |era| era.0.saturating_add(1))
 }
@@ -109,7 +109,7 @@
     }
 }
 
-/// Reads lost engines; of lists that are not equally long, as many as the shorter has.
+/// Reads lost engines. Of lists of unequal length, excess entries are ignored.
 pub(super) fn read_lost(engines: &[u32], nodes: &[u32]) -> Vec<LostEngine> {
     let lost = engines.iter().zip(nodes);
     let lost = lost.map(|(engine, nodes)| LostEngine {
@@ -119,17 +119,17 @@
     lost.collect()
 }
 
-/// The wire has 0 where nothing is known.
+/// Reads a value for which 0 means unknown.
 pub(super) fn nonzero(value: u64) -> Option<u64> {
     Some(value).filter(|value| *value > 0)
 }
 
-/// The wire has an age plus one, in milliseconds.
+/// Encodes an age in milliseconds as the age plus one; 0 when it is unknown.
 pub(super) fn encode_age(age_ms: Option<u64>) -> u64 {
     age_ms.map_or(0, |age_ms| age_ms + 1)
 }
 
-/// Reads an age, in milliseconds.
+/// Reads an age in milliseconds; `None` when it is unknown.
 pub(super) fn read_age(age_plus_one: u64) -> Option<u64> {
     nonzero(age_plus_one).map(|age| age - 1)
 }
--- a/crates/gateway/src/peers/messages.rs
+++ b/crates/gateway/src/peers/messages.rs
@@ -25,15 +25,16 @@
 use ploverlift_wire::peers::peer_message::Body;
 use ploverlift_wire::{decode_peer_message, encode_peer_message, peers, WireError};
 
-/// Placements in one report. With the largest number of loads a report stays
-/// within one unfragmented datagram.
+/// Maximum number of placements in one report. With the maximum number of loads the report
+/// stays within one unfragmented datagram.
 pub const MAX_PLACEMENTS: usize = 20;
 
-/// Placements that make way for lost engines, so that the report stays within its
-/// datagram. On calm days there are none.
+/// Number of placements by which a report is reduced when it has lost engines, so that it
+/// stays within its datagram. Usually there are no lost engines.
 const PLACEMENTS_DISPLACED_BY_LOSSES: usize = 6;
 
-/// Placements for which a report has room that would hold so many without losses.
+/// Maximum number of placements in a report with these lost engines, where `most` is the
+/// maximum without them.
 pub fn placement_capacity(most: usize, lost: &[LostEngine]) -> usize {
     match lost.is_empty() {
         true => most,
@@ -41,57 +42,57 @@
     }
 }
 
-/// What one node tells the others.
+/// Report of one node to others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerReport {
-    /// Its requests at the engines.
+    /// Load of the sender on the engines.
     pub loads: LoadReport,
-    /// Parts of prompts that engines have read for it, or have dropped.
+    /// Parts of prompts that engines have cached for the sender, or have evicted.
     pub placements: Vec<Placement>,
-    /// Engines that loaded weights by its order a short time ago.
+    /// Engines that recently loaded weights on the order of the sender.
     pub loaded: Vec<LoadedWeights>,
-    /// Its last renewal of the lease on orders, while it holds that.
+    /// Last renewal of the lease on orders, while the sender holds it.
     pub lease: Option<LeaseRenewal>,
-    /// The latest era of the store that it knows.
+    /// The latest era of the store that the sender knows.
     pub store_era: Option<StoreEra>,
-    /// Whether it takes the receiver for a relay and wants its reports.
+    /// Whether the sender uses the receiver as a relay and requests its reports.
     pub wants_relay_reports: bool,
-    /// What it tells of rollouts.
+    /// Rollout data of the sender.
     pub rollouts: RolloutReport,
-    /// Engines that are lost, as it or the nodes of its zone have found.
+    /// Engines that the sender or the nodes of its zone have found to be lost.
     pub lost: Vec<LostEngine>,
 }
 
-/// What a datagram says.
+/// A message between nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerMessage {
-    /// What one node has at the engines.
+    /// Load of one node on the engines.
     Report(PeerReport),
-    /// What the nodes of the sender's zone have at the engines.
+    /// Load of the nodes of the sender's zone on the engines.
     ZoneReport(PeerReport),
-    /// What all nodes have at the engines, and what a relay read from the store.
+    /// Load of all nodes on the engines, and what a relay read from the store.
     RelayReport(Box<RelayReport>),
-    /// What tenants were admitted at the sender or in its zone.
+    /// Usage of tenants admitted by the sender or in its zone.
     Use(UseMessage),
-    /// What is left of tenants' limits.
+    /// Levels of tenants' limits.
     Levels(LevelReport),
-    /// What is known of the newest weights.
+    /// The newest weights, as the sender knows them.
     Weights(WeightsReport),
-    /// Requests under which engines ended.
+    /// Requests during which engines terminated.
     Quarantine(QuarantineReport),
-    /// What engines said of themselves in answers.
+    /// Signals that engines set in answers.
     EngineSignals(EngineSignalReport),
-    /// What an answer of an engine said of its limit.
+    /// Rate limit in an answer of an engine.
     EngineLimitObserved(ReportedObservation),
-    /// A question for a token.
+    /// A request for a token.
     TokenRequest(TokenRequest),
-    /// Its answer.
+    /// The answer to a request for a token.
     TokenAnswer(NumberedAnswer),
-    /// A token of this engine was not used.
+    /// A token of this engine is returned unused.
     TokenReturn(EngineTag),
 }
 
-/// A message as a datagram.
+/// Encodes a message as a datagram.
 pub fn encode(message: &PeerMessage) -> Vec<u8> {
     let body = match message {
         PeerMessage::Report(report) => Body::Report(report_message(report)),
@@ -132,15 +133,15 @@
     encode_body(body)
 }
 
-/// A message's body as a datagram.
+/// Encodes the body of a message as a datagram.
 pub fn encode_body(body: Body) -> Vec<u8> {
     encode_peer_message(&peers::PeerMessage { body: Some(body) })
 }
 
-/// Reads a datagram; nothing when it says nothing that this version knows.
+/// Decodes a datagram; `None` when this version does not know the kind of message.
 ///
 /// # Errors
-/// When it is not a message.
+/// When the datagram is not a valid message.
 pub fn decode(datagram: &[u8]) -> Result<Option<PeerMessage>, WireError> {
     let message = decode_peer_message(datagram)?;
     Ok(match message.body {
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,34 +1,35 @@
-//! Messages between nodes: what each has at the engines, which engines keep which
-//! prompts, and what a few nodes have read from the object store for the others.
+//! Messages between nodes: the load of each node on the engines, which engines cache which
+//! prompts, and what relays have read from the object store for the other nodes.
 //!
 //! A report is one datagram without an answer. Loads and placements are advice: a node
-//! that hears none decides from its own traffic, as a single node does. What a
-//! follower must know (engines, configuration, target versions) comes with an age and
-//! with numbers that show a gap; without a relay that is recent it reads the store.
+//! that receives none decides from its own traffic, as a single node does. The data that a
+//! follower depends on (engines, configuration, target versions) carries its age and
+//! sequence numbers that reveal gaps; a follower without an up-to-date relay reads the
+//! store.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | [`address_book`] | whom reports are sent to, and which nodes relay |
-//! | [`discovery`] | how nodes find each other: by records in the object store |
-//! | [`roles`] | who reads the store, and who is told |
-//! | [`reports`] | a node's own reports: to all in a small fleet, else to relays |
-//! | [`incoming`] | reports of other nodes and of other zones' relays |
-//! | [`relay_forwarding`] | what a relay has yet to pass on, and whom it answers |
-//! | [`relay`] | the task of a relay: when it tells whom |
-//! | `relay_contents` | what its reports contain |
-//! | [`followed_relays`], [`follower`] | what a node that follows relays has heard |
-//! | [`snapshot`] | what a follower lacks, over TCP |
-//! | [`weights_reports`] | which weights are the newest, with the age of the proof |
-//! | [`weights_exchange`] | which of these reports were sent and heard |
-//! | [`quarantine_reports`] | requests under which engines ended |
-//! | [`engine_signals`] | what engines said of themselves in answers, told to all |
-//! | [`engine_limits`] | rate limits that engines advertise, and tokens for them |
-//! | [`token_questions`] | requests for tokens of such engines |
-//! | [`outbox`] | messages of tasks that do not have the socket |
-//! | `receivers` | whom news that concerns all nodes goes to |
-//! | [`limits`] | what tenants were admitted, and what is left of their limits |
-//! | [`messages`], [`relay_messages`], [`limit_messages`], [`rollout_messages`], [`weights_messages`], [`quarantine_messages`], [`engine_limit_messages`], [`engine_signal_messages`] | messages as datagrams |
-//! | [`message_fields`] | fields that several kinds of messages have |
+//! | [`address_book`] | addresses of the other nodes, and which of them relay |
+//! | [`discovery`] | discovery of nodes by records in the object store |
+//! | [`roles`] | the role of a node: which nodes read the store, and which follow relays |
+//! | [`reports`] | a node's own reports: to all nodes of a small fleet, otherwise to relays |
+//! | [`incoming`] | handling of reports of other nodes and of other zones' relays |
+//! | [`relay_forwarding`] | which nodes report to a relay, and which placements it has yet to forward |
+//! | [`relay`] | the task of a relay: when it reports to which nodes |
+//! | `relay_contents` | the contents of its reports |
+//! | [`followed_relays`], [`follower`] | the state of the relays that a node follows, and the handling of their reports |
+//! | [`snapshot`] | transfer of configuration and engines to followers over TCP |
+//! | [`weights_reports`] | reports of the newest weights, with the age of the proof |
+//! | [`weights_exchange`] | which of these reports were sent and received |
+//! | [`quarantine_reports`] | reports of requests during which engines terminated |
+//! | [`engine_signals`] | broadcast of the signals that engines set in answers |
+//! | [`engine_limits`] | rate limits that engines advertise, and the tokens for them |
+//! | [`token_requests`] | pending requests for tokens of such engines |
+//! | [`outbox`] | queue of messages from tasks without the socket |
+//! | `receivers` | receivers of changes that concern all nodes |
+//! | [`limits`] | tenant usage, and the levels of the tenants' limits |
+//! | [`messages`], [`relay_messages`], [`limit_messages`], [`rollout_messages`], [`weights_messages`], [`quarantine_messages`], [`engine_limit_messages`], [`engine_signal_messages`] | encoding of messages as datagrams |
+//! | [`message_fields`] | fields shared by several kinds of messages |
 //!
 //! ```text
 //! node ── report ──▶ relay ── zone report ──▶ relays of other zones
@@ -83,10 +84,10 @@
 
 /// Largest datagram that is read, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
-/// Pause after the socket failed, in milliseconds.
+/// Pause after a socket error, in milliseconds.
 const RETRY_MS: u64 = 100;
 
-/// Takes in messages of other nodes until the task is dropped.
+/// Receives and handles messages of other nodes until the task is dropped.
 pub async fn receive_messages(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     let mut datagram = vec![0; MAX_DATAGRAM_BYTES];
     loop {
@@ -97,7 +98,7 @@
         let message = match decode(&datagram[..length]) {
             Ok(message) => message,
             Err(error) => {
-                slog::debug!(gateway.log, "datagram is no message";
+                slog::debug!(gateway.log, "invalid datagram from a peer";
                     "from" => from.to_string(), "error" => error.to_string());
                 continue;
             }
--- a/crates/gateway/src/peers/outbox.rs
+++ b/crates/gateway/src/peers/outbox.rs
@@ -1,14 +1,14 @@
-//! Messages to other nodes from tasks that do not have the socket.
+//! Queue of messages to other nodes from tasks that do not have the socket.
 
 use super::messages::{encode, PeerMessage};
 use smol::net::UdpSocket;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Messages that wait to be sent, at most: the socket takes one within microseconds.
+/// Maximum number of queued messages: the socket accepts one within microseconds.
 const MAX_WAITING: usize = 1_024;
 
-/// Where such messages are put.
+/// The queue of these messages.
 #[derive(Debug)]
 pub struct Outbox {
     sender: async_channel::Sender<(SocketAddr, Vec<u8>)>,
@@ -23,16 +23,16 @@
 }
 
 impl Outbox {
-    /// Has a message sent, without a wait. One that finds no place is as good as lost on its
-    /// way, which whoever sends it has to bear anyhow.
+    /// Queues a message without waiting. When the queue is full the message is dropped,
+    /// like a datagram that is lost on its way, which senders have to tolerate anyway.
     pub fn put(&self, to: SocketAddr, message: &PeerMessage) {
         let _ = self.sender.try_send((to, encode(message)));
     }
 
-    /// Sends what is put here until the task is dropped.
+    /// Sends the queued messages until the task is dropped.
     pub async fn send_all(&self, socket: Arc<UdpSocket>) {
         while let Ok((to, datagram)) = self.receiver.recv().await {
-            // A message that cannot be sent is as good as a lost one.
+            // A message that cannot be sent is treated like a lost one.
             let _ = socket.send_to(&datagram, to).await;
         }
     }
--- a/crates/gateway/src/peers/quarantine_messages.rs
+++ b/crates/gateway/src/peers/quarantine_messages.rs
@@ -1,4 +1,4 @@
-//! Requests under which engines ended, as messages.
+//! Requests during which engines terminated, as messages.
 
 use super::message_fields::{encode_age, read_age};
 use ploverlift_balancing::peer_loads::{EngineTag, PeerId};
@@ -10,7 +10,7 @@
 use ploverlift_routing::software::SoftwareVersion;
 use ploverlift_wire::peers;
 
-/// What a node tells of requests under which engines ended.
+/// Report of a node on requests during which engines terminated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuarantineReport {
     /// The sender.
@@ -61,7 +61,7 @@
     }
 }
 
-/// Reads a request; of lists that are not equally long, as many as the shorter has.
+/// Reads a request. Of lists of unequal length, excess entries are ignored.
 fn read_request(message: &peers::QuarantinedRequest) -> ReportedRequest {
     let ages = message.begun_ages.iter().zip(&message.ended_ages);
     let ends = message.ended.iter().zip(ages);
--- a/crates/gateway/src/peers/quarantine_reports.rs
+++ b/crates/gateway/src/peers/quarantine_reports.rs
@@ -1,8 +1,9 @@
-//! Telling the other nodes of requests under which engines ended.
+//! Broadcast of requests during which engines terminated.
 //!
-//! Nothing is sent while there are none. Whoever finds something out tells it at once, and
-//! twice again: datagrams are lost. Relays pass on what they hear. What is refused is told
-//! again in turn for as long as it is, so that a node that joins, or was cut off, hears of it.
+//! Nothing is sent while there are none. The node that finds something out reports it at
+//! once and repeats it twice, since datagrams may be lost. Relays forward what they
+//! receive. Refused requests are repeated in rotation for as long as they are refused, so
+//! that a node that joins, or was cut off, learns of them.
 
 use super::messages::{encode, PeerMessage};
 use super::quarantine_messages::QuarantineReport;
@@ -17,16 +18,18 @@
 use smol::net::UdpSocket;
 use std::sync::Arc;
 
-/// Longest time between two reports while there is something to tell, in milliseconds.
+/// Maximum interval between two reports while there is something to report, in
+/// milliseconds.
 const REPORT_PERIOD_MS: u64 = 250;
-/// Shortest time between two reports, in milliseconds.
+/// Minimum interval between two reports, in milliseconds.
 const MIN_PERIOD_MS: u64 = 5;
-/// Periods after which what is refused is told again, though nothing has changed.
+/// Number of periods after which refused requests are repeated, though nothing has changed.
 const PERIODS_PER_REFUSED: u64 = 16;
-/// Requests in one datagram: with eight ends each it stays under 1,200 bytes.
+/// Maximum number of requests in one datagram: with eight terminated engines each it stays
+/// under 1,200 bytes.
 const REQUESTS_PER_DATAGRAM: usize = 6;
 
-/// Reports until the task is dropped.
+/// Sends reports until the task is dropped.
 pub async fn report_quarantine(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     let mut period_began = gateway.clock.now();
     let mut periods: u64 = 0;
@@ -71,7 +74,7 @@
     }
 }
 
-/// Takes in what another node tells.
+/// Applies the report of another node.
 pub fn handle_quarantine_report(gateway: &Gateway, report: &QuarantineReport) {
     let own = PeerId::of(&gateway.settings().node.name);
     let now = gateway.clock.now();
--- a/crates/gateway/src/peers/receivers.rs
+++ b/crates/gateway/src/peers/receivers.rs
@@ -1,5 +1,5 @@
-//! Whom news that concerns all nodes goes to: everybody in a small fleet, else the relays,
-//! which pass it on.
+//! Receivers of changes that concern all nodes: all nodes of a small fleet, otherwise the
+//! relays, which forward them.
 
 use super::roles::{peer_relays, role, Role};
 use crate::state::Gateway;
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// The nodes that this one tells of news.
+/// The nodes to which this node sends such changes.
 pub(super) fn broadcast_receivers(gateway: &Gateway, now: Millis) -> BTreeSet<SocketAddr> {
     let own = PeerId::of(&gateway.settings().node.name);
     let role = role(gateway, now);
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -1,9 +1,9 @@
-//! A node that relays: it collects the reports of its zone's nodes and tells them
-//! the sums of the whole fleet, what it reads from the store, and where prompts are
+//! The task of a relay. A relay collects the reports of the nodes of its zone and sends
+//! them the sums of the whole fleet, what it reads from the store, and where prompts are
 //! cached. Relays of different zones exchange the sums of their zones.
 //!
-//! Each node sends and receives the same number of reports however many there are.
-//! A relay's own cost grows with its zone, and with the number of zones.
+//! The number of reports that a node sends and receives does not depend on the size of the
+//! fleet. The cost of a relay grows with the size of its zone and with the number of zones.
 
 use super::address_book::PeerAddress;
 use super::limits::{send_levels, UseStream};
@@ -23,13 +23,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Time between two reports to the nodes of the zone, in milliseconds.
+/// Interval between two reports to the nodes of the zone, in milliseconds.
 const RELAY_PERIOD_MS: u64 = 100;
-/// Time between two looks of a node that does not relay at whether it should, in
-/// milliseconds: relays are in place long before they are needed.
+/// Interval at which a node that does not relay checks its role, in milliseconds: relays
+/// have to be in place before they are needed.
 const ROLE_POLL_MS: u64 = 250;
-/// Shortest time between two reports, in milliseconds: news that cannot wait, as
-/// that an engine is about to load weights, goes out at once, several together.
+/// Minimum interval between two reports, in milliseconds. An urgent change, such as an
+/// engine that is about to load weights, is sent at once; changes within this interval are
+/// sent together.
 const MIN_PERIOD_MS: u64 = 15;
 
 /// The task of a node that relays.
@@ -43,7 +44,7 @@
 }
 
 impl Relay {
-    /// A relay that has told nothing yet.
+    /// A relay that has not reported yet.
     pub fn new(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) -> Self {
         let contents = RelayContents::new(Arc::clone(&gateway));
         Self {
@@ -56,14 +57,14 @@
         }
     }
 
-    /// Reports whenever this node relays, until the task is dropped.
+    /// Sends reports while this node is a relay, until the task is dropped.
     pub async fn run(mut self) {
         let gateway = Arc::clone(&self.gateway);
         let mut report_due = gateway.report_due.listen();
         loop {
             sleep(MIN_PERIOD_MS).await;
             within(RELAY_PERIOD_MS - MIN_PERIOD_MS, report_due).await;
-            // What becomes urgent while reports are sent goes out with the next ones.
+            // Changes that become urgent while reports are sent go out with the next ones.
             report_due = gateway.report_due.listen();
             let now = gateway.clock.now();
             self.update_role(now);
@@ -98,7 +99,7 @@
         }
     }
 
-    /// What engines read for this node itself.
+    /// Queues placements that result from the requests of this node itself.
     fn queue_own_placements(&mut self) {
         let mut beliefs = self.gateway.beliefs();
         let (placements, next) = beliefs
@@ -115,10 +116,10 @@
         }
     }
 
-    /// Tells the nodes of the zone. A node takes what is told to be as old as its report
-    /// that is answered, and the told age more. So the ages are told as of a time after
-    /// the reports were looked up: one that comes later, as while this process stands
-    /// still, is answered by the next reports.
+    /// Sends the reports to the nodes of the zone. A receiver takes the data to be as old
+    /// as its own included report plus the age in the report. The ages are therefore
+    /// computed after the included reports were looked up: a report that arrives later, for
+    /// example while this process is suspended, is included only in the next reports.
     async fn report_to_zone(&mut self) {
         let receivers: Vec<(SocketAddr, IncludedReport)> = {
             let beliefs = self.gateway.beliefs();
@@ -157,7 +158,7 @@
         for report in self.contents.zone_reports(now) {
             let datagram = encode(&PeerMessage::ZoneReport(report));
             for receiver in &receivers {
-                // Loads are told again; a lost placement costs a worse choice.
+                // Loads are sent again; a lost placement causes a worse choice of engine.
                 let _ = self.socket.send_to(&datagram, receiver).await;
             }
         }
--- a/crates/gateway/src/peers/relay_contents.rs
+++ b/crates/gateway/src/peers/relay_contents.rs
@@ -1,6 +1,6 @@
-//! What the reports of a relay contain: the sums of the whole fleet, what it reads from
-//! the store and where prompts are cached for the nodes of its zone, and the sums of its
-//! zone for the relays of other zones.
+//! Contents of the reports of a relay: for the nodes of its zone the sums of the whole
+//! fleet, what it reads from the store and where prompts are cached; for relays of other
+//! zones the sums of its zone.
 
 use super::messages::{placement_capacity, PeerReport, MAX_PLACEMENTS};
 use super::relay_messages::{
@@ -24,48 +24,49 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// Engines up to which a relay tells all loads that changed in each report: they fit two
-/// datagrams. With more, those of other zones are told now and then, so that what a
-/// relay sends to each node stays bounded.
+/// Number of engines up to which a relay includes all changed loads in each report: they
+/// fit two datagrams. With more engines, loads of other zones are included only every
+/// [`PERIODS_PER_REMOTE_LOADS`] reports, which bounds the bytes sent to each node.
 const MAX_ENGINES_REPORTED_AT_ONCE: usize = 2 * MAX_RELAYED_LOADS;
-/// Reports in which changed loads at engines of other zones are told once where there
-/// are more engines: as measured at 153 and 240 engines.
+/// Number of reports in which changed loads on engines of other zones are sent once in a
+/// large fleet, as measured with 153 and 240 engines.
 const PERIODS_PER_REMOTE_LOADS: u64 = 4;
-/// Reports in which each engine's load is told at least once: it repairs what was
-/// lost.
+/// Number of reports in which the load of each engine is sent at least once, which repairs
+/// lost datagrams.
 const PERIODS_PER_REFRESH: u64 = 16;
-/// Periods in which a relay names all nodes of its zone, in a small zone.
+/// Periods in which a relay lists all nodes of its zone once, in a zone of up to 480 nodes.
 const PERIODS_PER_MEMBERS: u64 = 10;
-/// Nodes that one report names: with everything else in it they fit the buffer of a
-/// receiver (2 KB), which those of a zone of 200 nodes do not.
+/// Nodes listed in one report: with the other fields they fit the receive buffer of 2 KB,
+/// which the list of a zone of 200 nodes would exceed.
 pub const MAX_LISTED_MEMBERS: usize = 48;
-/// Time from its beginning after which a relay names the nodes of its zone, in
-/// milliseconds: those that lost their relays report to it after 0.7 s, at least every
-/// 0.3 s. Whoever is named few others would take over their work.
+/// Time after a node became a relay before it lists the nodes of its zone, in milliseconds:
+/// nodes that lost their relays report to it after 0.7 s, and at least every 0.3 s. A node
+/// that received a list with few of the others would take over the work of the missing
+/// ones.
 const MEMBER_LIST_DELAY_MS: u64 = 1_500;
-/// Time for which a change of an engine is told again with each report, in
-/// milliseconds: three reports, so that two may be lost.
+/// Time for which a change of an engine is repeated in each report, in milliseconds: three
+/// reports, so that two may be lost.
 const CHANGE_REPEAT_MS: u64 = 320;
 
-/// What a relay has told, and so what it has yet to tell.
+/// State of the reports of a relay: which loads were reported already.
 pub(super) struct RelayContents {
     gateway: Arc<Gateway>,
     own: PeerId,
     zone: ZoneTag,
     reported: HashMap<EngineTag, EngineLoad>,
     period: u64,
-    /// Since when this node relays.
+    /// When this node became a relay.
     relays_since: Option<Millis>,
 }
 
-/// Totals that one report tells, in the pieces of single datagrams.
+/// The loads and placements of one datagram.
 struct Portion {
     loads: Vec<(EngineTag, EngineLoad)>,
     placements: Vec<Placement>,
 }
 
 impl RelayContents {
-    /// Those of a relay that has told nothing yet.
+    /// Contents for a relay that has not reported yet.
     pub(super) fn new(gateway: Arc<Gateway>) -> Self {
         let own = PeerId::of(&gateway.settings().node.name);
         let zone = ZoneTag::of(&gateway.zone);
@@ -84,24 +85,24 @@
         self.zone
     }
 
-    /// Number of the present reports, from 1.
+    /// Number of the current period, from 1.
     pub(super) fn period(&self) -> u64 {
         self.period
     }
 
-    /// The reports that are put together from now on are new ones.
+    /// Starts the next reporting period.
     pub(super) fn begin_period(&mut self, now: Millis) {
         self.period += 1;
         self.relays_since.get_or_insert(now);
     }
 
-    /// What was told does not count any more, as this node does not relay.
+    /// Resets the reported state, as this node does not relay.
     pub(super) fn reset_reported(&mut self) {
         self.reported.clear();
         self.relays_since = None;
     }
 
-    /// The reports of this period; more than one where one datagram does not do.
+    /// The reports of this period, one for each datagram.
     pub(super) fn next_reports(&mut self, now: Millis) -> Vec<RelayReport> {
         let gateway = Arc::clone(&self.gateway);
         let mut beliefs = gateway.beliefs();
@@ -118,7 +119,7 @@
         let rollouts = &mut beliefs.rollouts;
         let mut rollout_news = rollouts.relay_broadcast(self.reporter(), is_repeat_due, now);
         if rollouts.is_any_open() {
-            // The counts fill a datagram of their own.
+            // The counts of rollouts need a datagram of their own.
             let mut report = header.clone();
             report.loads.sequence = self.next_sequence();
             report.changes_after = beliefs.catalogue_log.through();
@@ -151,7 +152,7 @@
             }
             let mut report = header.clone();
             if reported.is_some() {
-                // With the nodes of a large zone it would not fit one datagram.
+                // Together with the nodes of a large zone it would not fit one datagram.
                 report.loads.members.clear();
             }
             report.stores.extend(reported);
@@ -166,14 +167,15 @@
             }
             if let Some(part) = part {
                 if part.through < beliefs.catalogue_log.through() {
-                    // Whoever has these changes alone lacks those of the reports after.
+                    // A node with only these changes still lacks those of the following
+                    // reports, so this report must not prove that the engines are complete.
                     report.engines_age_ms = None;
                 }
                 report.changes_after = part.after;
                 report.changes_through = part.through;
                 report.changes = part.changes;
             } else {
-                // The changes stand in the reports before.
+                // The changes are in the previous reports.
                 report.changes_after = beliefs.catalogue_log.through();
                 report.changes_through = report.changes_after;
             }
@@ -181,8 +183,8 @@
         }
     }
 
-    /// Puts what is known of the newest weights into a report that has room, or into
-    /// reports of its own.
+    /// Adds the known newest weights to a report with enough space, or to reports of their
+    /// own.
     fn add_weights(
         &self,
         reports: &mut Vec<RelayReport>,
@@ -210,7 +212,7 @@
         sequence.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Loads that changed and placements to pass on, in portions of one datagram.
+    /// Changed loads and queued placements, split into portions of one datagram.
     fn portions(&mut self, beliefs: &mut Beliefs, lost: &[LostEngine]) -> Vec<Portion> {
         let loads = self.loads_to_report(beliefs);
         let mut loads = loads.chunks(MAX_RELAYED_LOADS);
@@ -264,7 +266,7 @@
         loads
     }
 
-    /// What all reports of a period have in common.
+    /// Fields common to all reports of a period.
     fn header(&self, beliefs: &Beliefs, now: Millis) -> RelayReport {
         let peers = || beliefs.peer_loads.peers();
         let mut zones: Vec<ZoneTag> = peers().map(|(_, zone)| zone).chain([self.zone]).collect();
@@ -302,7 +304,7 @@
         }
     }
 
-    /// The nodes of the zone that the reports of this period name: a part of them.
+    /// The part of the nodes of the zone that the reports of this period list.
     fn listed_members(&self, beliefs: &Beliefs) -> Vec<PeerId> {
         let peers = beliefs.peer_loads.peers();
         let near = peers.filter(|(_, zone)| *zone == self.zone);
@@ -310,7 +312,7 @@
         members_of_period(&members, self.period).to_vec()
     }
 
-    /// Whether all nodes of the zone have had the time to report here.
+    /// Whether all nodes of the zone have had enough time to report to this relay.
     fn has_complete_members(&self, now: Millis) -> bool {
         let since = self.relays_since;
         since.is_some_and(|since| now.since(since) >= MEMBER_LIST_DELAY_MS)
@@ -323,8 +325,8 @@
         }
     }
 
-    /// The sums of this zone, and where prompts were read first; what is told of open
-    /// rollouts fills datagrams of its own.
+    /// Reports to the relays of other zones: the sums of this zone, and where prompts were
+    /// cached first. The data on open rollouts needs datagrams of its own.
     pub(super) fn zone_reports(&self, now: Millis) -> Vec<PeerReport> {
         let mut beliefs = self.gateway.beliefs();
         let lost = beliefs.losses.of_zone(beliefs.engines.len(), now);
@@ -357,7 +359,7 @@
         reports
     }
 
-    /// What all reports of a period to other zones have in common.
+    /// Fields common to all reports of a period to other zones.
     fn zone_header(&self, beliefs: &Beliefs, lost: &[LostEngine], now: Millis) -> PeerReport {
         PeerReport {
             loads: LoadReport {
@@ -391,7 +393,8 @@
     }
 }
 
-/// Requests that are refused everywhere, once it is known what the store has of them.
+/// Number of requests that are refused on all nodes; `None` until the refusals in the store
+/// are known.
 fn refused_requests(beliefs: &Beliefs) -> Option<u32> {
     let quarantine = &beliefs.quarantine;
     quarantine
@@ -399,7 +402,8 @@
         .then(|| quarantine.refused() as u32)
 }
 
-/// Engines that load weights by the order of this node or of those that count.
+/// Engines that load weights on the order of this node or of nodes in the zones that
+/// `counts` selects.
 fn loading(beliefs: &Beliefs, counts: impl Fn(ZoneTag) -> bool) -> Vec<EngineTag> {
     let mut loading = beliefs.peer_loads.loading_of(counts);
     loading.extend(beliefs.loading.iter().map(EngineTag::of));
@@ -408,8 +412,9 @@
     loading
 }
 
-/// The part of a zone's nodes that the reports of a period name. Within ten periods, or in
-/// zones of more than 480 nodes one more for each 48, all are named.
+/// The part of a zone's nodes that the reports of a period list. All nodes are listed
+/// within ten periods, and in zones of more than 480 nodes within one more period for each
+/// further 48.
 pub fn members_of_period(members: &[PeerId], period: u64) -> &[PeerId] {
     let parts = members.len().div_ceil(MAX_LISTED_MEMBERS) as u64;
     let part = period % parts.max(PERIODS_PER_MEMBERS);
--- a/crates/gateway/src/peers/relay_forwarding.rs
+++ b/crates/gateway/src/peers/relay_forwarding.rs
@@ -1,5 +1,4 @@
-//! What a relay owes to those who report to it: whom it answers, and which placements
-//! it has yet to pass on.
+//! State of a relay: which nodes report to it, and which placements it has yet to forward.
 
 use super::message_fields::IncludedReport;
 use super::store_contents::StoreChanges;
@@ -9,16 +8,16 @@
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Time after which a node that reports no longer is not reported to, in
-/// milliseconds: as long as its loads count.
+/// Time after which a silent node no longer gets reports, in milliseconds: as long as its
+/// loads count.
 const REPORTER_SILENCE_MS: u64 = 1_800;
-/// Time for which another zone's relay that reported here is reported to, in
+/// Time for which a relay of another zone gets reports after its last report, in
 /// milliseconds.
 const ZONE_REPORTER_SILENCE_MS: u64 = 1_000;
-/// Engines that keep a part of which other zones are told: one to fetch it from, and
-/// two more in case that one drops it.
+/// Engines reported to other zones for each cached part: one to fetch it from, and two more
+/// in case the first evicts it.
 pub(super) const MAX_REPORTED_HOLDERS: usize = 3;
-/// Placements that wait to be passed on; the oldest give way.
+/// Maximum number of queued placements; the oldest are discarded.
 pub(super) const MAX_WAITING_PLACEMENTS: usize = 512;
 
 /// A node that reports to this one.
@@ -29,25 +28,25 @@
     heard_at: Millis,
 }
 
-/// What this node owes to those who take it for a relay.
+/// The nodes that report to this relay, and what it forwards to them.
 #[derive(Clone, Debug, Default)]
 pub struct RelayForwarding {
     reporters: HashMap<SocketAddr, Reporter>,
     zone_reporters: HashMap<SocketAddr, Millis>,
     for_zone: VecDeque<Placement>,
     for_other_zones: VecDeque<Placement>,
-    /// Changes of KV cache stores of other regions, to be told to the zone.
+    /// Changes of KV cache stores of other regions, to be reported to the zone.
     pub store_changes: StoreChanges,
 }
 
 impl RelayForwarding {
-    /// Whether any node takes this one for a relay.
+    /// Whether any node uses this one as a relay.
     pub fn has_reporters(&self, now: Millis) -> bool {
         let mut reporters = self.reporters.values();
         reporters.any(|reporter| now.since(reporter.heard_at) < REPORTER_SILENCE_MS)
     }
 
-    /// Nodes that this one reports to, with the last report of each that it has.
+    /// Nodes to which this relay reports, with the last report received from each.
     pub(super) fn receivers(&self) -> Vec<(SocketAddr, IncludedReport)> {
         let reporters = self.reporters.iter();
         reporters
@@ -55,7 +54,7 @@
             .collect()
     }
 
-    /// Nodes that this one tells what is left of limits.
+    /// Nodes that receive the levels of tenant limits.
     pub(super) fn level_receivers(&self) -> Vec<(SocketAddr, PeerId)> {
         let reporters = self.reporters.iter();
         reporters
@@ -68,17 +67,17 @@
         self.zone_reporters.keys().copied()
     }
 
-    /// Placements to tell the nodes of the zone next, at most so many.
+    /// Takes at most `count` placements from the queue for the nodes of the zone.
     pub(super) fn next_for_zone(&mut self, count: usize) -> Vec<Placement> {
         take_up_to(&mut self.for_zone, count)
     }
 
-    /// Placements to tell other zones next, at most so many.
+    /// Takes at most `count` placements from the queue for other zones.
     pub(super) fn next_for_other_zones(&mut self, count: usize) -> Vec<Placement> {
         take_up_to(&mut self.for_other_zones, count)
     }
 
-    /// A node takes this one for a relay; its report is taken in.
+    /// Records a node that uses this one as a relay, and its last applied report.
     pub(super) fn note_reporter(
         &mut self,
         from: SocketAddr,
@@ -94,12 +93,12 @@
         self.reporters.insert(from, reporter);
     }
 
-    /// Another zone's relay reports here.
+    /// Records a relay of another zone that reports to this node.
     pub(super) fn note_zone_reporter(&mut self, from: SocketAddr, now: Millis) {
         self.zone_reporters.insert(from, now);
     }
 
-    /// Forgets those who report no longer.
+    /// Removes nodes that no longer report.
     pub(super) fn expire(&mut self, now: Millis) {
         self.reporters
             .retain(|_, reporter| now.since(reporter.heard_at) < REPORTER_SILENCE_MS);
@@ -107,9 +106,9 @@
             .retain(|_, heard_at| now.since(*heard_at) < ZONE_REPORTER_SILENCE_MS);
     }
 
-    /// Passes a placement on to the nodes of the zone, and to other zones what they
-    /// need: a few engines that have the part, not all of them. `others` are engines
-    /// that still have what this one dropped.
+    /// Queues a placement for the nodes of the zone and, where needed, for other zones:
+    /// those need only a few engines with the part, not all of them. `others` are engines
+    /// that still cache a part that this engine evicted.
     pub(super) fn forward_placement(
         &mut self,
         placement: Placement,
--- a/crates/gateway/src/peers/relay_messages.rs
+++ b/crates/gateway/src/peers/relay_messages.rs
@@ -1,4 +1,4 @@
-//! What relays tell the nodes of their zone, as messages.
+//! Reports of relays to the nodes of their zone, as messages.
 
 use super::message_fields::{
     encode_age, era_plus_one, load_message, loaded_message, nonzero, placement_message, read_age,
@@ -22,14 +22,14 @@
 use ploverlift_wire::peers;
 use std::collections::BTreeMap;
 
-/// Loads in one datagram of a relay. With the largest number of placements and
-/// changes it stays within one unfragmented datagram.
+/// Maximum number of loads in one datagram of a relay. With the maximum number of
+/// placements and changes it stays within one unfragmented datagram.
 pub const MAX_RELAYED_LOADS: usize = 50;
-/// Loads in a datagram of a relay that tells of weights too.
+/// Maximum number of loads in a datagram of a relay that also reports weights.
 const MAX_LOADS_BESIDE_WEIGHTS: usize = 20;
-/// Placements in one datagram of a relay.
+/// Maximum number of placements in one datagram of a relay.
 pub const MAX_RELAYED_PLACEMENTS: usize = 12;
-/// Changes of engines in one datagram of a relay.
+/// Maximum number of changes of engines in one datagram of a relay.
 pub const MAX_RELAYED_CHANGES: usize = 4;
 
 /// A change of one engine, as a relay read it from the store.
@@ -39,12 +39,12 @@
     pub instance: InstanceId,
     /// The store's revision of the change.
     pub revision: u64,
-    /// The record; nothing when the engine is gone.
+    /// The record; `None` when the engine is gone.
     pub record: Option<EngineRecord>,
 }
 
 impl EngineChange {
-    /// The same with its revision in an era of the store.
+    /// The same change with its revision in an era of the store.
     fn in_era(mut self, era: StoreEra) -> Self {
         self.revision = revision_in_era(self.revision, era);
         if let Some(record) = &mut self.record {
@@ -54,14 +54,14 @@
     }
 }
 
-/// What a relay tells a node of its zone.
+/// Report of a relay to a node of its zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RelayReport {
     /// Loads of all nodes, and the nodes themselves.
     pub loads: RelayedReport,
-    /// Parts of prompts that engines have read or dropped.
+    /// Parts of prompts that engines have cached or evicted.
     pub placements: Vec<Placement>,
-    /// Engines that loaded weights a short time ago.
+    /// Engines that recently loaded weights.
     pub loaded: Vec<LoadedWeights>,
     /// Newest known renewal of the lease on orders.
     pub lease: Option<LeaseRenewal>,
@@ -73,29 +73,29 @@
     pub proof_age_ms: Option<u64>,
     /// Age of the relay's last proof that it knows all engines, in milliseconds.
     pub engines_age_ms: Option<u64>,
-    /// What the relay knows of the newest weights; nothing where another report tells.
+    /// The newest weights, as the relay knows them; empty when another report has them.
     pub weights: WeightsNews,
     /// Number of the change before the first of `changes`.
     pub changes_after: u64,
-    /// Number of the last change that the report tells.
+    /// Number of the last change in the report.
     pub changes_through: u64,
     /// Changes of the engines.
     pub changes: Vec<EngineChange>,
-    /// The receiver's last report that the relay has taken in.
+    /// The last report of the receiver that the relay has applied.
     pub included: Option<IncludedReport>,
-    /// Orders of rollouts; nothing when this report does not tell.
+    /// Rollout data; `None` when this report has none.
     pub rollouts: Option<RolloutNews>,
-    /// What KV cache stores of other regions keep.
+    /// Contents of KV cache stores of other regions.
     pub stores: Vec<StoreUpdate>,
-    /// Engines that are lost, as all nodes have found.
+    /// Engines that the nodes of the fleet have found to be lost.
     pub lost: Vec<LostEngine>,
-    /// Requests that are refused everywhere; nothing while the relay does not know what the
-    /// store has of them.
+    /// Number of requests that are refused on all nodes; `None` while the relay does not
+    /// know the refusals in the store.
     pub refused_requests: Option<u32>,
 }
 
 impl RelayReport {
-    /// Whether it has room for [`MAX_REPORTED_VERSIONS`] beside what it tells already.
+    /// Whether the report has enough space left for [`MAX_REPORTED_VERSIONS`].
     pub fn has_space_for_weights(&self) -> bool {
         let is_half_empty = self.loads.loads.len() <= MAX_LOADS_BESIDE_WEIGHTS;
         let is_brief = self.changes.is_empty() && self.lost.is_empty() && self.stores.is_empty();
@@ -104,7 +104,7 @@
 }
 
 impl RelayReport {
-    /// The same with all its revisions in an era of the store.
+    /// The same report with all its revisions in an era of the store.
     pub fn in_era(mut self, era: StoreEra) -> Self {
         let changes = self.changes.into_iter();
         self.changes = changes.map(|change| change.in_era(era)).collect();
@@ -147,8 +147,8 @@
     }
 }
 
-/// What follows a report's common bytes for one receiver: messages of one kind
-/// that stand one after the other are read as one.
+/// The part of a report for one receiver. It is appended to the common bytes: concatenated
+/// messages of one kind are merged when they are read.
 pub fn included_message(included: IncludedReport) -> peers::RelayReport {
     peers::RelayReport {
         included_life: included.life,
@@ -197,7 +197,7 @@
     }
 }
 
-/// Reads loads; of lists that are not equally long, as many as the shortest has.
+/// Reads loads. Of lists of unequal length, excess entries are ignored.
 fn read_loads(message: &peers::EngineLoads) -> Vec<(EngineTag, EngineLoad)> {
     let numbers = message.requests.iter().zip(&message.waiting_tokens);
     let loads = message.engines.iter().zip(numbers);
@@ -241,8 +241,8 @@
     }
 }
 
-/// Reads a change of an engine; nothing when its address is none, as from a
-/// later version of the protocol.
+/// Reads a change of an engine; `None` when its address is invalid, as it may be in a later
+/// version of the protocol.
 pub fn read_change(message: &peers::EngineChange) -> Option<EngineChange> {
     let instance = InstanceId(message.instance.clone());
     let revision = read_revision(message.revision, message.revision_era);
@@ -276,7 +276,7 @@
     })
 }
 
-/// The newest version of each model alone: of a model the versions rise.
+/// Only the newest version of each model: the versions of a model are in ascending order.
 fn target_messages(weights: &WeightsNews) -> Vec<peers::TargetVersion> {
     let newest: BTreeMap<&str, u64> = weights
         .versions
@@ -292,8 +292,8 @@
     targets.collect()
 }
 
-/// What a relay knows of the newest weights. One of an earlier release names versions
-/// without a proof.
+/// The newest weights, as a relay knows them. A relay of an earlier release reports
+/// versions without a proof.
 fn read_relayed_weights(message: &peers::RelayReport) -> WeightsNews {
     if let Some(weights) = &message.weights {
         return read_weights(weights);
--- a/crates/gateway/src/peers/reports.rs
+++ b/crates/gateway/src/peers/reports.rs
@@ -1,6 +1,6 @@
-//! Sending reports. In a small fleet: often to the nodes of the zone, which send to
-//! the same engines, and less often to those of other zones, where bytes are dear.
-//! In a large one: to the relays of the zone alone.
+//! Sending of reports. In a small fleet: often to the nodes of the zone, which send
+//! requests to the same engines, and less often to nodes of other zones, where traffic is
+//! expensive. In a large fleet: only to the relays of the zone.
 
 use super::address_book::Reach;
 use super::limits::{advance_accounts, UseStream};
@@ -20,25 +20,25 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// Shortest time between two reports, in milliseconds.
+/// Minimum interval between two reports, in milliseconds.
 const REPORT_PERIOD_MS: u64 = 40;
-/// Datagrams that a node sends within its zone in that time. With more peers it
-/// reports less often, so what reports cost stays the same however large the
+/// Datagrams that a node sends within its zone in [`REPORT_PERIOD_MS`]. With more peers it
+/// reports less often, so that the cost of reports does not depend on the size of the
 /// fleet.
 const OWN_ZONE_DATAGRAMS_PER_PERIOD: usize = 8;
-/// The same for nodes of other zones.
+/// As [`OWN_ZONE_DATAGRAMS_PER_PERIOD`], for nodes of other zones.
 const OTHER_ZONES_DATAGRAMS_PER_PERIOD: usize = 4;
-/// Shortest time between two reports to relays, in milliseconds: a little less than
-/// a relay's own period.
+/// Minimum interval between two reports to relays, in milliseconds: a little less than the
+/// period of a relay.
 const MIN_RELAY_INTERVAL_MS: u64 = 80;
-/// Longest time between two reports to relays, in milliseconds: the age of what a
-/// relay tells counts from a report that it answers.
+/// Maximum interval between two reports to relays, in milliseconds: the age of the data in
+/// the report of a relay counts from a report of this node that the relay includes.
 const MAX_RELAY_INTERVAL_MS: u64 = 300;
-/// Time between two looks at whether this node reports to other zones by itself, in
+/// Interval at which this node checks whether it reports to other zones itself, in
 /// milliseconds.
 const ROLE_POLL_MS: u64 = 500;
 
-/// Reports to the nodes of the zone, or of other zones.
+/// A stream of reports to the nodes of the zone, or of other zones.
 pub struct ReportStream {
     gateway: Arc<Gateway>,
     socket: Arc<UdpSocket>,
@@ -52,7 +52,7 @@
 }
 
 impl ReportStream {
-    /// A stream that has reported nothing yet.
+    /// A stream that has not reported yet.
     pub fn new(gateway: Arc<Gateway>, socket: Arc<UdpSocket>, reach: Reach) -> Self {
         let sender = PeerId::of(&gateway.settings().node.name);
         let zone = ZoneTag::of(&gateway.zone);
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Reports until the task is dropped.
+    /// Sends reports until the task is dropped.
     pub async fn run(mut self) {
         loop {
             let due = self.gateway.report_due.listen();
@@ -80,7 +80,7 @@
                         self.report_to_relays().await;
                         within(MIN_RELAY_INTERVAL_MS, due).await;
                     }
-                    // Relays do.
+                    // Relays report to other zones.
                     Reach::OtherZones => sleep(ROLE_POLL_MS).await,
                 }
                 continue;
@@ -132,7 +132,7 @@
         };
         let datagram = encode(&PeerMessage::Report(report));
         for receiver in receivers {
-            // A report that cannot be sent is as good as a lost one.
+            // A report that cannot be sent is treated like a lost one.
             let _ = self.socket.send_to(&datagram, receiver).await;
         }
     }
--- a/crates/gateway/src/peers/roles.rs
+++ b/crates/gateway/src/peers/roles.rs
@@ -1,10 +1,9 @@
-//! Who reads the object store, and who is told by relays.
+//! Roles of nodes: which nodes read the object store, and which follow relays.
 //!
-//! In a small fleet every node reads the store by itself and reports to every
-//! other one. In a large fleet two nodes of each zone relay: they read the store,
-//! collect the reports of their zone, and tell all nodes of the zone. The others
-//! follow them and make no calls of the store, as long as a relay is heard whose
-//! own knowledge is recent enough.
+//! In a small fleet each node reads the store itself and reports to all others. In a large
+//! fleet two nodes of each zone relay: they read the store, collect the reports of their
+//! zone and report to all its nodes. The other nodes follow them and do not call the store
+//! while they receive reports from a relay whose own knowledge is recent enough.
 
 use crate::beliefs::Beliefs;
 use crate::engines_proof::engines_age_limit_ms;
@@ -17,49 +16,49 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Lists of nodes after which the size of the fleet is known where all nodes start
-/// together: they do not see each other in the first ones.
+/// Number of lists of nodes after which the size of the fleet is known when all nodes start
+/// together: the first lists do not contain all of them.
 const LISTS_AT_FIRST_START: u32 = 3;
-/// Time from its start for which a node waits to learn its role and to hear a
-/// relay before it reads the store by itself, in milliseconds: three lists take
-/// 1.5 s, a relay's first report up to 0.3 s more.
+/// Time after its start for which a node waits to learn its role and to receive a report of
+/// a relay before it reads the store itself, in milliseconds: three lists take 1.5 s, the
+/// first report of a relay up to 0.3 s more.
 const START_WAIT_MS: u64 = 2_000;
-/// The same where the fleet was running before.
+/// As [`START_WAIT_MS`], where the fleet was running before.
 const RESTART_WAIT_MS: u64 = 900;
-/// Longest time from its start for which a node waits for relays that are heard and do not
-/// know all engines yet, in milliseconds: reading 20,000 engines takes them 2 s.
+/// Maximum time after its start for which a node waits for live relays that do not know all
+/// engines yet, in milliseconds: reading 20,000 engines takes them 2 s.
 const LONGEST_START_MS: u64 = 6_000;
-/// Time between two looks at whether relays can be followed, in milliseconds. Three
-/// feeds look on each node; with the share of the bound that
-/// knowledge may be old ([`engines_age_limit_ms`]) it leaves 0.25 s of a bound of
-/// 2 s on leaving engines for reading them from the store.
+/// Interval at which a node checks whether relays can be followed, in milliseconds. Three
+/// feeds check on each node. Together with the share of the bound for which knowledge may
+/// be stale ([`engines_age_limit_ms`]) it leaves 0.25 s of a bound of 2 s on leaving
+/// engines for reading them from the store.
 const POLL_PERIOD_MS: u64 = 200;
-/// The same in a node's first moments.
+/// As [`POLL_PERIOD_MS`], while the node is starting.
 const START_POLL_PERIOD_MS: u64 = 15;
-/// Time for which a successful call for the configuration shows that the store can
-/// be reached, in milliseconds.
+/// Time for which a successful call for the configuration proves that the store is
+/// reachable, in milliseconds.
 const REACHABLE_MS: u64 = 1_500;
 
-/// Time after which a relay that tells of no orders is not relied on for them, in
-/// milliseconds: it tells at least once a second.
+/// Time after which a relay that reports no orders is no longer relied on for them, in
+/// milliseconds: it reports them at least once a second.
 const ORDERS_TIMEOUT_MS: u64 = 2_500;
 
-/// What a node does for others.
+/// Role of a node in the exchange of messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
     /// The size of the fleet is not known yet.
     #[default]
     Undecided,
-    /// The fleet is small: it reads the store, and reports to all others.
+    /// The fleet is small: the node reads the store, and reports to all others.
     Direct,
-    /// It reads the store and tells the nodes of its zone.
+    /// The node reads the store and reports to the nodes of its zone.
     Relay,
-    /// It reports to relays and is told by them.
+    /// The node reports to relays and receives their reports.
     Follower,
 }
 
 impl Role {
-    /// Its name in logs.
+    /// Name of the role in logs.
     pub fn name(self) -> &'static str {
         match self {
             Role::Undecided => "undecided",
@@ -70,7 +69,7 @@
     }
 }
 
-/// This node's role now.
+/// The current role of this node.
 pub fn role(gateway: &Gateway, now: Millis) -> Role {
     let settings = gateway.settings();
     if settings.listen.peers.is_none() {
@@ -94,8 +93,8 @@
     Role::Follower
 }
 
-/// The other relays, as a relay knows them: those that the list names, and those that
-/// report here, since the list is up to 10 s old.
+/// The other relays, as a relay knows them: those in the list of nodes, and those that
+/// report to this node, since the list is up to 10 s old.
 pub(super) fn peer_relays(gateway: &Gateway, now: Millis) -> BTreeSet<SocketAddr> {
     let own = PeerId::of(&gateway.settings().node.name);
     let listed = gateway.address_book().other_relays(own, now);
@@ -104,7 +103,7 @@
     listed.into_iter().chain(heard).collect()
 }
 
-/// How this node takes part in what the whole fleet counts.
+/// How this node takes part in the accounting of the fleet.
 pub fn membership(gateway: &Gateway, now: Millis) -> Membership {
     let keeps_accounts = role(gateway, now) != Role::Follower;
     let size = FleetSize {
@@ -118,7 +117,7 @@
     }
 }
 
-/// Lists of nodes after which the size of the fleet is known.
+/// Number of lists of nodes after which the size of the fleet is known.
 pub fn lists_at_start(gateway: &Gateway) -> u32 {
     match gateway.settings().node.is_first_start {
         true => LISTS_AT_FIRST_START,
@@ -126,7 +125,7 @@
     }
 }
 
-/// Whether this node relies on a relay for what is stored.
+/// Whether this node relies on a relay for the contents of the store.
 pub fn relies_on_relay(gateway: &Gateway, now: Millis) -> bool {
     role(gateway, now) == Role::Follower && {
         let limit_ms = engines_age_limit_ms(&gateway.settings());
@@ -135,30 +134,29 @@
     }
 }
 
-/// Whether a relay's answer is on its way, and what this node knows of the engines meanwhile
-/// is not too old, or nothing yet. In a large fleet hundreds of nodes ask their relays at
-/// once; the store could not answer all of them either.
+/// Whether a request to a relay is pending, and what this node knows of the engines
+/// meanwhile is recent enough, or nothing yet. In a large fleet hundreds of nodes send such
+/// requests at once; the store could not answer all of them either.
 fn awaits_engines(beliefs: &Beliefs, limit_ms: u64, now: Millis) -> bool {
     let known_at = beliefs.engines_proof.last_heard().map(|last| last.at);
     let is_recent = known_at.is_none_or(|at| now.since(at) <= limit_ms);
     beliefs.followed.is_fetching(now) && is_recent
 }
 
-/// The age from which a proof of the configuration is too old to go on without
-/// the store, in milliseconds: what is left until keys are refused is enough for
-/// a call or two.
+/// Age from which a proof of the configuration is too old to continue without the store, in
+/// milliseconds: the time until keys are refused then suffices for one or two calls.
 fn stale_proof_ms(key_freshness_limit_ms: u64) -> u64 {
     key_freshness_limit_ms * 3 / 5
 }
 
-/// Whether the proof that the configuration is the newest has grown old.
+/// Whether the proof that the configuration is the newest is stale.
 fn has_stale_proof(gateway: &Gateway, now: Millis) -> bool {
     let limit_ms = key_freshness_limit_ms(&gateway.settings());
     let age_ms = gateway.beliefs().freshness.age_ms(now);
     age_ms.is_none_or(|age_ms| age_ms >= stale_proof_ms(limit_ms))
 }
 
-/// Waits while this node need not read the configuration by itself.
+/// Waits while this node need not read the configuration itself.
 pub async fn wait_while_configuration_is_relayed(gateway: &Gateway) {
     while is_starting(gateway) || is_configuration_relayed(gateway) {
         sleep(poll_period_ms(gateway)).await;
@@ -171,11 +169,11 @@
     relies_on_relay(gateway, now) && !has_stale_proof(gateway, now)
 }
 
-/// Waits while this node need not read engines and target versions by itself. A
-/// follower that has lost its relays asks for these at once, beside the configuration:
-/// the bound on leaving engines leaves no time for one after the other. Where a call
-/// failed, it asks only once the configuration was read: a store that is away is not
-/// asked three times by each node.
+/// Waits while this node need not read engines and target versions itself. A follower that
+/// has lost its relays requests them from the store together with the configuration: the
+/// bound on leaving engines leaves no time for one after the other. After a failed call it
+/// requests them only once the configuration was read, so that an unavailable store does
+/// not get three calls from each node.
 pub async fn wait_while_engines_are_relayed(gateway: &Gateway) {
     while is_starting(gateway) || are_engines_relayed(gateway) || awaits_failing_store(gateway) {
         sleep(poll_period_ms(gateway)).await;
@@ -192,23 +190,24 @@
     relies_on_relay(gateway, gateway.clock.now())
 }
 
-/// Whether relays keep this node's orders of rollouts up to date. A relay of an earlier
-/// release tells none.
+/// Whether relays keep this node's rollout orders up to date. A relay of an earlier release
+/// reports none.
 pub fn are_orders_relayed(gateway: &Gateway) -> bool {
     let now = gateway.clock.now();
     let told_at = gateway.beliefs().rollouts.orders.relay_reported_at();
     relies_on_relay(gateway, now) && told_at.is_some_and(|at| now.since(at) < ORDERS_TIMEOUT_MS)
 }
 
-/// Waits while this node need not read orders of rollouts by itself.
+/// Waits while this node need not read rollout orders itself.
 pub async fn wait_while_orders_are_relayed(gateway: &Gateway) {
     while is_starting(gateway) || are_orders_relayed(gateway) || awaits_store_recovery(gateway) {
         sleep(POLL_PERIOD_MS).await;
     }
 }
 
-/// Whether this node waits until the store is back. Under relays of an earlier release it
-/// does not: they tell the configuration, so nothing else asks the store, and no orders.
+/// Whether this node waits until the store is reachable again. With relays of an earlier
+/// release it does not wait: they report the configuration, so no other call checks the
+/// store, but they report no orders.
 pub fn awaits_store_recovery(gateway: &Gateway) -> bool {
     awaits_store(gateway) && !is_configuration_relayed(gateway)
 }
@@ -220,8 +219,8 @@
     role(gateway, now) == Role::Follower && !is_reached
 }
 
-/// Time between two looks, in milliseconds. All nodes of a zone wait for its relays to
-/// read the store, so those look often until they know that they relay.
+/// Interval of the checks, in milliseconds. All nodes of a zone wait for its relays to read
+/// the store, so these check often until they know that they relay.
 fn poll_period_ms(gateway: &Gateway) -> u64 {
     match is_starting(gateway) {
         true => START_POLL_PERIOD_MS,
@@ -229,7 +228,7 @@
     }
 }
 
-/// Whether this node has just started and may yet hear a relay.
+/// Whether this node has just started and may still receive the first report of a relay.
 fn is_starting(gateway: &Gateway) -> bool {
     let now = gateway.clock.now();
     let wait_ms = match gateway.settings().node.is_first_start {
@@ -241,7 +240,8 @@
     is_new && matches!(role(gateway, now), Role::Undecided | Role::Follower)
 }
 
-/// Whether this node knows no engines, and hears a relay that will.
+/// Whether this node knows no engines yet and receives reports of a relay that will supply
+/// them.
 fn awaits_relay(gateway: &Gateway) -> bool {
     let now = gateway.clock.now();
     let beliefs = gateway.beliefs();
--- a/crates/gateway/src/peers/rollout_messages.rs
+++ b/crates/gateway/src/peers/rollout_messages.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of rollouts, as messages.
+//! Rollout data that nodes exchange, as messages.
 
 use super::message_fields::{read_revision, revision_fields, revision_in_era};
 use crate::leases::LeaseRenewal;
@@ -16,18 +16,18 @@
 use ploverlift_wire::peers;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A short name of a service, the same on all nodes.
+/// A hash of the name of a service, the same on all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceTag(pub u32);
 
 impl ServiceTag {
-    /// The short name of a service.
+    /// The hash of the name of a service.
     pub fn of(service: &ServiceName) -> Self {
         Self(xxh3_64(service.0.as_bytes()) as u32)
     }
 }
 
-/// What a node, a zone or the fleet has counted of one rollout.
+/// Counts of one rollout on a node, in a zone or in the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceCounts {
     /// The service.
@@ -38,41 +38,41 @@
     pub counts: Counts,
 }
 
-/// What a node said to the decider.
+/// Confirmation of a stage by a node, for the decider.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeConfirmation {
     /// The node.
     pub node: PeerId,
     /// The service.
     pub service: ServiceTag,
-    /// What it said; of the rollout 0 when it was heard and said nothing of one.
+    /// Its confirmation; of rollout 0 when the node is live and has confirmed no stage.
     pub confirmation: Confirmation,
-    /// Time since it was heard, in milliseconds.
+    /// Time since its report was received, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What a report of a node or of a zone's relay tells of rollouts; nothing while none
+/// Rollout data in a report of a node or of a relay of another zone; empty while no rollout
 /// is open.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RolloutReport {
     /// Counts of the sender, or of its zone.
     pub counts: Vec<ServiceCounts>,
-    /// What the sender, or the nodes of its zone, say of stages.
+    /// Confirmations of stages by the sender, or by the nodes of its zone.
     pub confirmations: Vec<NodeConfirmation>,
     /// A renewal of the lease on rollouts.
     pub lease: Option<LeaseRenewal>,
 }
 
-/// What a relay tells of rollouts.
+/// Rollout data in a report of a relay.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RolloutNews {
     /// Revision of the store up to which all orders are known.
     pub known_through: u64,
-    /// Age of the proof that they are the present ones, in milliseconds.
+    /// Age of the proof that the orders are current, in milliseconds.
     pub age_ms: u64,
     /// All orders.
     pub orders: Vec<RolloutOrder>,
-    /// What the fleet has counted of the open ones.
+    /// Counts of the fleet for the open rollouts.
     pub sums: Vec<ServiceCounts>,
 }
 
@@ -153,7 +153,7 @@
     }
 }
 
-/// The message for what a node said.
+/// The message for a confirmation.
 pub fn confirmation_message(reported: &NodeConfirmation) -> peers::RolloutConfirmation {
     let confirmation = &reported.confirmation;
     peers::RolloutConfirmation {
@@ -168,7 +168,7 @@
     }
 }
 
-/// Reads what a node said.
+/// Reads a confirmation.
 pub fn read_confirmation(message: &peers::RolloutConfirmation) -> NodeConfirmation {
     NodeConfirmation {
         node: PeerId(message.node),
@@ -184,7 +184,7 @@
     }
 }
 
-/// The message for what a relay tells.
+/// The message for the rollout data of a relay.
 pub fn news_message(news: &RolloutNews) -> peers::RolloutNews {
     let (known_through, known_through_era) = revision_fields(news.known_through);
     peers::RolloutNews {
@@ -196,7 +196,7 @@
     }
 }
 
-/// Reads what a relay tells.
+/// Reads the rollout data of a relay.
 pub fn read_news(message: &peers::RolloutNews) -> RolloutNews {
     RolloutNews {
         known_through: read_revision(message.known_through, message.known_through_era),
@@ -207,7 +207,7 @@
 }
 
 impl RolloutNews {
-    /// The same with all its revisions in an era of the store.
+    /// The same data with all its revisions in an era of the store.
     pub fn in_era(mut self, era: StoreEra) -> Self {
         self.known_through = revision_in_era(self.known_through, era);
         for order in &mut self.orders {
--- a/crates/gateway/src/peers/snapshot.rs
+++ b/crates/gateway/src/peers/snapshot.rs
@@ -1,7 +1,7 @@
-//! What a node lacks, from a relay over TCP: the configuration, or all engines.
+//! Transfer of the configuration, or of all engines, from a relay to a follower over TCP.
 //!
-//! The messages are too large for a datagram. One question and one answer pass on
-//! each connection, both with their length in front.
+//! The messages are too large for a datagram. Each connection carries one request and one
+//! answer, both with a length prefix.
 
 use super::followed_relays::{CatalogueCursor, SnapshotNeed, LONGEST_FETCH_MS};
 use super::follower::apply_rollout_news;
@@ -35,41 +35,42 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Time in which a part of an answer passes, in milliseconds: 64 KB take 26 ms on a
-/// link of 20 Mbit/s that nobody else uses.
+/// Maximum time for one chunk of an answer, in milliseconds: 64 KB take 26 ms on an
+/// otherwise idle link of 20 Mbit/s.
 const PROGRESS_TIMEOUT_MS: u64 = 1_200;
-/// Bytes that are to pass within that time.
+/// Size of a chunk that has to be transferred within that time, in bytes.
 const CHUNK_BYTES: usize = 64 * 1024;
-/// Longest wait before a question, in milliseconds: nodes that lack the same do
-/// not all ask at once.
+/// Maximum random delay before a request, in milliseconds, so that nodes that miss the same
+/// data do not all send requests at once.
 const MAX_REQUEST_DELAY_MS: u64 = 120;
-/// Pause after a question that failed, in milliseconds.
+/// Pause after a failed request, in milliseconds.
 const RETRY_MS: u64 = 100;
-/// Questions in a row without an answer after which this node reads by itself.
+/// Number of consecutive failed requests after which this node reads the store itself.
 const MAX_FAILURES: u32 = 2;
-/// Time between two looks at what is lacking, in milliseconds, where no report
-/// told of it.
+/// Interval at which a node checks whether it needs a snapshot when no report triggers the
+/// check, in milliseconds.
 const POLL_PERIOD_MS: u64 = 300;
-/// Questions for the engines that are answered at the same time; the others wait their turn. So many
-/// readers with links of 20 Mbit/s fill one of 200 Mbit/s, and each has its answer soon.
+/// Maximum number of requests for engines that are answered concurrently; the others are
+/// queued. This many readers with links of 20 Mbit/s saturate a link of 200 Mbit/s, and
+/// each gets its answer soon.
 const MAX_CONCURRENT_ANSWERS: usize = 8;
-/// Questions that wait for their turn: all nodes of a large zone.
+/// Maximum number of open connections, queued ones included: all nodes of a large zone.
 const MAX_WAITING: usize = 1_024;
 
-/// Why there was no snapshot.
+/// Reasons why a snapshot could not be transferred.
 #[derive(Debug, Snafu)]
 enum SnapshotError {
-    #[snafu(display("the connection failed: {source}"))]
+    #[snafu(display("connection to the other node failed: {source}"))]
     Connection { source: std::io::Error },
-    #[snafu(display("the message is invalid: {source}"))]
+    #[snafu(display("snapshot message is invalid: {source}"))]
     Message { source: WireError },
-    #[snafu(display("no part of an answer came in time"))]
+    #[snafu(display("transfer of the snapshot timed out"))]
     TimedOut,
-    #[snafu(display("the relay is not heard any more"))]
+    #[snafu(display("the relay stopped sending reports"))]
     RelaySilent,
 }
 
-/// Asks relays for what this node lacks, until the task is dropped.
+/// Requests missing data from relays until the task is dropped.
 pub async fn fetch_snapshots(gateway: Arc<Gateway>) {
     let mut failures = 0;
     loop {
@@ -143,8 +144,8 @@
     answered.unwrap_or(Err(SnapshotError::TimedOut))
 }
 
-/// Waits until a relay is no longer heard. As long as it is, it answers one after
-/// another.
+/// Waits until reports of a relay stop arriving. While they arrive, the relay is still
+/// answering its queue of requests.
 async fn wait_until_relay_silent(gateway: &Gateway, relay: PeerId) {
     loop {
         sleep(POLL_PERIOD_MS).await;
@@ -175,7 +176,8 @@
     Ok(message)
 }
 
-/// Revisions that a relay of an earlier release tells are of the era that this node knows.
+/// Sets the era of the revisions in a snapshot from a relay of an earlier release to the
+/// era that this node knows.
 fn assume_era(gateway: &Gateway, snapshot: &mut peers::Snapshot) {
     let Some(era) = gateway.store_era.get() else {
         return;
@@ -257,8 +259,8 @@
         "revision" => revision, "change" => snapshot.changes_through);
 }
 
-/// The orders that the relay knew, so that a node that starts need not wait for a report
-/// that tells them. How old they are is not known, so they prove no stage.
+/// Applies the orders that the relay knew, so that a starting node need not wait for a
+/// report with them. Their age is unknown, so they prove no stage.
 fn apply_orders(
     beliefs: &mut Beliefs,
     snapshot: &peers::Snapshot,
@@ -271,18 +273,18 @@
     apply_rollout_news(beliefs, &news, None, settings, now)
 }
 
-/// Answers questions of other nodes until the task is dropped.
+/// Answers requests of other nodes until the task is dropped.
 pub async fn serve_snapshots(gateway: Arc<Gateway>, listener: TcpListener) {
     let waiting = Arc::new(AtomicUsize::new(0));
     let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_ANSWERS));
     loop {
         let Ok((mut stream, _)) = listener.accept().await else {
-            // Out of descriptors: those in use are given back soon.
+            // The process is out of descriptors: those in use are freed soon.
             sleep(RETRY_MS).await;
             continue;
         };
         if waiting.load(Ordering::Acquire) >= MAX_WAITING {
-            // The asker tries again, elsewhere.
+            // The requesting node retries, possibly with another relay.
             continue;
         }
         waiting.fetch_add(1, Ordering::AcqRel);
@@ -290,7 +292,7 @@
         let permits = Arc::clone(&permits);
         smol::spawn(async move {
             if let Err(error) = answer(&gateway, &mut stream, &permits).await {
-                slog::debug!(gateway.log, "snapshot not given"; "error" => error.to_string());
+                slog::debug!(gateway.log, "snapshot request not answered"; "error" => error.to_string());
             }
             waiting.fetch_sub(1, Ordering::AcqRel);
         })
@@ -298,8 +300,8 @@
     }
 }
 
-/// Answers one question. Those for the engines take turns; a configuration is small and
-/// has to be in force soon.
+/// Answers one request. The number of concurrent answers with engines is limited; a
+/// configuration is small and has to be in force soon, so it is sent at once.
 async fn answer(
     gateway: &Gateway,
     stream: &mut TcpStream,
@@ -322,7 +324,7 @@
     Ok(())
 }
 
-/// Writes for as long as the peer goes on reading.
+/// Writes for as long as the peer keeps reading.
 async fn write_in_chunks(stream: &mut TcpStream, bytes: &[u8]) -> Result<(), SnapshotError> {
     for chunk in bytes.chunks(CHUNK_BYTES) {
         let written = within(PROGRESS_TIMEOUT_MS, stream.write_all(chunk)).await;
@@ -332,7 +334,7 @@
     Ok(())
 }
 
-/// What a node asks for, as this one knows it.
+/// An encoded snapshot, as the answer to a request.
 pub struct EncodedSnapshot {
     head: Vec<u8>,
     engines: Option<Arc<[u8]>>,
@@ -346,7 +348,7 @@
     }
 }
 
-/// What a node asks for, as this one knows it.
+/// The snapshot with the requested data that this node knows.
 pub fn snapshot(gateway: &Gateway, request: &peers::SnapshotRequest) -> EncodedSnapshot {
     let now = gateway.clock.now();
     let own = Reporter {
--- a/crates/gateway/src/peers/store_contents.rs
+++ b/crates/gateway/src/peers/store_contents.rs
@@ -1,8 +1,8 @@
-//! What relays tell the nodes of their zone of KV cache stores of other regions.
+//! Reports of relays on the contents of KV cache stores of other regions.
 //!
-//! Each event that a node hears from another region is paid for. So of the nodes of a
-//! zone only its relays follow stores of other regions, and tell the others: what
-//! changed at once, and everything in turns, which repairs what was lost and serves
+//! Each event that a node receives from another region is charged as traffic. Therefore
+//! only the relays of a zone follow stores of other regions, and report to the other nodes:
+//! changes at once, and all parts in rotation, which repairs lost datagrams and serves
 //! nodes that have just started.
 
 use ploverlift_balancing::cache_contents::{CacheContents, CacheEvent, KeyShare};
@@ -12,26 +12,26 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Parts in one datagram.
+/// Maximum number of parts in one datagram.
 pub const MAX_REPORTED_PARTS: usize = 70;
-/// Changes of one store that wait to be told; the oldest give way, and are told in
-/// their turn.
+/// Maximum number of queued changes of one store; the oldest are discarded, and their parts
+/// are reported in the rotation.
 const MAX_WAITING_PARTS: usize = 1_024;
-/// Reports over which all parts that a store keeps are told once, in addition to
-/// changes: 10 s; more where it keeps many.
+/// Minimum number of reports over which all cached parts of a store are reported once, in
+/// addition to changes: 10 s; more reports for a store with many parts.
 const MIN_SHARES: usize = 100;
-/// Parts that are told in one report then.
+/// Parts of the rotation in one report for such a store.
 const TARGET_SHARE_PARTS: usize = 40;
 
-/// Changes of stores that wait to be told.
+/// Queued changes of the stores.
 #[derive(Clone, Debug, Default)]
 pub struct StoreChanges {
     waiting: BTreeMap<SocketAddr, VecDeque<(PartKey, u32)>>,
 }
 
 impl StoreChanges {
-    /// A store that this node follows has told of changes; `is_anew` says that they are
-    /// of another life of it, or come after a gap.
+    /// Queues events of a store that this node follows. `is_reset` states that they belong
+    /// to another epoch of the store, or follow a gap.
     pub fn note_events(&mut self, store: SocketAddr, events: &[CacheEvent], is_reset: bool) {
         let waiting = self.waiting.entry(store).or_default();
         if is_reset {
@@ -46,8 +46,8 @@
         }
     }
 
-    /// What is to be told of the stores in a period, in pieces of one datagram each. A
-    /// store that does not answer is not told of.
+    /// The updates of a period, one for each datagram. Stores that do not answer are left
+    /// out.
     pub fn next(&mut self, stores: &CacheStores, period: u64) -> Vec<StoreUpdate> {
         let mut pieces = Vec::new();
         for (address, waiting) in &mut self.waiting {
@@ -61,13 +61,13 @@
         pieces
     }
 
-    /// Forgets the stores that are not followed.
+    /// Removes stores that are not followed.
     pub fn retain(&mut self, is_followed: impl Fn(SocketAddr) -> bool) {
         self.waiting.retain(|address, _| is_followed(*address));
     }
 }
 
-/// Changes, and the share whose turn it is.
+/// Updates with the changes of one store and with the share of its parts that is due.
 fn updates_of(
     address: SocketAddr,
     contents: &CacheContents,
@@ -87,7 +87,7 @@
     let kept: Vec<(PartKey, u32)> = contents.kept_in(share).collect();
     let changes = changes.chunks(MAX_REPORTED_PARTS);
     let mut pieces: Vec<StoreUpdate> = changes.map(|parts| piece(parts, None)).collect();
-    // A share that is too large by chance is told without what it lacks.
+    // A share that happens to be too large is truncated and not marked as complete.
     let complete_share = (kept.len() <= MAX_REPORTED_PARTS).then_some(share);
     pieces.push(piece(
         &kept[..kept.len().min(MAX_REPORTED_PARTS)],
@@ -96,7 +96,7 @@
     pieces
 }
 
-/// The share that is told in a period: so small that it fits one datagram.
+/// The share that is reported in a period: small enough for one datagram.
 fn share_of(contents: &CacheContents, period: u64) -> KeyShare {
     let shares = (contents.len() / TARGET_SHARE_PARTS).max(MIN_SHARES) as u32;
     KeyShare {
@@ -105,7 +105,7 @@
     }
 }
 
-/// The message for what is told of a store.
+/// The message for an update of a store.
 pub fn store_message(update: &StoreUpdate) -> peers::StoreContents {
     peers::StoreContents {
         store: update.store.0,
@@ -117,8 +117,7 @@
     }
 }
 
-/// Reads what is told of a store; of lists that are not equally long, as many as the
-/// shorter has.
+/// Reads an update of a store. Of lists of unequal length, excess entries are ignored.
 pub fn read_store(message: &peers::StoreContents) -> StoreUpdate {
     let parts = message.parts.iter().copied().map(PartKey);
     StoreUpdate {
--- a/crates/gateway/src/peers/token_requests.rs
+++ b/crates/gateway/src/peers/token_requests.rs
@@ -1,4 +1,5 @@
-//! Questions for tokens that this node has asked, and who waits for their answers.
+//! Requests for tokens of engines that this node has sent, and the tasks that wait for the
+//! answers.
 
 use super::messages::PeerMessage;
 use super::outbox::Outbox;
@@ -9,22 +10,22 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard};
 
-/// Longest wait for an answer before the question is asked once more, and in all, in
-/// milliseconds: a round trip takes 3 ms between zones, and a busy node some tens more.
+/// Time-out of each attempt, in milliseconds: a round trip takes 3 ms between zones, and a
+/// busy node some tens of milliseconds more.
 const ANSWER_TIMEOUT_MS: u64 = 40;
-/// Times that a question is asked.
+/// Maximum number of attempts for one request.
 const MAX_ATTEMPTS: u32 = 2;
 
 type AnswerSender = async_channel::Sender<TokenAnswer>;
 
-/// The open questions.
+/// The pending requests.
 #[derive(Debug)]
 pub struct PendingTokenRequests {
     next: AtomicU64,
     waiting: Mutex<HashMap<u64, AnswerSender>>,
 }
 
-/// A question that is open until this is dropped.
+/// A request that is pending until this is dropped.
 struct PendingRequest<'a> {
     requests: &'a PendingTokenRequests,
     number: u64,
@@ -37,7 +38,8 @@
 }
 
 impl Default for PendingTokenRequests {
-    /// Numbers begin anywhere: those of an earlier life of the node were answered already.
+    /// Numbers start at a random value: those of an earlier incarnation of the node may
+    /// already have been answered.
     fn default() -> Self {
         Self {
             next: AtomicU64::new(fastrand::u64(..)),
@@ -47,12 +49,12 @@
 }
 
 impl PendingTokenRequests {
-    /// The number of the next question.
+    /// The number of the next request.
     pub fn next_number(&self) -> u64 {
         self.next.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Asks a node; nothing when it does not answer in time.
+    /// Requests a token from a node; `None` when it does not answer in time.
     pub async fn ask(
         &self,
         outbox: &Outbox,
@@ -74,7 +76,8 @@
         None
     }
 
-    /// The answer to a question has come. One that nobody waits for any more is dropped.
+    /// Passes an answer to the task that waits for it. An answer that no task waits for is
+    /// discarded.
     pub fn resolve(&self, number: u64, answer: TokenAnswer) {
         if let Some(waiting) = self.waiting().get(&number) {
             let _ = waiting.try_send(answer);
--- a/crates/gateway/src/peers/weights_exchange.rs
+++ b/crates/gateway/src/peers/weights_exchange.rs
@@ -1,20 +1,20 @@
-//! Which reports on weights this node has sent and heard.
+//! Which reports on weights this node has sent and received.
 //!
-//! A report names the last one of its receiver that it answers. When that was sent is
-//! known here alone, and what the report proves is taken to be as old.
+//! A report names the last report of its receiver that it includes. Only the receiver knows
+//! when it sent that one; it takes the proof in the report to be that old.
 
 use super::message_fields::IncludedReport;
 use ploverlift_policy::ids::Millis;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Own reports whose sending time is remembered: those of 16 s. An answer to an older
-/// one would prove nothing that is of use.
+/// Number of own reports whose sending time is kept: those of 16 s. A proof based on an
+/// older one would be too old to be of use.
 const MAX_SENT: usize = 64;
-/// Time after which the last report of a silent node is forgotten, in milliseconds.
+/// Time after which the last report of a silent node is removed, in milliseconds.
 const PEER_EXPIRY_MS: u64 = 5_000;
 
-/// What a node has sent and heard of these reports.
+/// Reports on weights that this node has sent and received.
 #[derive(Clone, Debug, Default)]
 pub struct WeightsExchange {
     sequence: u64,
@@ -35,7 +35,7 @@
 }
 
 impl WeightsExchange {
-    /// The number of a report that is being sent now.
+    /// Records that a report is being sent now, and returns its sequence number.
     pub fn next_sequence(&mut self, now: Millis) -> u64 {
         self.sequence += 1;
         if self.sent.len() >= MAX_SENT {
@@ -48,16 +48,16 @@
         sequence
     }
 
-    /// When the report with this number was sent; nothing when that is longer ago than is
-    /// remembered.
+    /// When the report with this sequence number was sent; `None` when its sending time is
+    /// no longer kept.
     pub fn sent_at(&self, sequence: u64) -> Option<Millis> {
         let mut sent = self.sent.iter();
         let sent = sent.find(|report| report.sequence == sequence)?;
         Some(sent.at)
     }
 
-    /// A report of another node was taken in; tells whether it is the first one of its
-    /// life.
+    /// Records a report of another node; returns whether it is the first one of its
+    /// incarnation.
     pub fn note_received(&mut self, from: SocketAddr, report: IncludedReport, now: Millis) -> bool {
         let before = self
             .received
@@ -65,12 +65,12 @@
         before.is_none_or(|before| before.report.life != report.life)
     }
 
-    /// Nodes whose reports were taken in lately.
+    /// Nodes whose reports were received recently.
     pub fn live_peers(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.received.keys().copied()
     }
 
-    /// The last report that was taken in from a node.
+    /// The last report that was received from a node.
     pub fn last_received(&self, from: &SocketAddr) -> Option<IncludedReport> {
         self.received.get(from).map(|received| received.report)
     }
--- a/crates/gateway/src/peers/weights_messages.rs
+++ b/crates/gateway/src/peers/weights_messages.rs
@@ -1,23 +1,24 @@
-//! What nodes tell each other of the newest weights, as messages.
+//! Reports of the newest weights, as messages.
 
 use super::message_fields::{encode_age, read_age, read_included, IncludedReport};
 use ploverlift_balancing::weights::{ReportedVersion, WeightsNews};
 use ploverlift_wire::peers;
 
-/// Versions in one datagram. Beside a few loads they stay within one unfragmented
-/// datagram: 24 of models with names of 17 letters take 650 bytes.
+/// Maximum number of versions in one datagram. Together with a few loads they stay within
+/// one unfragmented datagram: 24 versions of models with names of 17 letters take 650
+/// bytes.
 pub const MAX_REPORTED_VERSIONS: usize = 24;
 
-/// What a node tells another one of the newest weights.
+/// Report of a node on the newest weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightsReport {
-    /// The sender's life.
+    /// Incarnation of the sender.
     pub life: u64,
-    /// Rises with each of these reports of this life.
+    /// Sequence number, which increases with each of these reports of an incarnation.
     pub sequence: u64,
     /// What the sender knows.
     pub news: WeightsNews,
-    /// The receiver's last report that the sender had taken in before it worked out the
+    /// The last report of the receiver that the sender had applied before it computed the
     /// ages.
     pub included: Option<IncludedReport>,
 }
--- a/crates/gateway/src/peers/weights_reports.rs
+++ b/crates/gateway/src/peers/weights_reports.rs
@@ -1,9 +1,10 @@
-//! Telling the other nodes which weights are the newest, and how old the proof is.
+//! Reports of the newest weights, and of the age of the proof that they are the newest.
 //!
-//! One node's call of the store then serves the whole fleet, and a node that the store
-//! refuses, whose watch is deaf or that has just started knows what the others know. An
-//! age counts from when the receiver sent the report that the sender answers: however
-//! long a datagram travelled, the proof is not taken for younger than it is.
+//! One node's call of the store thus serves the whole fleet: a node whose calls the store
+//! rejects, whose watch gets no events, or that has just started, learns what the others
+//! know. An age counts from when the receiver sent the report that the sender includes:
+//! however long a datagram was under way, the proof is never taken to be younger than it
+//! is.
 
 use super::message_fields::IncludedReport;
 use super::messages::{encode, PeerMessage};
@@ -17,13 +18,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Time between two reports, in milliseconds: what a node may know later than the one
-/// that has called the store, small against the seconds of any bound on weights.
+/// Interval between two reports, in milliseconds: the delay with which a node learns what
+/// the node that called the store knows. It is small against any bound on weights, which
+/// are seconds.
 const REPORT_PERIOD_MS: u64 = 250;
-/// Shortest time between two reports, in milliseconds.
+/// Minimum interval between two reports, in milliseconds.
 const MIN_PERIOD_MS: u64 = 15;
 
-/// Reports to the nodes of a small fleet, or as a relay to the other relays, until the
+/// Reports to the nodes of a small fleet or, on a relay, to the other relays, until the
 /// task is dropped.
 pub async fn report_weights(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     loop {
@@ -44,8 +46,8 @@
         return Vec::new();
     }
     let mut beliefs = gateway.beliefs();
-    // Under one lock, and the time last: no report that came after the ages were worked
-    // out may be named as answered.
+    // Both under one lock, and the time is read last: a report that arrived after the ages
+    // were computed must not be named as included.
     let now = gateway.clock.now();
     let news = beliefs
         .weights
@@ -71,12 +73,12 @@
     match role(gateway, now) {
         Role::Direct | Role::Undecided => gateway.address_book().live(now),
         Role::Relay => peer_relays(gateway, now).into_iter().collect(),
-        // Its relays tell it with their reports.
+        // A follower receives them in the reports of its relays.
         Role::Follower => Vec::new(),
     }
 }
 
-/// Takes in what another node tells.
+/// Applies the report of another node.
 pub fn handle_weights_report(gateway: &Gateway, report: &WeightsReport, from: SocketAddr) {
     let now = gateway.clock.now();
     let received = IncludedReport {
@@ -91,7 +93,7 @@
         (is_first, sent_at)
     };
     if is_first {
-        // One of the two has just started: the answer tells it what the others know.
+        // One of the two nodes has just started: the answer gives it what the others know.
         gateway.weights_report_due.notify(usize::MAX);
     }
     hear_weights(gateway, &report.news, sent_at, NewsOrigin::Node);
