--- a/crates/gateway/src/peers/rollout_messages.rs
+++ b/crates/gateway/src/peers/rollout_messages.rs
@@ -45,7 +45,8 @@
     pub node: PeerId,
     /// The service.
     pub service: ServiceTag,
-    /// Its confirmation; of rollout 0 when the node is live and has confirmed no stage.
+    /// Its confirmation; of rollout 0 when a report of the node was received that confirms
+    /// no stage.
     pub confirmation: Confirmation,
     /// Time since its report was received, in milliseconds.
     pub age_ms: u64,
--- a/crates/gateway/tests/engine_limits/changes.rs
+++ b/crates/gateway/tests/engine_limits/changes.rs
@@ -1,4 +1,5 @@
-//! Limits that end, bad values, and nodes that start while engines have limits.
+//! Limits that engines withdraw, invalid values, and nodes that start while engines have
+//! limits.
 
 use crate::oracle::arrivals_in;
 use crate::run_exclusively;
@@ -11,23 +12,24 @@
 use ploverlift_gateway::time::sleep;
 use std::time::{Duration, Instant};
 
-/// Nodes of the site.
+/// Nodes of the deployment.
 const NODES: usize = 3;
-/// Engines of the site.
+/// Engines of the deployment.
 const ENGINES: usize = 4;
-/// Time between two requests at one node, in milliseconds: 60 a second at the site.
+/// Interval between two requests on one node, in milliseconds: 60 requests per second in
+/// all.
 const PERIOD_MS: u64 = 50;
-/// Time between two looks at what a test waits for, in milliseconds.
+/// Polling interval of the tests, in milliseconds.
 const POLL_MS: u64 = 5;
 
-/// The rates that a node knows.
+/// The rate limits that a node knows.
 fn known_rates(node: &RunningGateway) -> Vec<f64> {
     let beliefs = node.gateway.beliefs();
     let limited = beliefs.engine_limits.limited();
     limited.map(|(_, per_second, _)| per_second).collect()
 }
 
-/// Waits until all nodes know these rates.
+/// Waits until all nodes know exactly these rates; returns the time that it took.
 async fn wait_until_known(site: &Deployment, rates: &[f64]) -> Duration {
     let began = Instant::now();
     while !site.nodes.iter().all(|node| known_rates(node) == rates) {
@@ -49,7 +51,7 @@
             sleep(2_000).await;
             site.engines[0].name_limit(None);
             let known_after = wait_until_known(&site, &[]).await;
-            println!("the end of {limit} was known everywhere after {known_after:?}");
+            println!("the end of limit {limit} was known to all nodes after {known_after:?}");
             sleep(1_000).await;
             let from = Instant::now();
             sleep(2_000).await;
@@ -60,7 +62,8 @@
                 .iter()
                 .map(|one| arrivals_in(one, from, span))
                 .sum();
-            // Its share is a quarter; the homes of prompts are drawn at random.
+            // Its share is a quarter; half of it suffices, as the distribution of prompts
+            // over the engines is random.
             assert!(got * ENGINES * 2 >= all, "{got} of {all} requests");
         }
     });
--- a/crates/gateway/tests/engine_limits/fleets.rs
+++ b/crates/gateway/tests/engine_limits/fleets.rs
@@ -1,4 +1,4 @@
-//! Nodes that report to each other.
+//! Limits in a fleet whose nodes report to each other.
 
 use crate::oracle::{arrivals_in, busiest_window, max_in_window, GRACE_PERIOD};
 use crate::run_exclusively;
@@ -7,24 +7,26 @@
 use ploverlift_gateway::time::sleep;
 use std::time::{Duration, Instant};
 
-/// Nodes of the site.
+/// Nodes of the deployment.
 const NODES: usize = 5;
-/// Engines of the site.
+/// Engines of the deployment.
 const ENGINES: usize = 12;
-/// The rate that engines name, in requests a second.
+/// The rate limit that engines name, in requests per second.
 const LIMIT: f64 = 1.7;
-/// Requests that an engine may get at once after a rest.
+/// Requests that an engine may get at once after an idle time.
 const BURST: f64 = 2.0;
-/// Time between two requests at one node, in milliseconds: 100 a second at the site, eight
-/// for each engine.
+/// Interval between two requests on one node, in milliseconds: 100 requests per second in
+/// all, eight for each engine.
 const PERIOD_MS: u64 = 50;
-/// Time for which the fleet is watched once the bound holds.
+/// Time for which the fleet is observed once the limits have to hold.
 const OBSERVED_SPAN: Duration = Duration::from_secs(10);
-/// Longest time until a request that cannot be served is told so: an answer of the node, and
-/// nothing of the three seconds that the request has.
+/// Maximum time until a request that cannot be served is rejected: well below its deadline
+/// of three seconds.
 const MAX_HOLD: Duration = Duration::from_millis(500);
 
-/// The bounds on each of so many engines that name a rate.
+/// Runs traffic while the first `limited` engines name a rate, and checks for each of them
+/// the limit of a window, and that it gets between 80 % of its rate and its rate plus a
+/// burst.
 async fn assert_limits_hold(limited: usize) -> (Deployment, Traffic, Instant) {
     let mut site = Deployment::new(ENGINES).await;
     site.start_nodes(NODES).await;
@@ -52,7 +54,7 @@
     let _exclusive = run_exclusively();
     smol::block_on(async {
         let (_site, traffic, from) = assert_limits_hold(1).await;
-        // The others serve what it does not take.
+        // The other engines serve the requests that it does not take.
         let asked = traffic.asked();
         let asked = asked.iter().filter(|asked| asked.at >= from);
         assert!(asked.clone().count() > 500);
--- a/crates/gateway/tests/engine_limits/main.rs
+++ b/crates/gateway/tests/engine_limits/main.rs
@@ -1,14 +1,17 @@
-//! Two engines of eighteen named the rate that they take from all nodes together, and got
-//! three times as much for the rest of the day.
+//! Rate limits that engines name hold over the whole fleet.
 //!
-//! Seen: from the first naming on, each got what it had got before, from all seven nodes; no
-//! request failed, and no line of any node had the rate in it.
-//! How it came about: the engine told each node in its answers; the nodes passed the answers
-//! on and chose their engines as before.
-//! Cause: nothing read what an engine says of itself in an answer, and a rate that counts over
-//! the fleet had nobody who counts over the fleet.
-//! Proof: here the same happens on nodes that run, with one engine, a third of them and all.
-//! With each node counting for itself, as if no news of a holder came, the same test is red.
+//! Failure: two of eighteen engines named the rate that they accept from all nodes
+//! together, and got three times as many requests for the rest of the day. From the first
+//! naming on, each got as many requests as before, from all seven nodes; no request failed,
+//! and no log line of any node contained the rate. Nodes forwarded the answers with the
+//! rate and chose engines as before.
+//!
+//! Cause: no node read the signals that an engine sets in an answer, and for a rate over
+//! the fleet there was no limit holder.
+//!
+//! Here the same happens on running nodes, with one engine, a third of the engines and all
+//! of them. The tests fail when each node counts for itself, as if it received no report of
+//! a limit holder.
 
 mod changes;
 mod fleets;
@@ -20,8 +23,8 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Lets one test play at a time: all nodes and engines of this program share one thread, and
-/// the tests measure what they get done in seconds.
+/// Lets one test run at a time: all nodes and engines of this program share one thread, and
+/// the tests measure rates over seconds.
 pub fn run_exclusively() -> MutexGuard<'static, ()> {
     static RUNNING: Mutex<()> = Mutex::new(());
     RUNNING.lock().unwrap_or_else(PoisonError::into_inner)
--- a/crates/gateway/tests/engine_limits/messages.rs
+++ b/crates/gateway/tests/engine_limits/messages.rs
@@ -1,4 +1,4 @@
-//! Limits and tokens on the wire.
+//! Encoding of limits and tokens.
 
 use ploverlift_balancing::engine_notices::exchange::{
     ReportedLeaving, MAX_REPORTED as MAX_LEAVING,
--- a/crates/gateway/tests/engine_limits/relayed.rs
+++ b/crates/gateway/tests/engine_limits/relayed.rs
@@ -1,4 +1,4 @@
-//! The same in a fleet of more nodes, which hear of each other through relays.
+//! Limits in a larger fleet, whose nodes exchange them through relays.
 
 use crate::oracle::{busiest_window, max_in_window, GRACE_PERIOD};
 use crate::run_exclusively;
@@ -9,15 +9,16 @@
 
 /// Nodes that follow the two relays of their zone.
 const FOLLOWERS: usize = 38;
-/// Engines of the site.
+/// Engines of the deployment.
 const ENGINES: usize = 12;
-/// The rate that engines name, in requests a second.
+/// The rate limit that engines name, in requests per second.
 const LIMIT: f64 = 1.7;
-/// Time between two requests at one node, in milliseconds: 100 a second at the site.
+/// Interval between two requests on one node, in milliseconds: 100 requests per second in
+/// all.
 const PERIOD_MS: u64 = 400;
-/// Time for which the fleet is watched once the bound holds.
+/// Time for which the fleet is observed once the limits have to hold.
 const OBSERVED_SPAN: Duration = Duration::from_secs(6);
-/// Time between two looks at what the test waits for, in milliseconds.
+/// Polling interval of the test, in milliseconds.
 const POLL_MS: u64 = 10;
 
 #[test]
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Limits of tenants at running nodes: what is refused and how, what is counted, and
-//! how nodes tell each other.
+//! Tenant limits on running nodes: which requests are refused and how, what is charged, and
+//! how nodes report usage to each other.
 
 mod support;
 
@@ -39,7 +39,7 @@
     request
 }
 
-/// Starts a node that tells others what it admits.
+/// Starts a node that reports its usage to others.
 fn start_in_fleet(store: &StandInStore, name: &str) -> RunningGateway {
     let mut settings = settings(store, name, "");
     settings.listen.peers = Some(SocketAddr::from(([127, 0, 0, 1], 0)));
@@ -58,7 +58,7 @@
 
 async fn fixture(configuration: Value, engines: &[&StandInEngine]) -> Fixture {
     let fixture = Fixture::with(engines, configuration, "").await;
-    // The node was not running before, as far as it knows: its bucket fills.
+    // As far as the node knows it has just started for the first time: its bucket fills.
     while standing(&fixture.gateway).allowance.available < 1.0 {
         smol::future::yield_now().await;
     }
@@ -72,14 +72,14 @@
         let fixture = fixture(limited(1_000.0, 1_000.0), &[&app]).await;
         let large = request_of("safe.test", 60_000);
         assert_eq!(fixture.send(&large).await.status(), 200);
-        // 60 s of the limit are owed now.
+        // The tenant is now 60 s over its limit.
         let refused = fixture.send(&request_of("safe.test", 500)).await;
         assert_eq!(refused.status(), 429);
         let headers = &refused.head.headers;
-        let wait_ms = headers.get("retry-after-ms").expect("a time to come back");
+        let wait_ms = headers.get("retry-after-ms").expect("a retry time");
         let wait_ms: u64 = wait_ms.parse().expect("a number");
         assert!((55_000..=60_000).contains(&wait_ms), "{wait_ms}");
-        // The caller's connection may stay: another node would say the same.
+        // The connection of the caller stays open: another node would give the same answer.
         assert_ne!(headers.get("connection"), Some("close"));
         assert_eq!(app.heads().len(), 1);
         let page = fixture.gateway.metrics.page();
@@ -128,8 +128,8 @@
     });
 }
 
-/// A sending that was lost on a kept connection counts, though the engine refused the
-/// next one.
+/// An attempt that was lost on a kept-alive connection is charged, though the engine
+/// refused the next one.
 #[test]
 fn a_request_that_may_have_run_on_a_kept_connection_is_not_refunded() {
     smol::block_on(async {
@@ -201,9 +201,10 @@
                 smol::future::yield_now().await;
             }
         }
-        // What the first admits is refused at the second, once it is told. A machine
-        // that is busy may pause a node, whose accounts then begin anew: so the first
-        // admits until the second has heard of it.
+        // Requests over the usage of the first node are refused by the second once that
+        // usage is reported. On a busy machine a node may be suspended, and its accounts
+        // then start again: the first node is therefore charged until the second has
+        // received its report.
         let tenant = TenantTag::of(TENANT);
         let small = request_of("safe.test", 1);
         loop {
@@ -234,7 +235,7 @@
     });
 }
 
-/// Lists a fleet in which this node follows the relays with the ports 9 and 8.
+/// Applies a list of a fleet in which this node follows the relays with ports 9 and 8.
 fn make_follower(gateway: &Gateway) {
     let listed = |port: u16, cpu_thousandths| ListedNode {
         id: PeerId(u64::from(port)),
@@ -285,22 +286,23 @@
         let gateway = &node.gateway;
         make_follower(gateway);
         assert_eq!(role(gateway, gateway.clock.now()), Role::Follower);
-        // Nobody was heard yet: this node must not take the limit for its own.
+        // No report was received yet: this node must not use the whole limit.
         assert_eq!(standing(gateway).basis, Basis::OwnShare);
         handle_level_report(gateway, &level_report(1, 500_000, 0));
         let first = standing(gateway);
         assert_eq!(first.basis, Basis::Relays);
         let admitted = caller::send(node.callers, &request_of("safe.test", 400_000)).await;
         assert_eq!(admitted.status(), 200);
-        // A report that does not contain the request yet.
+        // A report that does not include the request yet.
         handle_level_report(gateway, &level_report(2, 499_000, 0));
         let available = standing(gateway).allowance.available;
         assert!((90_000.0..110_000.0).contains(&available), "{available}");
-        // One that does.
+        // A report that includes it.
         handle_level_report(gateway, &level_report(3, 99_000, 400_000));
         let available = standing(gateway).allowance.available;
         assert!((90_000.0..110_000.0).contains(&available), "{available}");
-        // The node lists its fleet by itself half a second after its start.
+        // Half a second after its start the node reads the list of its fleet itself, which
+        // replaces the one of this test.
         make_follower(gateway);
         handle_level_report(gateway, &level_report(4, -5_000, 400_000));
         let refused = caller::send(node.callers, &request_of("safe.test", 1)).await;
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Nodes find each other through the store and tell each other their loads.
+//! Nodes discover each other through the store and exchange their loads.
 
 mod support;
 
@@ -178,7 +178,7 @@
         let parts = [1, 2].map(|id| PromptPart { id, tokens: 10 });
         let keys = part_keys(&cache_salt("m", 1, ""), &parts);
         loop {
-            // Asking the node lets its tasks run.
+            // The call lets the tasks of the node run.
             caller::get_status(receiver.readiness).await;
             let now = receiver.gateway.clock.now();
             let beliefs = receiver.gateway.beliefs();
@@ -195,12 +195,12 @@
 /// Leases of a deployment.
 const LEASES: usize = 2;
 
-/// A node, the stored lease of another holder, and the lease's revision.
+/// A running node, and the revision of a stored lease that another holder has.
 async fn node_with_lease_of_another_holder() -> (Fixture, u64) {
     let fixture = Fixture::with(&[], configuration(1), "").await;
     let lease = json!({"lease": {"holder": "other", "holderLife": 1,
                                  "fencingToken": 7, "expiresUnixMs": 0}});
-    // The node looks at each lease once when it starts.
+    // The node reads each lease once when it starts.
     while fixture.store.calls("get Leases") < LEASES {
         caller::get_status(fixture.running().readiness).await;
     }
--- a/crates/gateway/tests/relays/address_book.rs
+++ b/crates/gateway/tests/relays/address_book.rs
@@ -6,8 +6,8 @@
 use ploverlift_gateway::peers::address_book::{AddressBook, MESH_NODES};
 use ploverlift_policy::ids::Millis;
 
-/// A book of a node with the port 1 that lists a fleet of so many nodes, half of
-/// them in its zone; ports tell how large a node is.
+/// The address book of a node with port 1 that lists a fleet of `nodes` nodes, half of them
+/// in its zone. The capacity of a node grows with its port.
 fn book(nodes: u16) -> AddressBook {
     let mut book = AddressBook::default();
     book.set_own(listed(1, OWN_ZONE, 1));
@@ -40,7 +40,7 @@
     assert_eq!(ports(&book, OWN_ZONE, NOW.plus(600)), [39, 37]);
     let later = NOW.plus(800);
     assert_eq!(ports(&book, OWN_ZONE, later), [37, 35]);
-    // It is asked now and then, and relays again once it answers.
+    // The suspected node is probed periodically, and relays again once it answers.
     assert!(book.relays_to_probe(OWN_ZONE, later).is_empty());
     let later = NOW.plus(1_000);
     assert_eq!(book.relays_to_probe(OWN_ZONE, later), [address(39)]);
@@ -59,7 +59,7 @@
     assert_eq!(ports(&book, OTHER_ZONE, later), [18, 16]);
     assert_eq!(book.relay_rank(PeerId(17), later), Some(1));
     assert_eq!(book.relay_rank(PeerId(15), later), None);
-    // The last one left relays for itself.
+    // The last remaining node relays for itself.
     for port in 2..20 {
         book.note_awaiting_reply(address(port), NOW);
     }
--- a/crates/gateway/tests/relays/followed_relays.rs
+++ b/crates/gateway/tests/relays/followed_relays.rs
@@ -1,4 +1,4 @@
-//! What a follower takes from its relays, and when it asks them.
+//! What a follower applies from the reports of its relays, and when it requests a snapshot.
 
 use crate::reports::{address, engine_change, relay_report, NOW};
 use ploverlift_balancing::peer_loads::PeerId;
@@ -7,7 +7,7 @@
 
 const LIMIT_MS: u64 = 2_600;
 
-/// A follower that took over the engines of the relay 9 at its change 2.
+/// A follower that took over the engines from relay 9 as of its change 2.
 fn follower() -> FollowedRelays {
     let mut followed = FollowedRelays::default();
     followed.note_report(&relay_report(1, 2, Vec::new()), address(9), Some(NOW), NOW);
@@ -31,7 +31,7 @@
     let both = relay_report(3, 2, changes(3, 4));
     assert_eq!(followed.next_changes(&both), changes(4, 4));
     assert!(followed.next_changes(&both).is_empty());
-    // The fifth is missing.
+    // The fifth change is missing.
     let sixth = relay_report(4, 5, changes(6, 6));
     assert!(followed.next_changes(&sixth).is_empty());
     followed.note_report(&sixth, address(9), Some(NOW), NOW);
@@ -55,9 +55,9 @@
 fn a_relay_is_trusted_while_it_is_live_and_knows_the_engines_itself() {
     let mut followed = follower();
     assert!(followed.is_current(LIMIT_MS, NOW.plus(RELAY_SILENCE_MS - 1)));
-    // Killed, paused or cut off from this node.
+    // The relay is killed, suspended or cut off from this node.
     assert!(!followed.is_current(LIMIT_MS, NOW.plus(RELAY_SILENCE_MS)));
-    // Cut off from the store, or refused by it, and still talking.
+    // The relay is cut off from the store, or refused by it, and still sends reports.
     let mut cut_off = relay_report(2, 2, Vec::new());
     let later = NOW.plus(3_000);
     cut_off.engines_age_ms = Some(2_900);
@@ -67,7 +67,7 @@
     cut_off.engines_age_ms = Some(200);
     followed.note_report(&cut_off, address(9), Some(later), later);
     assert!(followed.is_current(LIMIT_MS, later));
-    // It answers no questions.
+    // The relay answers no requests.
     followed.distrust(later);
     assert!(!followed.is_current(LIMIT_MS, later));
 }
@@ -98,7 +98,8 @@
     assert!(followed.next_changes(&reported).is_empty());
 }
 
-/// What its former life had told does not become newer by what the present one knows.
+/// The knowledge of the current incarnation of a relay does not make reports of the former
+/// one newer.
 #[test]
 fn a_restarted_relay_does_not_prove_reports_of_its_former_incarnation() {
     let mut followed = follower();
@@ -108,7 +109,7 @@
         let now = NOW.plus(passed_ms);
         followed.note_report(&restarted, address(9), Some(now), now);
     }
-    // Time enough to ask it for everything has passed.
+    // The time for requesting all engines from it has passed.
     assert!(!followed.is_current(LIMIT_MS, NOW.plus(800)));
 }
 
@@ -125,7 +126,7 @@
     let mut followed = follower();
     let known_at = followed.proven_at();
     assert!(known_at.is_some());
-    // The third change is missing here; another report overtakes the one that tells it.
+    // The third change is missing here: another report overtakes the one that contains it.
     let later = NOW.plus(500);
     let fourth = relay_report(2, 3, vec![engine_change("e", 4, false)]);
     followed.note_report(&fourth, address(9), Some(later), later);
--- a/crates/gateway/tests/relays/listed_nodes.rs
+++ b/crates/gateway/tests/relays/listed_nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes as a list names them.
+//! Nodes as in a list from the store.
 
 use crate::reports::address;
 use ploverlift_balancing::peer_loads::{PeerId, ZoneTag};
--- a/crates/gateway/tests/relays/main.rs
+++ b/crates/gateway/tests/relays/main.rs
@@ -1,5 +1,5 @@
-//! Large fleets: few nodes read the store and tell the others, and what happens when
-//! one of those is silent, cut off, overtaken or gone.
+//! Large fleets: a few relays read the store and report to the other nodes; what happens
+//! when one of them is silent, cut off, overtaken or gone.
 
 mod address_book;
 mod followed_relays;
--- a/crates/gateway/tests/relays/partial_reports.rs
+++ b/crates/gateway/tests/relays/partial_reports.rs
@@ -1,4 +1,4 @@
-//! Changes of the engines that take several reports of a relay.
+//! Changes of the engines that need several reports of a relay.
 
 use crate::reports::address;
 use crate::support::configuration;
@@ -13,7 +13,7 @@
 use smol::net::UdpSocket;
 use std::net::SocketAddr;
 
-/// Engines that come at once: their changes take four reports.
+/// Engines that are added at once: their changes need four reports.
 const ENGINES: usize = 4 * MAX_RELAYED_CHANGES;
 
 /// The next report of a relay.
@@ -28,8 +28,8 @@
     }
 }
 
-/// Whoever has taken in a part of the changes does not know all engines: only the report
-/// that tells the last of them vouches for that.
+/// A node that has applied only a part of the changes does not know all engines: only the
+/// report with the last of them proves that its receiver does.
 #[test]
 fn a_report_with_a_part_of_the_changes_proves_no_freshness() {
     smol::block_on(async {
--- a/crates/gateway/tests/relays/reports.rs
+++ b/crates/gateway/tests/relays/reports.rs
@@ -1,4 +1,4 @@
-//! Reports of a relay.
+//! Reports of a relay for the tests.
 
 use crate::support::fleet::empty_relay_report;
 use ploverlift_balancing::catalogue::{EngineRecord, Heartbeat, InstanceId};
@@ -36,7 +36,7 @@
     }
 }
 
-/// A report of the relay with the port 9 that has told `through` changes.
+/// A report of relay 9 with these changes, the first of which follows change `after`.
 pub fn relay_report(sequence: u64, after: u64, changes: Vec<EngineChange>) -> RelayReport {
     let mut report = RelayReport {
         refused_requests: None,
--- a/crates/gateway/tests/relays/running_nodes.rs
+++ b/crates/gateway/tests/relays/running_nodes.rs
@@ -1,4 +1,4 @@
-//! Relays and followers that run.
+//! Running relays and followers.
 
 use crate::listed_nodes::{listed, OTHER_ZONE};
 use crate::reports::{address, relay_report};
@@ -26,7 +26,7 @@
     revision: 70,
 };
 
-/// The number of lists of what nodes need to serve.
+/// Number of calls that list the objects that nodes need to serve requests.
 fn list_calls(store: &StandInStore) -> usize {
     let kinds = ["Configuration", "Engines", "Weights"];
     kinds
@@ -62,7 +62,7 @@
             move |node: &RunningGateway| node.gateway.beliefs().engines.get(&instance).is_some()
         };
         wait_until(&follower, knows("llm-1")).await;
-        // A change of the engines, a configuration and target weights are told.
+        // A change of the engines and a new configuration are relayed.
         store.put("Engines", "llm-2", llm.record());
         wait_until(&follower, knows("llm-2")).await;
         store.put("Configuration", "main", configuration(2));
@@ -72,7 +72,7 @@
         .await;
         assert!(follower.gateway.accepts_keys());
         assert_eq!(list_calls(&store), 3 * RELAYS_PER_ZONE);
-        // Both relays are lost.
+        // Both relays stop.
         drop(relays);
         store.put("Engines", "llm-3", llm.record());
         wait_until(&follower, knows("llm-3")).await;
@@ -89,7 +89,7 @@
         let node = start_peer(&store, "small", 0.1);
         wait_until(&node, |node| node.gateway.configuration().is_some()).await;
         let gateway = &node.gateway;
-        // The node relays for itself; a larger one appears.
+        // The node is its own relay; nodes with a larger capacity appear.
         let larger = json!({"address": "127.0.0.1:9", "zone": "z", "cpu_thousandths": 9_000,
                             "link_mbps": 1});
         let list = ["larger-1", "larger-2"].map(|name| {
@@ -122,7 +122,7 @@
         assert_eq!(age_after(4, included(gateway.life)), Some(1_000));
         assert_eq!(age_after(5, included(gateway.life)), None);
         assert_eq!(age_after(3, included(gateway.life)), None);
-        // A report of an earlier life of this node.
+        // A report of an earlier incarnation of this node.
         assert_eq!(age_after(4, included(gateway.life - 1)), None);
         assert_eq!(age_after(4, None), None);
     });
--- a/crates/gateway/tests/relays/sizes.rs
+++ b/crates/gateway/tests/relays/sizes.rs
@@ -1,4 +1,4 @@
-//! What fits a relay's report, and the log that it tells from.
+//! Sizes of the reports of a relay, and the log of changes that they are taken from.
 
 use crate::reports::{engine_change, relay_report, NOW};
 use crate::support::fleet::LARGEST_RENEWAL;
@@ -76,7 +76,7 @@
         life: u64::MAX >> 20,
         sequence: 1 << 40,
     };
-    // What is told of weights goes into another one.
+    // The newest weights go into another report.
     assert!(!report.has_space_for_weights());
     let mut datagram = encode_body(Body::RelayReport(relay_report_message(&report)));
     datagram.extend(encode_body(Body::RelayReport(included_message(included))));
@@ -172,8 +172,8 @@
     assert_eq!(quiet.pieces(2), [quiet]);
 }
 
-/// A zone of a fleet of 1,000 nodes has 200; named in one report they would not fit a
-/// receiver's buffer, and no node would know any other.
+/// A zone of a fleet of 1,000 nodes has 200 nodes. Listed in one report they would exceed
+/// the receive buffer, and no node would know any other.
 #[test]
 fn all_nodes_of_a_large_zone_are_listed_a_few_in_each_report() {
     for (nodes, periods) in [(1, 10), (59, 10), (200, 10), (400, 10), (2_000, 42)] {
--- a/crates/gateway/tests/snapshots.rs
+++ b/crates/gateway/tests/snapshots.rs
@@ -1,9 +1,9 @@
-//! All engines for all nodes of a zone at once.
+//! Snapshots with all engines for all nodes of a zone at once.
 //!
-//! Pattern: 200 nodes of a zone start within 0.3 s before 10,000 engines. A snapshot that
-//! was encoded for each asker, 64 at once within 1.2 s in all, took relays 423 MB and
-//! reached few of them; the others read the store's list, 20 calls each, over links that
-//! the lists filled again.
+//! Failure: 200 nodes of a zone start within 0.3 s, with 10,000 engines. When the snapshot
+//! was encoded for each request, 64 at once and within 1.2 s in all, relays used 423 MB and
+//! few nodes got an answer; the others read the list from the store, 20 calls each, over
+//! links that these lists saturated again.
 
 mod support;
 
@@ -16,11 +16,11 @@
 use support::fleet::{list_silent_nodes, role_of, start_peer, wait_until};
 use support::store::StandInStore;
 
-/// Engines of the fleet: a list of some 50 kB.
+/// Engines of the fleet: their list takes some 50 kB.
 const ENGINES: usize = 500;
-/// Nodes that start together before two relays, more than a relay answers at once. All
-/// run on one machine: with more of them a relay that gets no processor is silent for
-/// 0.8 s, and its followers rightly read the store.
+/// Nodes that start together with two relays, more than a relay answers at once. All run on
+/// one machine: with more of them a relay that gets no processor time is silent for 0.8 s,
+/// and its followers rightly read the store.
 const FOLLOWERS: usize = 12;
 
 fn put_engines(store: &StandInStore) {
--- a/crates/gateway/tests/store_contents.rs
+++ b/crates/gateway/tests/store_contents.rs
@@ -1,4 +1,4 @@
-//! What relays tell their zone of KV cache stores of other regions.
+//! Reports of relays on the contents of KV cache stores of other regions.
 
 use ploverlift_balancing::cache_contents::{CacheEvent, CacheEvents};
 use ploverlift_balancing::cache_stores::{CacheStoreState, CacheStores, StoreUpdate};
@@ -10,9 +10,9 @@
 use std::net::SocketAddr;
 
 const NOW: Millis = Millis(50_000);
-/// Reports over which a relay tells everything once.
+/// Number of reports over which a relay repeats all parts once.
 const PERIODS: u64 = 100;
-/// What is left of an unfragmented datagram beside a relay's header, in bytes.
+/// Space in an unfragmented datagram beside the header of a relay report, in bytes.
 const MAX_MESSAGE_BYTES: usize = 1_200;
 
 fn address(index: u8) -> SocketAddr {
@@ -37,7 +37,7 @@
     in_use.is_some_and(|belief| belief.contents().has("s", &part))
 }
 
-/// A relay that follows a store.
+/// A relay that follows one store.
 #[derive(Default)]
 struct Relay {
     stores: CacheStores,
@@ -64,7 +64,7 @@
     }
 }
 
-/// A node that has the store in its configuration and does not follow it.
+/// A node with the store in its configuration that does not follow it.
 fn follower() -> CacheStores {
     let mut stores = CacheStores::default();
     stores.of_mut(address(1));
@@ -95,13 +95,13 @@
     relay.apply_events(7, vec![event(1, 0)]);
     apply_updates(&mut follower, &relay.next_updates(), NOW);
     assert!(!is_cached(&follower, 1) && is_cached(&follower, 2));
-    // The store restarted: it began empty.
+    // The store restarted and was empty.
     relay.apply_events(8, vec![event(3, 1_000)]);
     apply_updates(&mut follower, &relay.next_updates(), NOW);
     assert!(!is_cached(&follower, 2) && is_cached(&follower, 3));
 }
 
-/// The datagram that told of a drop is lost.
+/// The datagram with an eviction is lost.
 #[test]
 fn a_missed_eviction_is_repaired_by_the_periodic_repeat() {
     let mut relay = Relay::default();
@@ -118,7 +118,7 @@
     assert!((7..200).all(|part| is_cached(&follower, part)));
 }
 
-/// Two relays tell of a store that restarted; one of them does not know yet.
+/// Two relays report a store that restarted; one of them does not know of the restart yet.
 #[test]
 fn a_lagging_relay_does_not_restore_lost_parts() {
     let (mut ahead, mut behind) = (Relay::default(), Relay::default());
@@ -134,7 +134,7 @@
     assert!(is_cached(&follower, 2) && !is_cached(&follower, 1) && !is_cached(&follower, 3));
 }
 
-/// Datagrams are lost, and nodes start late.
+/// Datagrams are lost, or a node starts late.
 #[test]
 fn missed_parts_are_repeated_periodically() {
     let mut relay = Relay::default();
@@ -143,7 +143,7 @@
     relay.next_updates();
     for _ in 0..PERIODS {
         let told = relay.next_updates();
-        // Each turn tells a small part of it.
+        // Each report repeats a small part of the contents.
         assert!(told.iter().map(|told| told.parts.len()).sum::<usize>() < 50);
         apply_updates(&mut follower, &told, NOW);
     }
@@ -166,21 +166,21 @@
     }
 }
 
-/// Length of the message on the wire, in bytes: 8 for each part, up to 3 for its
-/// tokens, 4 and 8 for the store and its life, and the tags.
+/// Length of the message on the wire, in bytes: 8 for each part, up to 3 for its tokens, 4
+/// for the store, 8 for its epoch, and the tags.
 fn encoded_length(told: &StoreUpdate) -> usize {
     let message = store_message(told);
     message.parts.len() * 8 + message.kept_tokens.len() * 3 + 4 + 8 + 12
 }
 
-/// The region is cut off, or the store is lost: relays tell of it no longer.
+/// The region is cut off, or the store is lost: relays stop reporting it.
 #[test]
 fn a_store_that_relays_no_longer_report_is_lost_and_not_used() {
     let mut relay = Relay::default();
     let mut follower = follower();
     relay.apply_events(7, vec![event(1, 1_000)]);
     apply_updates(&mut follower, &relay.next_updates(), NOW);
-    // A relay tells that the store answers even where nothing changes.
+    // A relay reports a store that answers even when nothing changes.
     apply_updates(&mut follower, &relay.next_updates(), NOW.plus(1_500));
     follower.expire_reported(address(1), NOW.plus(3_000));
     assert!(is_cached(&follower, 1));
@@ -191,7 +191,7 @@
     let known = follower.of(address(1)).expect("known");
     assert_eq!(known.state(), CacheStoreState::Lost);
     assert!(!is_cached(&follower, 1));
-    // It is reached again: what it keeps is told as it is found.
+    // The store is reached again: its contents are reported as they are found.
     relay.apply_events(7, vec![event(2, 1_000)]);
     apply_updates(&mut follower, &relay.next_updates(), NOW.plus(9_000));
     assert!(is_cached(&follower, 2));
@@ -204,7 +204,7 @@
     relay.apply_events(7, (0..5_000).map(|part| event(part, 1_000)).collect());
     let first = relay.next_updates();
     assert!(first.iter().map(|told| told.parts.len()).sum::<usize>() < 1_200);
-    // It keeps so many that a turn takes longer.
+    // It has so many parts that repeating them all takes longer.
     for _ in 0..2 * PERIODS {
         apply_updates(&mut follower, &relay.next_updates(), NOW);
     }
