--- a/crates/gateway/src/peers/engine_signals.rs
+++ b/crates/gateway/src/peers/engine_signals.rs
@@ -64,7 +64,7 @@
 }
 
 async fn send_due_reports(gateway: &Gateway, socket: &UdpSocket, is_period: bool, now: Millis) {
-    let occasion = ReportRound {
+    let round = ReportRound {
         is_period,
         passes_on: role(gateway, now) == Role::Relay,
     };
@@ -72,7 +72,7 @@
         let beliefs = &mut *gateway.beliefs();
         SignalChanges {
             groups: beliefs.engine_limits.updates_due(is_period, now),
-            leaving: beliefs.engines.notices.due_reports(occasion, now),
+            leaving: beliefs.engines.notices.due_reports(round, now),
         }
     };
     let wants_all = !knows_signals(gateway);
--- a/crates/gateway/src/peers/followed_relays.rs
+++ b/crates/gateway/src/peers/followed_relays.rs
@@ -13,13 +13,13 @@
 const MAX_BEHIND_MS: u64 = 600;
 /// Time after which a missed change is requested, in milliseconds: the next two reports
 /// repeat it.
-const ASK_AFTER_MS: u64 = 220;
+const REQUEST_DELAY_MS: u64 = 220;
 /// Time for which no relay is relied on after requests failed, in milliseconds.
 const DISTRUST_MS: u64 = 2_000;
 
 /// Maximum wait for the answer of a relay, in milliseconds: 200 nodes of a zone share two
 /// relays, whose links need 4 s to send a list of 10,000 engines to all of them.
-pub const LONGEST_FETCH_MS: u64 = 10_000;
+pub const MAX_FETCH_MS: u64 = 10_000;
 
 /// The last known state of one relay.
 #[derive(Clone, Copy, Debug)]
@@ -99,9 +99,9 @@
             // Reports may arrive out of order.
             changes_through: report.changes_through.max(through_before),
         };
-        let is_other_life =
+        let is_other_incarnation =
             |cursor: CatalogueCursor| cursor.relay == report.loads.sender && cursor.life != life;
-        if self.cursor.is_some_and(is_other_life) {
+        if self.cursor.is_some_and(is_other_incarnation) {
             // What the current incarnation knows proves nothing about the reports of the
             // former one.
             self.behind_since.get_or_insert(now);
@@ -145,7 +145,7 @@
     /// Whether a request for all engines is pending.
     pub fn is_fetching(&self, now: Millis) -> bool {
         let since = self.fetching_since;
-        since.is_some_and(|since| now.since(since) < LONGEST_FETCH_MS)
+        since.is_some_and(|since| now.since(since) < MAX_FETCH_MS)
     }
 
     /// Whether a report of this relay was received recently.
@@ -243,7 +243,7 @@
             return None;
         }
         let since = *self.behind_since.get_or_insert(now);
-        (now.since(since) >= ASK_AFTER_MS).then_some(SnapshotNeed {
+        (now.since(since) >= REQUEST_DELAY_MS).then_some(SnapshotNeed {
             relay: cursor.relay,
             address: relay.address,
             wants_engines: true,
--- a/crates/gateway/src/peers/messages.rs
+++ b/crates/gateway/src/peers/messages.rs
@@ -33,12 +33,12 @@
 /// stays within its datagram. Usually there are no lost engines.
 const PLACEMENTS_DISPLACED_BY_LOSSES: usize = 6;
 
-/// Maximum number of placements in a report with these lost engines, where `most` is the
-/// maximum without them.
-pub fn placement_capacity(most: usize, lost: &[LostEngine]) -> usize {
+/// Maximum number of placements in a report with these lost engines, where
+/// `max_without_losses` is the maximum without them.
+pub fn placement_capacity(max_without_losses: usize, lost: &[LostEngine]) -> usize {
     match lost.is_empty() {
-        true => most,
-        false => most - PLACEMENTS_DISPLACED_BY_LOSSES,
+        true => max_without_losses,
+        false => max_without_losses - PLACEMENTS_DISPLACED_BY_LOSSES,
     }
 }
 
--- a/crates/gateway/src/peers/roles.rs
+++ b/crates/gateway/src/peers/roles.rs
@@ -27,7 +27,7 @@
 const RESTART_WAIT_MS: u64 = 900;
 /// Maximum time after its start for which a node waits for live relays that do not know all
 /// engines yet, in milliseconds: reading 20,000 engines takes them 2 s.
-const LONGEST_START_MS: u64 = 6_000;
+const MAX_START_WAIT_MS: u64 = 6_000;
 /// Interval at which a node checks whether relays can be followed, in milliseconds. Three
 /// feeds check on each node. Together with the share of the bound for which knowledge may
 /// be stale ([`engines_age_limit_ms`]) it leaves 0.25 s of a bound of 2 s on leaving
@@ -236,7 +236,7 @@
         false => RESTART_WAIT_MS,
     };
     let uptime_ms = now.since(gateway.started_at);
-    let is_new = uptime_ms < wait_ms || (uptime_ms < LONGEST_START_MS && awaits_relay(gateway));
+    let is_new = uptime_ms < wait_ms || (uptime_ms < MAX_START_WAIT_MS && awaits_relay(gateway));
     is_new && matches!(role(gateway, now), Role::Undecided | Role::Follower)
 }
 
--- a/crates/gateway/src/peers/snapshot.rs
+++ b/crates/gateway/src/peers/snapshot.rs
@@ -3,7 +3,7 @@
 //! The messages are too large for a datagram. Each connection carries one request and one
 //! answer, both with a length prefix.
 
-use super::followed_relays::{CatalogueCursor, SnapshotNeed, LONGEST_FETCH_MS};
+use super::followed_relays::{CatalogueCursor, SnapshotNeed, MAX_FETCH_MS};
 use super::follower::apply_rollout_news;
 use super::message_fields::{era_plus_one, read_era, read_revision, revision_fields};
 use super::relay_messages::read_change;
@@ -134,12 +134,12 @@
         let answer = read_message(&mut stream).await?;
         decode_snapshot(&answer).context(MessageSnafu)
     };
-    let abandoned = async {
+    let relay_lost = async {
         wait_until_relay_silent(gateway, snapshot_need.relay).await;
         Err(SnapshotError::RelaySilent)
     };
-    let exchange = futures_lite::future::or(exchange, abandoned);
-    let answered = within(LONGEST_FETCH_MS, exchange).await;
+    let exchange = futures_lite::future::or(exchange, relay_lost);
+    let answered = within(MAX_FETCH_MS, exchange).await;
     gateway.beliefs().followed.end_fetch();
     answered.unwrap_or(Err(SnapshotError::TimedOut))
 }
--- a/crates/gateway/src/peers/store_contents.rs
+++ b/crates/gateway/src/peers/store_contents.rs
@@ -84,13 +84,13 @@
         share,
     };
     let share = share_of(contents, period);
-    let kept: Vec<(PartKey, u32)> = contents.kept_in(share).collect();
+    let cached_parts: Vec<(PartKey, u32)> = contents.kept_in(share).collect();
     let changes = changes.chunks(MAX_REPORTED_PARTS);
     let mut pieces: Vec<StoreUpdate> = changes.map(|parts| piece(parts, None)).collect();
     // A share that happens to be too large is truncated and not marked as complete.
-    let complete_share = (kept.len() <= MAX_REPORTED_PARTS).then_some(share);
+    let complete_share = (cached_parts.len() <= MAX_REPORTED_PARTS).then_some(share);
     pieces.push(piece(
-        &kept[..kept.len().min(MAX_REPORTED_PARTS)],
+        &cached_parts[..cached_parts.len().min(MAX_REPORTED_PARTS)],
         complete_share,
     ));
     pieces
--- a/crates/gateway/tests/engine_limits/fleets.rs
+++ b/crates/gateway/tests/engine_limits/fleets.rs
@@ -42,9 +42,9 @@
         let allowed = max_in_window(LIMIT);
         assert!(worst <= allowed, "{worst} in a window, allowed {allowed}");
         let used = arrivals_in(engine, from, OBSERVED_SPAN) as f64;
-        let room = LIMIT * OBSERVED_SPAN.as_secs_f64();
-        let allowed = 0.8 * room..=room + BURST;
-        assert!(allowed.contains(&used), "{used} of {room} were used");
+        let capacity = LIMIT * OBSERVED_SPAN.as_secs_f64();
+        let allowed = 0.8 * capacity..=capacity + BURST;
+        assert!(allowed.contains(&used), "{used} of {capacity} were used");
     }
     (site, traffic, from)
 }
@@ -87,7 +87,10 @@
         println!("held for {longest:?} at most; a timer was late by {late:?} at most");
         assert!(longest < Some(MAX_HOLD), "held for {longest:?}");
         let served = asked.len() - rejected.count();
-        let room = LIMIT * ENGINES as f64 * OBSERVED_SPAN.as_secs_f64();
-        assert!(served as f64 >= 0.8 * room, "{served} served of {room}");
+        let capacity = LIMIT * ENGINES as f64 * OBSERVED_SPAN.as_secs_f64();
+        assert!(
+            served as f64 >= 0.8 * capacity,
+            "{served} served of {capacity}"
+        );
     });
 }
--- a/crates/gateway/tests/snapshots.rs
+++ b/crates/gateway/tests/snapshots.rs
@@ -79,14 +79,14 @@
         };
         let first = snapshot(&node.gateway, &request);
         let second = snapshot(&node.gateway, &request);
-        let engines_of = |told: &ploverlift_gateway::peers::snapshot::EncodedSnapshot| {
-            told.parts().last().map(<[u8]>::as_ptr)
+        let engines_of = |encoded: &ploverlift_gateway::peers::snapshot::EncodedSnapshot| {
+            encoded.parts().last().map(<[u8]>::as_ptr)
         };
         assert_eq!(engines_of(&first), engines_of(&second));
         let message: Vec<u8> = first.parts().flatten().copied().collect();
-        let told = decode_snapshot(&message).expect("a snapshot");
-        assert_eq!(told.engines.len(), ENGINES);
-        assert!(told.configuration.is_some());
-        assert_eq!(told.life, node.gateway.life);
+        let decoded = decode_snapshot(&message).expect("a snapshot");
+        assert_eq!(decoded.engines.len(), ENGINES);
+        assert!(decoded.configuration.is_some());
+        assert_eq!(decoded.life, node.gateway.life);
     });
 }
--- a/crates/gateway/tests/store_contents.rs
+++ b/crates/gateway/tests/store_contents.rs
@@ -71,9 +71,9 @@
     stores
 }
 
-fn apply_updates(stores: &mut CacheStores, told: &[StoreUpdate], now: Millis) {
-    for told in told {
-        stores.apply_reported(&read_store(&store_message(told)), now);
+fn apply_updates(stores: &mut CacheStores, reported: &[StoreUpdate], now: Millis) {
+    for reported in reported {
+        stores.apply_reported(&read_store(&store_message(reported)), now);
     }
 }
 
@@ -142,10 +142,16 @@
     relay.apply_events(7, (0..500).map(|part| event(part, 1_000)).collect());
     relay.next_updates();
     for _ in 0..PERIODS {
-        let told = relay.next_updates();
+        let reported = relay.next_updates();
         // Each report repeats a small part of the contents.
-        assert!(told.iter().map(|told| told.parts.len()).sum::<usize>() < 50);
-        apply_updates(&mut follower, &told, NOW);
+        assert!(
+            reported
+                .iter()
+                .map(|reported| reported.parts.len())
+                .sum::<usize>()
+                < 50
+        );
+        apply_updates(&mut follower, &reported, NOW);
     }
     assert!((0..500).all(|part| is_cached(&follower, part)));
 }
@@ -157,19 +163,19 @@
         u64::MAX,
         (0..500).map(|part| event(part, 200_000)).collect(),
     );
-    let told = relay.next_updates();
-    assert!(told.len() > 5);
-    for told in told {
-        assert!(told.parts.len() <= MAX_REPORTED_PARTS);
-        let encoded = encoded_length(&told);
+    let reported = relay.next_updates();
+    assert!(reported.len() > 5);
+    for reported in reported {
+        assert!(reported.parts.len() <= MAX_REPORTED_PARTS);
+        let encoded = encoded_length(&reported);
         assert!(encoded <= MAX_MESSAGE_BYTES, "{encoded} bytes");
     }
 }
 
 /// Length of the message on the wire, in bytes: 8 for each part, up to 3 for its tokens, 4
 /// for the store, 8 for its epoch, and the tags.
-fn encoded_length(told: &StoreUpdate) -> usize {
-    let message = store_message(told);
+fn encoded_length(reported: &StoreUpdate) -> usize {
+    let message = store_message(reported);
     message.parts.len() * 8 + message.kept_tokens.len() * 3 + 4 + 8 + 12
 }
 
@@ -203,7 +209,13 @@
     let mut follower = follower();
     relay.apply_events(7, (0..5_000).map(|part| event(part, 1_000)).collect());
     let first = relay.next_updates();
-    assert!(first.iter().map(|told| told.parts.len()).sum::<usize>() < 1_200);
+    assert!(
+        first
+            .iter()
+            .map(|reported| reported.parts.len())
+            .sum::<usize>()
+            < 1_200
+    );
     // It has so many parts that repeating them all takes longer.
     for _ in 0..2 * PERIODS {
         apply_updates(&mut follower, &relay.next_updates(), NOW);
