--- a/crates/gateway/src/peers/engine_limits.rs
+++ b/crates/gateway/src/peers/engine_limits.rs
@@ -27,8 +27,10 @@
         .filter(|engine| engines.by_tag(*engine).is_some())
         .collect();
     let is_known = |engine| present.contains(&engine);
-    let rate_limits = &mut beliefs.engines.rate_limits;
-    beliefs.engine_limits.expire(is_known, rate_limits, now);
+    let engine_rate_limits = &mut beliefs.engines.rate_limits;
+    beliefs
+        .engine_limits
+        .expire(is_known, engine_rate_limits, now);
 }
 
 /// Applies the report of another node on one group; returns whether it changed anything.
@@ -47,10 +49,10 @@
     };
     let before = limits_of(beliefs);
     let holder_before = beliefs.engine_limits.holder(news.group);
-    let rate_limits = &mut beliefs.engines.rate_limits;
+    let engine_rate_limits = &mut beliefs.engines.rate_limits;
     let is_new = beliefs
         .engine_limits
-        .apply_update(news, passes_on, rate_limits, now);
+        .apply_update(news, passes_on, engine_rate_limits, now);
     let after = limits_of(beliefs);
     for ((reported, before), after) in news.limits.iter().zip(before).zip(after) {
         if before != after {
@@ -70,7 +72,7 @@
 /// Applies the limit that another node read from an answer of its engine.
 pub fn handle_observation(gateway: &Gateway, reported: &ReportedObservation) {
     let now = gateway.clock.now();
-    let observation = Observation {
+    let observed = Observation {
         engine: reported.engine,
         limit: reported.limit,
         sent_at: now.before(reported.sent_age_ms),
@@ -78,9 +80,9 @@
     };
     let beliefs = &mut *gateway.beliefs();
     let before = beliefs.engine_limits.limit_of(reported.engine);
-    let rate_limits = &mut beliefs.engines.rate_limits;
+    let engine_rate_limits = &mut beliefs.engines.rate_limits;
     let limits = &mut beliefs.engine_limits;
-    if limits.apply_observation(&observation, reported.group, rate_limits, now) {
+    if limits.apply_observation(&observed, reported.group, engine_rate_limits, now) {
         log_limit(
             gateway,
             beliefs,
--- a/crates/gateway/src/peers/follower.rs
+++ b/crates/gateway/src/peers/follower.rs
@@ -73,7 +73,7 @@
         apply_rollout_news(&mut beliefs, news, answers, settings, now)
     });
     let configuration = beliefs.configuration_version();
-    let snapshot_need = beliefs.followed.snapshot_need(configuration, limit_ms, now);
+    let missing = beliefs.followed.snapshot_need(configuration, limit_ms, now);
     drop(beliefs);
     log_engine_updates(gateway, &changes, UpdateSource::Relay);
     hear_weights(gateway, &report.weights, sent_at, NewsOrigin::Relay);
@@ -82,7 +82,7 @@
     if !report.lost.is_empty() || !report.changes.is_empty() {
         gateway.engine_check_due.notify(usize::MAX);
     }
-    if snapshot_need.is_some() {
+    if missing.is_some() {
         gateway.snapshot_due.notify(usize::MAX);
     }
 }
--- a/crates/gateway/src/peers/incoming.rs
+++ b/crates/gateway/src/peers/incoming.rs
@@ -137,8 +137,8 @@
             }
             _ => Vec::new(),
         };
-        let relaying = &mut beliefs.relaying;
-        relaying.forward_placement(*placement, change, &others, is_from_zone);
+        let forwarding = &mut beliefs.relaying;
+        forwarding.forward_placement(*placement, change, &others, is_from_zone);
     }
     for loaded in &report.loaded {
         if beliefs.engines.note_loaded_weights(loaded) {
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -112,7 +112,7 @@
             Some(PeerMessage::Weights(report)) => handle_weights_report(&gateway, &report, from),
             Some(PeerMessage::Quarantine(report)) => handle_quarantine_report(&gateway, &report),
             Some(PeerMessage::EngineSignals(report)) => handle_signals(&gateway, &report, from),
-            Some(PeerMessage::EngineLimitObserved(report)) => handle_observation(&gateway, &report),
+            Some(PeerMessage::EngineLimitObserved(seen)) => handle_observation(&gateway, &seen),
             Some(PeerMessage::TokenRequest(asked)) => answer_token_request(&gateway, &asked, from),
             Some(PeerMessage::TokenAnswer(numbered)) => {
                 gateway
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -60,12 +60,12 @@
     /// Sends reports while this node is a relay, until the task is dropped.
     pub async fn run(mut self) {
         let gateway = Arc::clone(&self.gateway);
-        let mut report_due = gateway.report_due.listen();
+        let mut urgent_report = gateway.report_due.listen();
         loop {
             sleep(MIN_PERIOD_MS).await;
-            within(RELAY_PERIOD_MS - MIN_PERIOD_MS, report_due).await;
+            within(RELAY_PERIOD_MS - MIN_PERIOD_MS, urgent_report).await;
             // Changes that become urgent while reports are sent go out with the next ones.
-            report_due = gateway.report_due.listen();
+            urgent_report = gateway.report_due.listen();
             let now = gateway.clock.now();
             self.update_role(now);
             if self.role != Role::Relay {
@@ -111,8 +111,8 @@
                 true => PlacementChange::Kept { holders: 1 },
                 false => PlacementChange::Dropped,
             };
-            let relaying = &mut beliefs.relaying;
-            relaying.forward_placement(placement, change, &[], true);
+            let forwarding = &mut beliefs.relaying;
+            forwarding.forward_placement(placement, change, &[], true);
         }
     }
 
