--- a/crates/gateway/src/beliefs.rs
+++ b/crates/gateway/src/beliefs.rs
@@ -219,7 +219,9 @@
             self.engines.note_loaded_weights(loaded);
         }
         if let Some(renewal) = lease {
-            self.leases.of_mut(LeaseName::Weights).hear(renewal, now);
+            self.leases
+                .of_mut(LeaseName::Weights)
+                .note_announced(renewal, now);
         }
     }
 
--- a/crates/gateway/src/leases/holder.rs
+++ b/crates/gateway/src/leases/holder.rs
@@ -20,10 +20,10 @@
 /// The holder renews when its last renewal is so old, in milliseconds.
 const RENEW_AFTER_MS: u64 = 400;
 /// Added to the bound between two holders, in milliseconds.
-const MARGIN_MS: u64 = 200;
+const HANDOVER_MARGIN_MS: u64 = 200;
 /// Time between two looks at another node's lease, in milliseconds. Only nodes
 /// that would succeed its holder look.
-const LOOK_PERIOD_MS: u64 = 700;
+const READ_PERIOD_MS: u64 = 700;
 /// Pause after a call that failed while this node does not hold the lease, in
 /// milliseconds: a store that is away is not asked again and again.
 const RETRY_MS: u64 = 250;
@@ -42,7 +42,7 @@
 
 struct LeaseIo {
     client: StoreClient,
-    looked_at: Option<Millis>,
+    last_read_at: Option<Millis>,
     failed_at: Option<Millis>,
 }
 
@@ -64,7 +64,7 @@
             view: Mutex::new(view),
             io: smol::lock::Mutex::new(LeaseIo {
                 client: StoreClient::with_timeout(gateway, CALL_TIMEOUT_MS),
-                looked_at: None,
+                last_read_at: None,
                 failed_at: None,
             }),
         }
@@ -77,14 +77,14 @@
 
     /// The view with all that this node has learned elsewhere: the era of the store, and
     /// what holders told in reports.
-    fn present_view(&self, now: Millis) -> MutexGuard<'_, LeaseView> {
-        let heard = self.gateway.beliefs().leases.of(self.lease).heard;
+    fn current_view(&self, now: Millis) -> MutexGuard<'_, LeaseView> {
+        let announced = self.gateway.beliefs().leases.of(self.lease).announced;
         let mut view = self.view();
         if let Some(era) = self.gateway.store_era.get() {
             view.on_era(era, now);
         }
-        if let Some(heard) = heard {
-            view.on_holder_announced(heard.renewal.token, heard.heard_at);
+        if let Some(announced) = announced {
+            view.on_holder_announced(announced.renewal.token, announced.received_at);
         }
         view
     }
@@ -97,7 +97,7 @@
     /// The fencing token, while this node may act as the holder.
     pub fn token(&self) -> Option<FencingToken> {
         let now = self.gateway.clock.now();
-        let token = self.present_view(now).token(now);
+        let token = self.current_view(now).token(now);
         let (lease, metrics) = (self.lease.stored_name(), &self.gateway.metrics);
         metrics.set_fencing_token(lease, token.map(|token| token.0));
         token
@@ -114,7 +114,7 @@
 
     /// Whether this node was the last holder that it knows of.
     pub fn is_own(&self) -> bool {
-        self.present_view(self.gateway.clock.now()).is_own_lease()
+        self.current_view(self.gateway.clock.now()).is_own_lease()
     }
 
     /// Reads the lease unless it was read lately: the time after which it counts
@@ -122,39 +122,39 @@
     pub async fn observe_once(&self) {
         let now = self.gateway.clock.now();
         let mut io = self.io.lock().await;
-        if io.looked_at.is_none() {
-            io.looked_at = Some(now);
-            self.look(&mut io).await;
+        if io.last_read_at.is_none() {
+            io.last_read_at = Some(now);
+            self.read_stored(&mut io).await;
         }
     }
 
     /// Reads the lease if nothing is known of it in the present era of the store: the wait
     /// for a holder that may be alive runs before there is anything to do.
-    pub async fn observe_unread(&self) {
+    pub async fn observe_if_unread(&self) {
         let now = self.gateway.clock.now();
         let mut io = self.io.lock().await;
-        let is_unread = self.present_view(now).is_unread();
+        let is_unread = self.current_view(now).is_unread();
         if is_unread && !io.has_just_failed(now) {
-            self.look(&mut io).await;
+            self.read_stored(&mut io).await;
         }
     }
 
     /// There is nothing to do: the next time there is, the lease is read anew.
-    pub fn rest(&self) {
+    pub fn note_idle(&self) {
         self.gateway.beliefs().leases.of_mut(self.lease).held = None;
         if let Some(mut io) = self.io.try_lock() {
-            io.looked_at = None;
+            io.last_read_at = None;
         }
     }
 
     /// Renews the lease or asks for it; tells whether this node may act as the holder.
-    pub async fn keep(&self) -> bool {
-        let is_kept = self.try_keep().await;
-        let held = is_kept.then(|| self.last_renewal());
+    pub async fn renew_or_acquire(&self) -> bool {
+        let may_act = self.try_renew_or_acquire().await;
+        let held = may_act.then(|| self.last_renewal());
         let mut beliefs = self.gateway.beliefs();
         beliefs.leases.of_mut(self.lease).held = held.flatten();
         drop(beliefs);
-        is_kept
+        may_act
     }
 
     fn last_renewal(&self) -> Option<LeaseRenewal> {
@@ -166,26 +166,26 @@
         })
     }
 
-    async fn try_keep(&self) -> bool {
+    async fn try_renew_or_acquire(&self) -> bool {
         let mut io = self.io.lock().await;
         let now = self.gateway.clock.now();
         let is_own = self.is_own();
-        if !is_own && self.present_view(now).has_recent_announcement(now) {
+        if !is_own && self.current_view(now).has_recent_announcement(now) {
             return false;
         }
         if io.has_just_failed(now) && self.token().is_none() {
             return false;
         }
-        let is_look_due = io
-            .looked_at
-            .is_none_or(|looked| now.since(looked) >= LOOK_PERIOD_MS);
-        if !is_own && (is_look_due || self.view().is_unread()) {
-            io.looked_at = Some(now);
-            self.look(&mut io).await;
+        let is_read_due = io
+            .last_read_at
+            .is_none_or(|read_at| now.since(read_at) >= READ_PERIOD_MS);
+        if !is_own && (is_read_due || self.view().is_unread()) {
+            io.last_read_at = Some(now);
+            self.read_stored(&mut io).await;
         }
         let now = self.gateway.clock.now();
-        let wants = !self.shares_its_number();
-        let step = self.present_view(now).step(wants, unix_ms(), now);
+        let may_acquire = !self.yields_shared_number();
+        let step = self.current_view(now).step(may_acquire, unix_ms(), now);
         match step {
             LeaseStep::Wait => {}
             LeaseStep::Write(write) => self.write(&mut io, write).await,
@@ -200,7 +200,7 @@
 
     /// Whether another known node has this node's number in fencing tokens; of two, the one
     /// with the lower id stands for the lease.
-    fn shares_its_number(&self) -> bool {
+    fn yields_shared_number(&self) -> bool {
         let own = PeerId::of(&self.name);
         let number = NodeNumber::of_hash(own.0);
         let book = self.gateway.address_book();
@@ -210,10 +210,10 @@
         shares
     }
 
-    async fn look(&self, io: &mut LeaseIo) {
+    async fn read_stored(&self, io: &mut LeaseIo) {
         let name = self.lease.stored_name();
         match io.client.get(StoreKind::Leases, name).await {
-            Ok(object) => self.see(object.as_ref(), io.client.answered_era()),
+            Ok(object) => self.apply_read(object.as_ref(), io.client.answered_era()),
             Err(error) => {
                 io.failed_at = Some(self.gateway.clock.now());
                 slog::debug!(self.gateway.log, "lease not read"; "error" => error.to_string());
@@ -222,7 +222,7 @@
     }
 
     /// Takes in the lease as it was read, or that there is none.
-    fn see(&self, object: Option<&StoreObject>, era: StoreEra) {
+    fn apply_read(&self, object: Option<&StoreObject>, era: StoreEra) {
         let now = self.gateway.clock.now();
         let stored = object.map(read_lease);
         if stored.as_ref().is_some_and(Option::is_none) {
@@ -231,25 +231,25 @@
             return;
         }
         let stored = stored.flatten();
-        let heard = self.gateway.beliefs().leases.of(self.lease).heard;
-        let heard = heard.filter(|heard| {
-            let renewal = heard.renewal;
-            let seen = stored.as_ref();
-            seen.is_some_and(|lease| {
+        let announced = self.gateway.beliefs().leases.of(self.lease).announced;
+        let announced = announced.filter(|announced| {
+            let renewal = announced.renewal;
+            let read = stored.as_ref();
+            read.is_some_and(|lease| {
                 let number = StoreRevision::of_packed(lease.version.0).number;
                 number == renewal.revision && lease.token() == renewal.token
             })
         });
-        let known_at = heard.map_or(now, |heard| heard.heard_at);
-        let mut view = self.present_view(now);
+        let known_at = announced.map_or(now, |announced| announced.received_at);
+        let mut view = self.current_view(now);
         if stored.is_none() {
-            self.note_absent(&view, era);
+            self.note_missing(&view, era);
         }
         view.on_read(stored, era, known_at);
     }
 
     /// The store has no lease.
-    fn note_absent(&self, view: &LeaseView, era: StoreEra) {
+    fn note_missing(&self, view: &LeaseView, era: StoreEra) {
         let Some(known) = view.observed_lease() else {
             return;
         };
@@ -288,8 +288,8 @@
                     "ground" => write.reason.name());
                 self.view().on_write_failed();
                 match current.filter(|current| read_lease(current).is_some()) {
-                    Some(current) => self.see(Some(&current), era),
-                    None => self.look(io).await,
+                    Some(current) => self.apply_read(Some(&current), era),
+                    None => self.read_stored(io).await,
                 }
             }
             Err(error) => {
@@ -298,7 +298,7 @@
                     "ground" => write.reason.name());
                 self.view().on_write_failed();
                 io.failed_at = Some(self.gateway.clock.now());
-                self.look_for(io, write).await;
+                self.confirm_write(io, write).await;
             }
         }
     }
@@ -313,7 +313,7 @@
                 "lease" => self.lease.stored_name(), "written_for" => lease.era.0, "era" => era.0);
         }
         let now = self.gateway.clock.now();
-        self.present_view(now)
+        self.current_view(now)
             .on_written(lease, write.began, era, now);
     }
 
@@ -334,7 +334,7 @@
 
     /// After a write without an answer: if the store holds just what was
     /// written, the write was done, and not before it `began`.
-    async fn look_for(&self, io: &mut LeaseIo, write: LeaseWrite) {
+    async fn confirm_write(&self, io: &mut LeaseIo, write: LeaseWrite) {
         let name = self.lease.stored_name();
         let Ok(object) = io.client.get(StoreKind::Leases, name).await else {
             return;
@@ -344,7 +344,7 @@
         let is_as_written = stored
             .is_some_and(|stored| stored.spec == write.lease.spec && stored.era == write.lease.era);
         let Some(object) = object.as_ref().filter(|_| is_as_written) else {
-            return self.see(object.as_ref(), era);
+            return self.apply_read(object.as_ref(), era);
         };
         slog::info!(self.gateway.log, "lease found written";
             "lease" => name, "revision" => object.revision, "ground" => write.reason.name());
@@ -372,5 +372,5 @@
 /// Time after which a lease that was not renewed counts as expired, in
 /// milliseconds.
 fn duration_ms(settings: &GatewaySettings) -> u64 {
-    settings.bounds.lease_ms + STOP_ACTING_AFTER_MS + MARGIN_MS
+    settings.bounds.lease_ms + STOP_ACTING_AFTER_MS + HANDOVER_MARGIN_MS
 }
--- a/crates/gateway/src/leases/mod.rs
+++ b/crates/gateway/src/leases/mod.rs
@@ -44,50 +44,50 @@
 
 /// A renewal of a lease of which its holder told this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeardLease {
+pub struct AnnouncedLease {
     /// The renewal.
     pub renewal: LeaseRenewal,
     /// When this node first heard of it.
-    pub heard_at: Millis,
+    pub received_at: Millis,
 }
 
 /// What this node knows of one lease without reading the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LeaseNews {
+pub struct LeaseKnowledge {
     /// The last renewal, while this node holds the lease.
     pub held: Option<LeaseRenewal>,
     /// The newest renewal of which its holder told this node.
-    pub heard: Option<HeardLease>,
+    pub announced: Option<AnnouncedLease>,
 }
 
-impl LeaseNews {
+impl LeaseKnowledge {
     /// The holder told of its last renewal.
-    pub fn hear(&mut self, renewal: LeaseRenewal, now: Millis) {
-        if self.heard.is_none_or(|known| known.renewal < renewal) {
-            self.heard = Some(HeardLease {
+    pub fn note_announced(&mut self, renewal: LeaseRenewal, now: Millis) {
+        if self.announced.is_none_or(|known| known.renewal < renewal) {
+            self.announced = Some(AnnouncedLease {
                 renewal,
-                heard_at: now,
+                received_at: now,
             });
         }
     }
 
     /// The newest renewal that is known.
     pub fn newest(&self) -> Option<LeaseRenewal> {
-        let heard = self.heard.map(|heard| heard.renewal);
-        self.held.max(heard)
+        let announced = self.announced.map(|announced| announced.renewal);
+        self.held.max(announced)
     }
 }
 
 /// What this node knows of all leases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeaseBeliefs {
-    weights: LeaseNews,
-    rollouts: LeaseNews,
+    weights: LeaseKnowledge,
+    rollouts: LeaseKnowledge,
 }
 
 impl LeaseBeliefs {
     /// One lease.
-    pub fn of(&self, name: LeaseName) -> &LeaseNews {
+    pub fn of(&self, name: LeaseName) -> &LeaseKnowledge {
         match name {
             LeaseName::Weights => &self.weights,
             LeaseName::Rollouts => &self.rollouts,
@@ -95,7 +95,7 @@
     }
 
     /// One lease, to take in news of it.
-    pub fn of_mut(&mut self, name: LeaseName) -> &mut LeaseNews {
+    pub fn of_mut(&mut self, name: LeaseName) -> &mut LeaseKnowledge {
         match name {
             LeaseName::Weights => &mut self.weights,
             LeaseName::Rollouts => &mut self.rollouts,
--- a/crates/gateway/src/leases/succession.rs
+++ b/crates/gateway/src/leases/succession.rs
@@ -9,33 +9,33 @@
 /// Time between two of them, in milliseconds, so that not all ask at once.
 const SUCCESSION_STEP_MS: u64 = 100;
 /// The wait of the last one that stands by, in milliseconds.
-pub const LAST_SUCCESSOR_MS: u64 = SUCCESSORS * SUCCESSION_STEP_MS;
+pub const LAST_SUCCESSOR_DELAY_MS: u64 = SUCCESSORS * SUCCESSION_STEP_MS;
 /// The wait of all other nodes, in milliseconds.
-const OTHERS_WAIT_MS: u64 = 1_500;
+const NON_SUCCESSOR_DELAY_MS: u64 = 1_500;
 
 /// Time by which this node waits longer than the holder before it asks for the
 /// lease, in milliseconds. The relays, or in a small fleet the nodes that hear of
 /// each other, are ordered by their names; the first few succeed one after the
 /// other, and the many others neither look at the lease nor ask for it unless all
 /// of those fail.
-pub fn succession_ms(gateway: &Gateway) -> u64 {
-    match turn(gateway) {
-        Some(turn) if turn < SUCCESSORS => turn * SUCCESSION_STEP_MS,
-        _ => OTHERS_WAIT_MS,
+pub fn succession_delay_ms(gateway: &Gateway) -> u64 {
+    match succession_rank(gateway) {
+        Some(position) if position < SUCCESSORS => position * SUCCESSION_STEP_MS,
+        _ => NON_SUCCESSOR_DELAY_MS,
     }
 }
 
 /// Whether this node is among the first to succeed a holder, and knows its role: at the
 /// start all nodes would take themselves for the first.
-pub fn stands_for_leases(gateway: &Gateway) -> bool {
+pub fn is_lease_candidate(gateway: &Gateway) -> bool {
     let role = role(gateway, gateway.clock.now());
     let is_settled = matches!(role, Role::Direct | Role::Relay);
-    is_settled && succession_ms(gateway) <= LAST_SUCCESSOR_MS
+    is_settled && succession_delay_ms(gateway) <= LAST_SUCCESSOR_DELAY_MS
 }
 
 /// This node's place in the order of the relays, or in a small fleet of the nodes that
 /// hear of each other; nothing when it follows relays.
-pub fn turn(gateway: &Gateway) -> Option<u64> {
+pub fn succession_rank(gateway: &Gateway) -> Option<u64> {
     let own = PeerId::of(&gateway.settings().node.name);
     let now = gateway.clock.now();
     let rank = match role(gateway, now) {
--- a/crates/gateway/src/peers/incoming.rs
+++ b/crates/gateway/src/peers/incoming.rs
@@ -104,7 +104,7 @@
         beliefs
             .leases
             .of_mut(LeaseName::Rollouts)
-            .hear(renewal, now);
+            .note_announced(renewal, now);
     }
 }
 
@@ -142,6 +142,9 @@
         }
     }
     if let Some(renewal) = report.lease {
-        beliefs.leases.of_mut(LeaseName::Weights).hear(renewal, now);
+        beliefs
+            .leases
+            .of_mut(LeaseName::Weights)
+            .note_announced(renewal, now);
     }
 }
--- a/crates/gateway/src/rollouts/decider.rs
+++ b/crates/gateway/src/rollouts/decider.rs
@@ -10,7 +10,7 @@
 use super::service::ServiceRollout;
 use super::stage_log::{log_decision, reason_name};
 use super::{exchange::Reporter, rollout_settings};
-use crate::leases::succession::{stands_for_leases, succession_ms, LAST_SUCCESSOR_MS};
+use crate::leases::succession::{is_lease_candidate, succession_delay_ms, LAST_SUCCESSOR_DELAY_MS};
 use crate::leases::{LeaseHolder, LeaseName};
 use crate::ports::{StoreError, StoreKind, StoreObject};
 use crate::state::Gateway;
@@ -45,20 +45,20 @@
         let is_open = gateway.beliefs().rollouts.is_any_open();
         let wait_ms = match holder.is_own() {
             true => 0,
-            false => succession_ms(&gateway),
+            false => succession_delay_ms(&gateway),
         };
-        if !is_open || wait_ms > LAST_SUCCESSOR_MS || gateway.is_stopping() {
-            holder.rest();
+        if !is_open || wait_ms > LAST_SUCCESSOR_DELAY_MS || gateway.is_stopping() {
+            holder.note_idle();
             decision_loop.deciders.clear();
-            if stands_for_leases(&gateway) {
-                holder.observe_unread().await;
+            if is_lease_candidate(&gateway) {
+                holder.observe_if_unread().await;
             }
             within(IDLE_PERIOD_MS, changed).await;
             continue;
         }
         holder.observe_once().await;
         sleep(wait_ms).await;
-        if !holder.keep().await {
+        if !holder.renew_or_acquire().await {
             decision_loop.deciders.clear();
             sleep(PERIOD_MS).await;
             continue;
--- a/crates/gateway/src/weights/knowledge.rs
+++ b/crates/gateway/src/weights/knowledge.rs
@@ -6,7 +6,7 @@
 //! while it is young. The nodes take turns, and each tells the others, so one call
 //! serves all of them.
 
-use crate::leases::succession::turn;
+use crate::leases::succession::succession_rank;
 use crate::peers::roles::{are_engines_told, role, waits_for_store_alone, Role};
 use crate::ports::{StoreKind, StoreObject};
 use crate::state::Gateway;
@@ -135,8 +135,8 @@
 /// Time by which this node leaves the renewal to the ones before it, in milliseconds.
 /// Those that follow relays are spread: there are many of them.
 fn turn_ms(gateway: &Gateway) -> u64 {
-    match turn(gateway) {
-        Some(turn) => turn.min(TURNS) * TURN_MS,
+    match succession_rank(gateway) {
+        Some(position) => position.min(TURNS) * TURN_MS,
         None => PeerId::of(&gateway.settings().node.name).0 % (TURNS * TURN_MS),
     }
 }
--- a/crates/gateway/src/weights/mod.rs
+++ b/crates/gateway/src/weights/mod.rs
@@ -13,7 +13,7 @@
 
 pub use plan::{outdated_engines, OutdatedEngine};
 
-use crate::leases::succession::{stands_for_leases, succession_ms, LAST_SUCCESSOR_MS};
+use crate::leases::succession::{is_lease_candidate, succession_delay_ms, LAST_SUCCESSOR_DELAY_MS};
 use crate::leases::{LeaseHolder, LeaseName};
 use crate::peers::roles::are_engines_told;
 use crate::state::Gateway;
@@ -40,25 +40,25 @@
         let named = gateway.weights_named.listen();
         if loading.count() == 0 && are_engines_told(&gateway) {
             // The relays stand for the lease.
-            holder.rest();
+            holder.note_idle();
             within(IDLE_PERIOD_MS, named).await;
             continue;
         }
         let outdated = waiting_engines(&gateway, &loading);
         gateway.beliefs().loading = loading.instances();
         if outdated.is_empty() && loading.count() == 0 {
-            holder.rest();
-            if stands_for_leases(&gateway) {
-                holder.observe_unread().await;
+            holder.note_idle();
+            if is_lease_candidate(&gateway) {
+                holder.observe_if_unread().await;
             }
             within(IDLE_PERIOD_MS, named).await;
             continue;
         }
         let waits_ms = match holder.is_own() {
             true => 0,
-            false => succession_ms(&gateway),
+            false => succession_delay_ms(&gateway),
         };
-        if waits_ms <= LAST_SUCCESSOR_MS {
+        if waits_ms <= LAST_SUCCESSOR_DELAY_MS {
             holder.observe_once().await;
         }
         let at_once = loads_at_once(&gateway, &loading, &outdated, waits_ms);
@@ -69,7 +69,7 @@
             continue;
         }
         let next = next_loads(&gateway, &loading, &outdated, at_once);
-        if holder.keep().await {
+        if holder.renew_or_acquire().await {
             begin_loads(&gateway, &holder, &loading, next, at_once);
         }
         sleep(BUSY_PERIOD_MS).await;
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -208,7 +208,10 @@
         revision,
     };
     let mut beliefs = fixture.gateway.beliefs();
-    beliefs.leases.of_mut(LeaseName::Weights).hear(renewal, now);
+    beliefs
+        .leases
+        .of_mut(LeaseName::Weights)
+        .note_announced(renewal, now);
 }
 
 #[test]
@@ -218,7 +221,7 @@
         let holder = LeaseHolder::new(&fixture.gateway, LeaseName::Weights);
         let now = fixture.gateway.clock.now();
         hear_of_lease(&fixture, revision, now);
-        assert!(!holder.keep().await);
+        assert!(!holder.renew_or_acquire().await);
         assert_eq!(fixture.store.calls("get Leases"), LEASES);
         assert_eq!(fixture.store.calls("put Leases"), 0);
     });
@@ -232,7 +235,7 @@
         let now = fixture.gateway.clock.now();
         let long_ago = Millis(now.0 - 10_000);
         hear_of_lease(&fixture, revision, long_ago);
-        assert!(holder.keep().await);
+        assert!(holder.renew_or_acquire().await);
         let number = NodeNumber::of(&NodeName::from("node"));
         let next = FencingToken::next(FencingToken(7), StoreEra(0), number);
         assert_eq!(holder.token(), next);
@@ -248,7 +251,7 @@
         let long_ago = Millis(now.0 - 10_000);
         let earlier = revision - 1;
         hear_of_lease(&fixture, earlier, long_ago);
-        assert!(!holder.keep().await);
+        assert!(!holder.renew_or_acquire().await);
         assert_eq!(fixture.store.calls("put Leases"), 0);
     });
 }
--- a/crates/gateway/tests/suspended.rs
+++ b/crates/gateway/tests/suspended.rs
@@ -195,7 +195,7 @@
     smol::block_on(async {
         let machine = Machine::start(&[], BOUNDS).await;
         let lease = LeaseHolder::new(&machine.node.gateway, LeaseName::Weights);
-        while !lease.keep().await {
+        while !lease.renew_or_acquire().await {
             sleep(LOOK_MS).await;
         }
         assert!(lease.token().is_some());
