--- a/crates/gateway/src/assembly.rs
+++ b/crates/gateway/src/assembly.rs
@@ -24,7 +24,7 @@
 use crate::suspension::notice_standstill;
 use crate::time::{sleep, within};
 use crate::weights::knowledge::{follow_weights, renew_proof};
-use crate::weights::roll_weights;
+use crate::weights::update_engine_weights;
 use ploverlift_clock::Clock;
 use ploverlift_enginelimit::group::NodeAddress;
 use slog::Logger;
@@ -115,7 +115,7 @@
         smol::spawn(advance_gates(Arc::clone(&gateway))),
         smol::spawn(follow_cache_stores(Arc::clone(&gateway))),
         smol::spawn(follow_engine_caches(Arc::clone(&gateway))),
-        smol::spawn(roll_weights(Arc::clone(&gateway))),
+        smol::spawn(update_engine_weights(Arc::clone(&gateway))),
         smol::spawn(check_engines(Arc::clone(&gateway))),
         smol::spawn(keep_quarantine(Arc::clone(&gateway))),
         smol::spawn(notice_standstill(Arc::clone(&gateway))),
--- a/crates/gateway/src/cache_feeds/engines.rs
+++ b/crates/gateway/src/cache_feeds/engines.rs
@@ -5,7 +5,7 @@
 //! engine has dropped. Engines of a zone without any node are followed from
 //! elsewhere.
 
-use super::first_answers::FirstAnswers;
+use super::first_answers::FirstAnswerLimit;
 use super::follow_duty::follow_duty;
 use super::{ask_for_events, refused_pause_ms, EventWait, RETRY_MS};
 use crate::beliefs::{ActiveConfiguration, Beliefs};
@@ -28,15 +28,15 @@
 use std::sync::Arc;
 
 /// Time between two looks at which engines are to be followed, in milliseconds.
-const LOOK_PERIOD_MS: u64 = 500;
+const CHECK_PERIOD_MS: u64 = 500;
 /// How long calls for events may take: a live engine answers within it, so the feed
 /// shows soon that an engine no longer answers at all.
-const WAIT: EventWait = EventWait {
-    held_ms: 400,
+const EVENT_WAIT: EventWait = EventWait {
+    hold_ms: 400,
     slack_ms: 350,
 };
 /// Pause between two calls, in milliseconds, so that events come in batches.
-const GATHER_MS: u64 = 100;
+const BATCH_PERIOD_MS: u64 = 100;
 
 /// An engine whose events are to be followed.
 #[derive(Clone, Debug)]
@@ -51,7 +51,7 @@
 /// Follows engines until the task is dropped.
 pub async fn follow_engine_caches(gateway: Arc<Gateway>) {
     let mut feeds: HashMap<InstanceId, Task<()>> = HashMap::new();
-    let first_answers = Arc::new(FirstAnswers::of(&gateway.settings().node));
+    let first_answers = Arc::new(FirstAnswerLimit::of(&gateway.settings().node));
     loop {
         let wanted = engines_to_follow(&gateway, gateway.clock.now());
         let before = feeds.len();
@@ -67,7 +67,7 @@
             });
         }
         note_feeds(&gateway, begun, given_up, feeds.len());
-        sleep(LOOK_PERIOD_MS).await;
+        sleep(CHECK_PERIOD_MS).await;
     }
 }
 
@@ -139,7 +139,7 @@
 
 async fn follow_engine(
     gateway: Arc<Gateway>,
-    first_answers: Arc<FirstAnswers>,
+    first_answers: Arc<FirstAnswerLimit>,
     engine: FollowedEngine,
 ) {
     let mut connection = CallConnection::new(engine.address);
@@ -150,16 +150,16 @@
             .engine_caches
             .of(engine.tag)
             .map(|kept| kept.next());
-        let turn = match next {
+        let permit = match next {
             Some(_) => None,
-            None => Some(first_answers.turn().await),
+            None => Some(first_answers.permit().await),
         };
         let answered = ask_for_events(
             &gateway,
             &mut connection,
             next.unwrap_or(0),
             &engine.zone,
-            WAIT,
+            EVENT_WAIT,
         )
         .await;
         let bytes = answered.as_ref().map_or(0, |answered| answered.bytes);
@@ -167,26 +167,26 @@
             Ok(CacheAnswer::Events(batch)) => {
                 take_events(&gateway, &engine, &batch);
                 note_followed(&gateway, &engine, &mut is_followed, true);
-                GATHER_MS
+                BATCH_PERIOD_MS
             }
             Ok(CacheAnswer::TooManyCalls) => {
-                stop_relying(&gateway, &engine, &mut is_followed);
+                stop_following(&gateway, &engine, &mut is_followed);
                 refused_pause_ms()
             }
             Ok(CacheAnswer::Invalid) => {
                 connection.reset();
-                stop_relying(&gateway, &engine, &mut is_followed);
+                stop_following(&gateway, &engine, &mut is_followed);
                 RETRY_MS
             }
             Err(_) => {
                 connection.reset();
-                stop_relying(&gateway, &engine, &mut is_followed);
+                stop_following(&gateway, &engine, &mut is_followed);
                 eject(&gateway, &engine);
                 RETRY_MS
             }
         };
-        if let Some(turn) = turn {
-            turn.end_after(bytes).await;
+        if let Some(permit) = permit {
+            permit.release_after(bytes).await;
         }
         sleep(pause_ms).await;
     }
@@ -195,18 +195,18 @@
 fn take_events(gateway: &Gateway, engine: &FollowedEngine, batch: &CacheEvents) {
     let now = gateway.clock.now();
     let mut beliefs = gateway.beliefs();
-    let dropped = beliefs.engine_caches.follow(engine.tag).apply(batch);
-    if dropped.is_empty() {
+    let evicted = beliefs.engine_caches.follow(engine.tag).apply(batch);
+    if evicted.is_empty() {
         return;
     }
     let assignment = beliefs.engine_caches.assignment(engine.tag);
-    let tells = assignment.is_some_and(Assignment::reports_evictions);
+    let is_reporter = assignment.is_some_and(Assignment::reports_evictions);
     beliefs
         .holders
-        .note_dropped(&dropped, engine.tag, tells, now);
+        .note_dropped(&evicted, engine.tag, is_reporter, now);
 }
 
-fn stop_relying(gateway: &Gateway, engine: &FollowedEngine, is_followed: &mut bool) {
+fn stop_following(gateway: &Gateway, engine: &FollowedEngine, is_followed: &mut bool) {
     gateway.beliefs().engine_caches.forget(engine.tag);
     note_followed(gateway, engine, is_followed, false);
 }
--- a/crates/gateway/src/cache_feeds/first_answers.rs
+++ b/crates/gateway/src/cache_feeds/first_answers.rs
@@ -17,44 +17,44 @@
 const BYTE_MS_AT_ONE_MBPS: f64 = 8.0 / 1_000.0;
 
 /// Turns of first answers.
-pub(super) struct FirstAnswers {
-    turns: Semaphore,
+pub(super) struct FirstAnswerLimit {
+    permits: Semaphore,
     /// Time that a byte takes on a turn's part of the link, in milliseconds; 0 where
     /// the link is not known.
     byte_ms: f64,
 }
 
 /// The turn of one feed.
-pub(super) struct Turn<'a> {
+pub(super) struct FirstAnswerPermit<'a> {
     byte_ms: f64,
     _guard: SemaphoreGuard<'a>,
 }
 
-impl FirstAnswers {
+impl FirstAnswerLimit {
     /// Those of a node.
     pub(super) fn of(node: &NodeSettings) -> Self {
-        let turn_mbps = node.link_mbps * LINK_SHARE / MAX_UNDER_WAY as f64;
+        let permit_mbps = node.link_mbps * LINK_SHARE / MAX_UNDER_WAY as f64;
         Self {
-            turns: Semaphore::new(MAX_UNDER_WAY),
-            byte_ms: match turn_mbps > 0.0 {
-                true => BYTE_MS_AT_ONE_MBPS / turn_mbps,
+            permits: Semaphore::new(MAX_UNDER_WAY),
+            byte_ms: match permit_mbps > 0.0 {
+                true => BYTE_MS_AT_ONE_MBPS / permit_mbps,
                 false => 0.0,
             },
         }
     }
 
     /// Waits until a feed may begin.
-    pub(super) async fn turn(&self) -> Turn<'_> {
-        Turn {
+    pub(super) async fn permit(&self) -> FirstAnswerPermit<'_> {
+        FirstAnswerPermit {
             byte_ms: self.byte_ms,
-            _guard: self.turns.acquire().await,
+            _guard: self.permits.acquire().await,
         }
     }
 }
 
-impl Turn<'_> {
+impl FirstAnswerPermit<'_> {
     /// Ends the turn once an answer of so many bytes has used up its part of the link.
-    pub(super) async fn end_after(self, bytes: usize) {
+    pub(super) async fn release_after(self, bytes: usize) {
         sleep((bytes as f64 * self.byte_ms) as u64).await;
     }
 }
--- a/crates/gateway/src/cache_feeds/follow_duty.rs
+++ b/crates/gateway/src/cache_feeds/follow_duty.rs
@@ -9,7 +9,7 @@
 
 /// Time from the start after which engines of zones without any node are followed,
 /// in milliseconds: before it, the other nodes were not heard of yet.
-const FAR_AFTER_MS: u64 = 3_000;
+const OTHER_ZONES_AFTER_MS: u64 = 3_000;
 
 /// What this node may follow now.
 pub(super) fn follow_duty(gateway: &Gateway, now: Millis) -> FollowDuty {
@@ -21,54 +21,54 @@
     }
     let nodes = match role(gateway, now) {
         Role::Undecided => None,
-        Role::Follower => named_by_relays(gateway, now),
-        Role::Relay => Some(heard_and_listed(gateway)),
-        Role::Direct => Some(heard_or_listed(gateway)),
+        Role::Follower => reported_by_relays(gateway, now),
+        Role::Relay => Some(reporting_and_listed(gateway)),
+        Role::Direct => Some(reporting_or_listed(gateway)),
     };
     let Some(mut nodes) = nodes else {
         return FollowDuty::Nothing;
     };
     nodes.near.retain(|near| *near != nodes.own);
-    nodes.follows_other_zones = now.since(gateway.started_at) >= FAR_AFTER_MS;
+    nodes.follows_other_zones = now.since(gateway.started_at) >= OTHER_ZONES_AFTER_MS;
     FollowDuty::Shared(nodes)
 }
 
 /// The nodes of a follower's zone; nothing when no relay has named any lately.
-fn named_by_relays(gateway: &Gateway, now: Millis) -> Option<FollowingNodes> {
+fn reported_by_relays(gateway: &Gateway, now: Millis) -> Option<FollowingNodes> {
     let beliefs = gateway.beliefs();
     let named = &beliefs.peer_loads.relayed.named_nodes;
     let near: Vec<PeerId> = named.members(now).collect();
     (!near.is_empty()).then(|| FollowingNodes {
         near,
         zones: named.zones(now).collect(),
-        ..alone(gateway)
+        ..only_own_node(gateway)
     })
 }
 
 /// The nodes of a relay's zone. One that has just begun has heard few of those that
 /// report to it, so it counts all that the store lists.
-fn heard_and_listed(gateway: &Gateway) -> FollowingNodes {
+fn reporting_and_listed(gateway: &Gateway) -> FollowingNodes {
     let mut nodes = listed(gateway);
-    let heard = heard(gateway);
-    nodes.near.extend(heard.near);
+    let reporting = reporting(gateway);
+    nodes.near.extend(reporting.near);
     nodes.near.sort_unstable();
     nodes.near.dedup();
-    nodes.zones.extend(heard.zones);
+    nodes.zones.extend(reporting.zones);
     nodes
 }
 
 /// The nodes of a small site. One that hears nobody may be the one that is cut off.
-fn heard_or_listed(gateway: &Gateway) -> FollowingNodes {
-    let heard = heard(gateway);
-    match heard.near.is_empty() && heard.far.is_empty() {
+fn reporting_or_listed(gateway: &Gateway) -> FollowingNodes {
+    let reporting = reporting(gateway);
+    match reporting.near.is_empty() && reporting.far.is_empty() {
         true => listed(gateway),
-        false => heard,
+        false => reporting,
     }
 }
 
-fn heard(gateway: &Gateway) -> FollowingNodes {
+fn reporting(gateway: &Gateway) -> FollowingNodes {
     let beliefs = gateway.beliefs();
-    let mut nodes = alone(gateway);
+    let mut nodes = only_own_node(gateway);
     for (peer, zone) in beliefs.peer_loads.peers() {
         nodes.add(peer, zone);
     }
@@ -76,14 +76,14 @@
 }
 
 fn listed(gateway: &Gateway) -> FollowingNodes {
-    let mut nodes = alone(gateway);
+    let mut nodes = only_own_node(gateway);
     for node in gateway.address_book().listed() {
         nodes.add(node.id, node.zone);
     }
     nodes
 }
 
-fn alone(gateway: &Gateway) -> FollowingNodes {
+fn only_own_node(gateway: &Gateway) -> FollowingNodes {
     let zone = ZoneTag::of(&gateway.zone);
     FollowingNodes {
         own: PeerId::of(&gateway.settings().node.name),
--- a/crates/gateway/src/cache_feeds/mod.rs
+++ b/crates/gateway/src/cache_feeds/mod.rs
@@ -4,11 +4,11 @@
 //! some. A call that fails costs hits and never an answer: without a feed the
 //! node relies on where prompts were sent.
 
+pub mod call_pacing;
 mod engines;
 mod first_answers;
 mod follow_duty;
 mod store;
-pub mod turns;
 
 pub use engines::{engines_to_follow, follow_engine_caches, FollowedEngine};
 pub use store::{cache_stores, follow_cache_stores};
@@ -19,7 +19,7 @@
 use ploverlift_policy::ids::ZoneName;
 
 /// Shortest pause after there was no room for the call, in milliseconds.
-const REFUSED_MS: u64 = 4_000;
+const MIN_REFUSED_PAUSE_MS: u64 = 4_000;
 /// Pause after a call that failed, in milliseconds.
 const RETRY_MS: u64 = 400;
 
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy)]
 struct EventWait {
     /// How long a call is held where there are no events, in milliseconds.
-    held_ms: u64,
+    hold_ms: u64,
     /// Longest wait for an answer beyond it, in milliseconds.
     slack_ms: u64,
 }
@@ -43,12 +43,12 @@
 async fn ask_for_events(
     gateway: &Gateway,
     connection: &mut CallConnection,
-    since: u64,
+    position: u64,
     zone: &ZoneName,
     wait: EventWait,
 ) -> Result<EventsAnswer, CallError> {
-    let head = gateway.site.cache_events_head(since, wait.held_ms);
-    let timeout_ms = wait.held_ms + wait.slack_ms;
+    let head = gateway.site.cache_events_head(position, wait.hold_ms);
+    let timeout_ms = wait.hold_ms + wait.slack_ms;
     let (head, body) = connection.call(head, &[], timeout_ms).await?;
     let distance = gateway.topology.distance(&gateway.zone, zone);
     gateway
@@ -62,5 +62,5 @@
 
 /// The pause after there was no room for a call, in milliseconds.
 fn refused_pause_ms() -> u64 {
-    fastrand::u64(REFUSED_MS..2 * REFUSED_MS)
+    fastrand::u64(MIN_REFUSED_PAUSE_MS..2 * MIN_REFUSED_PAUSE_MS)
 }
--- a/crates/gateway/src/cache_feeds/store.rs
+++ b/crates/gateway/src/cache_feeds/store.rs
@@ -9,7 +9,7 @@
 //! A store holds a few calls for events at once, over all nodes. So the nodes take
 //! turns: the more there are, the longer each rests between two calls.
 
-use super::turns::{Callers, Turns, HELD};
+use super::call_pacing::{CallPacing, Callers, HOLD_TIME};
 use super::{ask_for_events, EventWait, RETRY_MS};
 use crate::beliefs::ActiveConfiguration;
 use crate::http_call::CallConnection;
@@ -29,11 +29,11 @@
 use std::sync::Arc;
 
 /// Time between two looks at which stores there are, in milliseconds.
-const LOOK_PERIOD_MS: u64 = 400;
+const CHECK_PERIOD_MS: u64 = 400;
 /// Longest wait for an answer beyond what a call is held, in milliseconds.
 const SLACK_MS: u64 = 500;
-/// Turns that may be refused one after another while what was known is believed.
-const REFUSED_TURNS: u32 = 3;
+/// CallPacing that may be refused one after another while what was known is believed.
+const MAX_REFUSED_CALLS: u32 = 3;
 
 /// The KV cache stores.
 pub fn cache_stores(configuration: &ActiveConfiguration) -> impl Iterator<Item = &CacheStore> {
@@ -58,7 +58,7 @@
                 .entry(store.address)
                 .or_insert_with(|| smol::spawn(follow_store(Arc::clone(&gateway), store)));
         }
-        sleep(LOOK_PERIOD_MS).await;
+        sleep(CHECK_PERIOD_MS).await;
     }
 }
 
@@ -72,10 +72,10 @@
     let mut connection = CallConnection::new(store.address);
     let mut refused = 0;
     loop {
-        let turns = turns(&gateway, &store);
-        if is_told(&gateway, &store, &turns) {
+        let call_pacing = call_pacing(&gateway, &store);
+        if is_reported(&gateway, &store, &call_pacing) {
             connection.reset();
-            expire_told(&gateway, &store);
+            expire_contents(&gateway, &store);
             sleep(RETRY_MS).await;
             continue;
         }
@@ -84,7 +84,7 @@
             CacheStoreState::Unobserved => refused + 1,
             _ => 0,
         };
-        if state != CacheStoreState::Unobserved || refused >= REFUSED_TURNS {
+        if state != CacheStoreState::Unobserved || refused >= MAX_REFUSED_CALLS {
             note_state(&gateway, &store, state);
         } else if is_lost(&gateway, &store) {
             note_state(&gateway, &store, CacheStoreState::Unobserved);
@@ -95,7 +95,7 @@
                 sleep(RETRY_MS).await;
             }
             _ => {
-                let pause = turns.pause_after(refused, fastrand::f64());
+                let pause = call_pacing.pause_after(refused, fastrand::f64());
                 sleep(pause.as_millis() as u64).await;
             }
         }
@@ -108,15 +108,15 @@
     known.is_none_or(|known| known.state() == CacheStoreState::Lost)
 }
 
-fn expire_told(gateway: &Gateway, store: &CacheStore) {
+fn expire_contents(gateway: &Gateway, store: &CacheStore) {
     let now = gateway.clock.now();
     let stores = &mut gateway.beliefs().cache_stores;
     stores.expire_reported(store.address, now);
 }
 
 /// Whether relays tell this node what the store keeps.
-fn is_told(gateway: &Gateway, store: &CacheStore, turns: &Turns) -> bool {
-    let is_for_relays = turns.are_relays_alone || is_far(gateway, store);
+fn is_reported(gateway: &Gateway, store: &CacheStore, call_pacing: &CallPacing) -> bool {
+    let is_for_relays = call_pacing.are_relays_alone || is_far(gateway, store);
     is_for_relays && role(gateway, gateway.clock.now()) == Role::Follower
 }
 
@@ -125,7 +125,7 @@
 }
 
 /// Who calls the store, and how often.
-fn turns(gateway: &Gateway, store: &CacheStore) -> Turns {
+fn call_pacing(gateway: &Gateway, store: &CacheStore) -> CallPacing {
     let far: Vec<ZoneTag> = gateway
         .topology
         .zones_far_from(&store.zone)
@@ -151,7 +151,7 @@
             callers.relays += relays(nodes);
         }
     }
-    Turns::of(callers, store.max_event_calls)
+    CallPacing::of(callers, store.max_event_calls)
 }
 
 /// Asks for events, and takes in what the answer shows.
@@ -160,15 +160,15 @@
     store: &CacheStore,
     connection: &mut CallConnection,
 ) -> CacheStoreState {
-    let since = {
+    let position = {
         let mut beliefs = gateway.beliefs();
         beliefs.cache_stores.of_mut(store.address).contents().next()
     };
     let wait = EventWait {
-        held_ms: HELD.as_millis() as u64,
+        hold_ms: HOLD_TIME.as_millis() as u64,
         slack_ms: SLACK_MS,
     };
-    let answered = ask_for_events(gateway, connection, since, &store.zone, wait).await;
+    let answered = ask_for_events(gateway, connection, position, &store.zone, wait).await;
     match answered.map(|answered| answered.answer) {
         Ok(CacheAnswer::Events(batch)) => {
             take_events(gateway, store, &batch);
@@ -180,12 +180,12 @@
 }
 
 fn take_events(gateway: &Gateway, store: &CacheStore, batch: &CacheEvents) {
-    let turns = turns(gateway, store);
+    let call_pacing = call_pacing(gateway, store);
     let mut beliefs = gateway.beliefs();
     let contents = beliefs.cache_stores.of_mut(store.address).contents_mut();
     let is_anew = contents.epoch() != Some(batch.epoch) || batch.has_gap;
     contents.apply(batch);
-    if turns.are_relays_alone || is_far(gateway, store) {
+    if call_pacing.are_relays_alone || is_far(gateway, store) {
         let changes = &mut beliefs.relaying.store_changes;
         changes.follow(store.address, &batch.events, is_anew);
     }
--- a/crates/gateway/src/peers/follower.rs
+++ b/crates/gateway/src/peers/follower.rs
@@ -9,7 +9,7 @@
 use crate::rollouts::feed::publish_order_updates;
 use crate::rollouts::{rollout_settings, OrderUpdate};
 use crate::state::Gateway;
-use crate::weights::knowledge::{hear_weights, NewsOrigin};
+use crate::weights::knowledge::{apply_weights_report, VersionSource};
 use ploverlift_balancing::engine_losses::ReportSource;
 use ploverlift_policy::ids::Millis;
 use ploverlift_rollout::settings::RolloutSettings;
@@ -31,7 +31,7 @@
     let report = &*in_known_era(gateway, report);
     let now = gateway.clock.now();
     let sender = report.loads.sender;
-    gateway.hear_store_era(report.store_era);
+    gateway.note_peer_era(report.store_era);
     gateway.address_book().heard(from, sender, now);
     if role(gateway, now) != Role::Follower {
         // It knows the same from the store and from the nodes themselves.
@@ -75,7 +75,7 @@
     let lacks = beliefs.followed.lacking(configuration, limit_ms, now);
     drop(beliefs);
     log_engine_updates(gateway, &changes, UpdateSource::Relay);
-    hear_weights(gateway, &report.weights, sent_at, NewsOrigin::Relay);
+    apply_weights_report(gateway, &report.weights, sent_at, VersionSource::Relay);
     publish_order_updates(gateway, &order_news);
     gateway.site_learned.notify(usize::MAX);
     if !report.lost.is_empty() || !report.changes.is_empty() {
--- a/crates/gateway/src/peers/incoming.rs
+++ b/crates/gateway/src/peers/incoming.rs
@@ -20,7 +20,7 @@
         return;
     }
     let now = gateway.clock.now();
-    gateway.hear_store_era(report.store_era);
+    gateway.note_peer_era(report.store_era);
     gateway.address_book().heard(from, sender, now);
     let fleet = gateway.address_book().listed_nodes();
     let mut beliefs = gateway.beliefs();
@@ -62,7 +62,7 @@
 /// Takes in the sums of another zone from one of its relays.
 pub fn take_zone_report(gateway: &Gateway, report: &PeerReport, from: SocketAddr) {
     let now = gateway.clock.now();
-    gateway.hear_store_era(report.store_era);
+    gateway.note_peer_era(report.store_era);
     gateway.address_book().heard(from, report.loads.sender, now);
     let fleet = gateway.address_book().listed_nodes();
     let mut beliefs = gateway.beliefs();
--- a/crates/gateway/src/peers/snapshot.rs
+++ b/crates/gateway/src/peers/snapshot.rs
@@ -17,7 +17,7 @@
 use crate::rollouts::feed::publish_order_updates;
 use crate::rollouts::{rollout_settings, OrderUpdate};
 use crate::state::Gateway;
-use crate::store::take_configuration;
+use crate::store::apply_configuration;
 use crate::time::{sleep, within};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use ploverlift_balancing::peer_loads::PeerId;
@@ -187,7 +187,7 @@
 
 fn take_snapshot(gateway: &Arc<Gateway>, lacking: Lacking, mut snapshot: peers::Snapshot) {
     let told = read_era(snapshot.store_era_plus_one);
-    gateway.hear_store_era(told);
+    gateway.note_peer_era(told);
     if told.is_none() {
         assume_era(gateway, &mut snapshot);
     }
@@ -202,7 +202,7 @@
                     content,
                     status: None,
                 };
-                take_configuration(gateway, &object);
+                apply_configuration(gateway, &object);
             }
             Err(error) => {
                 slog::warn!(gateway.log, "configuration from a relay is invalid";
--- a/crates/gateway/src/peers/weights_reports.rs
+++ b/crates/gateway/src/peers/weights_reports.rs
@@ -11,7 +11,7 @@
 use super::weights_messages::{WeightsReport, MAX_TOLD_VERSIONS};
 use crate::state::Gateway;
 use crate::time::{sleep, within};
-use crate::weights::knowledge::{hear_weights, NewsOrigin};
+use crate::weights::knowledge::{apply_weights_report, VersionSource};
 use ploverlift_policy::ids::Millis;
 use smol::net::UdpSocket;
 use std::net::SocketAddr;
@@ -94,5 +94,5 @@
         // One of the two has just started: the answer tells it what the others know.
         gateway.weights_report_due.notify(usize::MAX);
     }
-    hear_weights(gateway, &report.news, sent_at, NewsOrigin::Node);
+    apply_weights_report(gateway, &report.news, sent_at, VersionSource::Node);
 }
--- a/crates/gateway/src/store/client.rs
+++ b/crates/gateway/src/store/client.rs
@@ -1,8 +1,8 @@
 //! Calls of the object store. Each has a deadline, and its error says whether
 //! it was done, was not done, or may still be done.
 
-use super::answer_time::AnswerTime;
-use super::era::{EraNews, EraSource};
+use super::answer_timeout::AnswerTimeout;
+use super::era::{EraChange, EraSource};
 use super::outage::OutageChange;
 use crate::http_call::{CallConnection, CallError};
 use crate::ports::{StoreCall, StoreError, StoreKind, StoreObject, StoreReply};
@@ -17,7 +17,7 @@
 pub struct StoreClient {
     gateway: Arc<Gateway>,
     connection: CallConnection,
-    answer_time: Option<AnswerTime>,
+    answer_timeout: Option<AnswerTimeout>,
     answered_era: StoreEra,
 }
 
@@ -28,7 +28,7 @@
         Self {
             gateway: Arc::clone(gateway),
             connection: CallConnection::new(address),
-            answer_time: None,
+            answer_timeout: None,
             answered_era: StoreEra::default(),
         }
     }
@@ -37,7 +37,7 @@
     /// while the store answers sooner.
     pub fn with_timeout(gateway: &Arc<Gateway>, timeout_ms: u64) -> Self {
         Self {
-            answer_time: Some(AnswerTime::new(timeout_ms)),
+            answer_timeout: Some(AnswerTimeout::new(timeout_ms)),
             ..Self::new(gateway)
         }
     }
@@ -61,30 +61,36 @@
             StoreCall::Watch { wait_ms, .. } => *wait_ms,
             _ => 0,
         };
-        let usual_ms = self.gateway.settings().store.timeout_ms;
-        let answer_timeout_ms = self.answer_time.map_or(usual_ms, |time| time.wait_ms());
+        let configured_ms = self.gateway.settings().store.timeout_ms;
+        let answer_timeout_ms = self
+            .answer_timeout
+            .map_or(configured_ms, |timeout| timeout.timeout_ms());
         let timeout_ms = answer_timeout_ms + wait_ms;
         let began = self.gateway.clock.now();
-        self.gateway.beliefs().store_outage.note_asked(began);
-        let (call, resting_on) = self.in_present_era(call)?;
+        self.gateway.beliefs().store_outage.note_call_began(began);
+        let (call, required_era) = self.resolve_revision(call)?;
         let call = &call;
         let (head, body) = self.gateway.site.store_message(call);
         self.gateway.metrics.count_store_call(call);
         let answered = self.connection.call(head, &body, timeout_ms).await;
-        if let Some(answer_time) = &mut self.answer_time {
+        if let Some(answer_timeout) = &mut self.answer_timeout {
             match &answered {
-                Ok(_) => answer_time.on_answer(self.gateway.clock.now().since(began)),
-                Err(_) => answer_time.on_silence(),
+                Ok(_) => answer_timeout.on_answer(self.gateway.clock.now().since(began)),
+                Err(_) => answer_timeout.on_timeout(),
             }
         }
         let result = match answered {
-            Ok((head, body)) => self.read_answer(call, resting_on, &head, &body),
+            Ok((head, body)) => self.read_answer(call, required_era, &head, &body),
             Err(CallError::Unreachable { reason, .. }) => Err(StoreError::Unreachable { reason }),
             Err(CallError::NoAnswer { reason }) => Err(StoreError::Unknown { reason }),
         };
         let now = self.gateway.clock.now();
-        let news = self.gateway.beliefs().store_outage.note(&result, now);
-        self.log_outage(call, news, result.as_ref().err());
+        let change = self
+            .gateway
+            .beliefs()
+            .store_outage
+            .note_call_ended(&result, now);
+        self.log_outage(call, change, result.as_ref().err());
         if result.is_err() {
             self.gateway.metrics.store_failures.inc();
         }
@@ -93,7 +99,7 @@
 
     /// The call as the store reads it, and the era that it rests on. Nothing holds of a
     /// revision of an earlier era: the store may have given it out again.
-    fn in_present_era(
+    fn resolve_revision(
         &self,
         call: &StoreCall,
     ) -> Result<(StoreCall, Option<StoreEra>), StoreError> {
@@ -118,14 +124,14 @@
     fn read_answer(
         &mut self,
         call: &StoreCall,
-        resting_on: Option<StoreEra>,
+        required_era: Option<StoreEra>,
         head: &ResponseHead,
         body: &[u8],
     ) -> Result<StoreReply, StoreError> {
         let known = self.gateway.store_era.get();
         let era = self.gateway.site.store_era(head).or(known);
         if let Some(era) = era {
-            if self.gateway.note_store_era(era, EraSource::Store) == EraNews::Outdated {
+            if self.gateway.note_store_era(era, EraSource::Store) == EraChange::Outdated {
                 return Err(StoreError::Unknown {
                     reason: "the answer is of an earlier era of the store".to_owned(),
                 });
@@ -134,7 +140,7 @@
         }
         let era = self.answered_era;
         let is_watch = matches!(call, StoreCall::Watch { .. });
-        if is_watch && resting_on.is_some_and(|rested| rested != era) {
+        if is_watch && required_era.is_some_and(|required| required != era) {
             return Err(StoreError::HistoryGone);
         }
         let reply = self.gateway.site.read_store_answer(call, head, body);
@@ -148,8 +154,13 @@
     }
 
     /// Whose call began an outage as this node sees it, or ended it.
-    fn log_outage(&self, call: &StoreCall, news: Option<OutageChange>, error: Option<&StoreError>) {
-        match news {
+    fn log_outage(
+        &self,
+        call: &StoreCall,
+        change: Option<OutageChange>,
+        error: Option<&StoreError>,
+    ) {
+        match change {
             None => {}
             Some(OutageChange::Began { silence_ms }) => {
                 slog::warn!(self.gateway.log, "store call failed";
@@ -207,16 +218,16 @@
                 revision,
             } = reply
             else {
-                return Err(unexpected());
+                return Err(unexpected_reply());
             };
-            let from = *first_revision.get_or_insert(revision);
+            let list_revision = *first_revision.get_or_insert(revision);
             if *first_era.get_or_insert(self.answered_era) != self.answered_era {
                 return Err(StoreError::HistoryGone);
             }
             after = objects.last().map(|object| object.name.clone());
             all.append(&mut objects);
             if !has_more || after.is_none() {
-                return Ok((all, from));
+                return Ok((all, list_revision));
             }
         }
     }
@@ -233,7 +244,7 @@
         let name = name.to_owned();
         match self.call(&StoreCall::Get { kind, name }).await {
             Ok(StoreReply::Object(object)) => Ok(Some(object)),
-            Ok(_) => Err(unexpected()),
+            Ok(_) => Err(unexpected_reply()),
             Err(StoreError::NotFound) => Ok(None),
             Err(error) => Err(error),
         }
@@ -267,7 +278,7 @@
         };
         match self.call(&call).await? {
             StoreReply::Object(object) => Ok(object),
-            _ => Err(unexpected()),
+            _ => Err(unexpected_reply()),
         }
     }
 
@@ -302,12 +313,12 @@
         };
         match self.call(&call).await? {
             StoreReply::Object(object) => Ok(object),
-            _ => Err(unexpected()),
+            _ => Err(unexpected_reply()),
         }
     }
 }
 
-fn unexpected() -> StoreError {
+fn unexpected_reply() -> StoreError {
     StoreError::Unknown {
         reason: "the answer is not one to this call".to_owned(),
     }
--- a/crates/gateway/src/store/engine_feed.rs
+++ b/crates/gateway/src/store/engine_feed.rs
@@ -15,22 +15,22 @@
 /// Time between the sending of two watches of which the first told changes of engines, in
 /// milliseconds: engines change in groups, and each answer of a watch is a call. Counted
 /// from the sending, as the proof is: the pause makes it no older.
-const GATHER_MS: u64 = 800;
+const BATCH_PERIOD_MS: u64 = 800;
 /// Follows the engines until the task is dropped.
 pub async fn follow_engines(gateway: Arc<Gateway>) {
     let mut feed = Feed::new(Arc::clone(&gateway), StoreKind::Engines);
     let mut backoff = Backoff::new();
     loop {
-        let (objects, mut revision, sent) = feed.list(&mut backoff).await;
-        take_list_of_engines(&gateway, &objects, revision);
-        note_engines_known(&gateway, revision, sent);
+        let (objects, mut revision, sent_at) = feed.list(&mut backoff).await;
+        apply_engine_list(&gateway, &objects, revision);
+        note_engines_proven(&gateway, revision, sent_at);
         gateway.orders_due.notify(usize::MAX);
-        while let Some((events, next, sent)) = feed.changes(revision, &mut backoff).await {
+        while let Some((events, next, sent_at)) = feed.changes(revision, &mut backoff).await {
             let has_events = !events.is_empty();
             for event in events {
-                take_engine(&gateway, &event);
+                apply_engine_change(&gateway, &event);
             }
-            note_engines_known(&gateway, next, sent);
+            note_engines_proven(&gateway, next, sent_at);
             if has_events {
                 gateway.orders_due.notify(usize::MAX);
             }
@@ -38,25 +38,25 @@
             gateway.metrics.engines.set(count as i64);
             revision = next;
             if has_events {
-                let passed_ms = gateway.clock.now().since(sent);
-                sleep(GATHER_MS.saturating_sub(passed_ms)).await;
+                let elapsed_ms = gateway.clock.now().since(sent_at);
+                sleep(BATCH_PERIOD_MS.saturating_sub(elapsed_ms)).await;
             }
         }
     }
 }
 
 /// A call that was sent at `sent` told all changes of the engines up to a revision.
-fn note_engines_known(gateway: &Gateway, revision: u64, sent: Millis) {
+fn note_engines_proven(gateway: &Gateway, revision: u64, sent_at: Millis) {
     let now = gateway.clock.now();
     let mut beliefs = gateway.beliefs();
     let longest_ms = engines_age_limit_ms(&gateway.settings()) + ENGINES_OVERDUE_MS;
-    beliefs.engines_proof.read(sent, now, longest_ms);
+    beliefs.engines_proof.read(sent_at, now, longest_ms);
     beliefs.engines_revision = beliefs.engines_revision.max(revision);
     drop(beliefs);
     gateway.site_learned.notify(usize::MAX);
 }
 
-fn take_list_of_engines(gateway: &Arc<Gateway>, objects: &[StoreObject], revision: u64) {
+fn apply_engine_list(gateway: &Arc<Gateway>, objects: &[StoreObject], revision: u64) {
     let mut list = EngineList {
         records: Vec::new(),
         unreadable: Vec::new(),
@@ -82,20 +82,20 @@
 }
 
 /// Takes in a change of an engine from the store.
-pub fn take_engine(gateway: &Arc<Gateway>, event: &WatchEvent) {
+pub fn apply_engine_change(gateway: &Arc<Gateway>, event: &WatchEvent) {
     let object = &event.object;
     if event.is_gone {
         let instance = InstanceId(object.name.clone());
         return remove_engine(gateway, instance, object.revision);
     }
     match gateway.site.engine(object) {
-        Ok(record) => take_record(gateway, record),
+        Ok(record) => apply_record(gateway, record),
         Err(error) => log_unreadable(gateway, &error),
     }
 }
 
 /// Takes in an engine's record, and logs what is news.
-pub(super) fn take_record(gateway: &Gateway, record: EngineRecord) {
+pub(super) fn apply_record(gateway: &Gateway, record: EngineRecord) {
     let now = gateway.clock.now();
     let mut beliefs = gateway.beliefs();
     let before = beliefs.catalogue_log.through();
--- a/crates/gateway/src/store/era.rs
+++ b/crates/gateway/src/store/era.rs
@@ -35,7 +35,7 @@
 
 /// What the news of an era means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EraNews {
+pub enum EraChange {
     /// It is the one that is known, or the first one.
     None,
     /// The store has come back from a copy since the era that was known.
@@ -43,7 +43,7 @@
         /// The era that was known.
         before: StoreEra,
     },
-    /// The news is from before the store came back.
+    /// The change is from before the store came back.
     Outdated,
 }
 
@@ -55,29 +55,29 @@
     }
 
     /// Takes in an era.
-    pub fn take(&self, era: StoreEra) -> EraNews {
+    pub fn advance(&self, era: StoreEra) -> EraChange {
         let plus_one = era.0.saturating_add(1);
         let before = self.plus_one.fetch_max(plus_one, Ordering::AcqRel);
         match before.checked_sub(1).map(StoreEra) {
-            Some(before) if before < era => EraNews::Restored { before },
-            Some(before) if before > era => EraNews::Outdated,
-            _ => EraNews::None,
+            Some(before) if before < era => EraChange::Restored { before },
+            Some(before) if before > era => EraChange::Outdated,
+            _ => EraChange::None,
         }
     }
 }
 
 impl Gateway {
     /// Takes in the era that another node told, where it told one.
-    pub fn hear_store_era(&self, era: Option<StoreEra>) {
+    pub fn note_peer_era(&self, era: Option<StoreEra>) {
         if let Some(era) = era {
             self.note_store_era(era, EraSource::Peer);
         }
     }
 
     /// Takes in the era that an answer of the store or another node told.
-    pub fn note_store_era(&self, era: StoreEra, source: EraSource) -> EraNews {
-        let news = self.store_era.take(era);
-        if let EraNews::Restored { before } = news {
+    pub fn note_store_era(&self, era: StoreEra, source: EraSource) -> EraChange {
+        let change = self.store_era.advance(era);
+        if let EraChange::Restored { before } = change {
             slog::warn!(self.log, "store restored from a copy";
                 "era" => era.0, "before" => before.0, "told_by" => source.name());
             self.metrics.store_restorations.inc();
@@ -88,10 +88,10 @@
             drop(beliefs);
             self.store_restored.notify(usize::MAX);
         }
-        if news != EraNews::Outdated {
+        if change != EraChange::Outdated {
             let gauge = i64::try_from(era.0).unwrap_or(i64::MAX);
             self.metrics.store_era.set(gauge);
         }
-        news
+        change
     }
 }
--- a/crates/gateway/src/store/feed.rs
+++ b/crates/gateway/src/store/feed.rs
@@ -40,11 +40,11 @@
 const FOLLOWER_PAUSE_MS: u64 = 1_500;
 /// Time between two looks at whether relays tell what a watch waits for, in
 /// milliseconds.
-const TOLD_LOOK_MS: u64 = 200;
+const RELAY_CHECK_PERIOD_MS: u64 = 200;
 
 /// Time for which a watch may tell later than another node what has changed, in
 /// milliseconds; after it the watch is taken to hear nothing.
-const MISSED_AFTER_MS: u64 = 300;
+const STALLED_AFTER_MS: u64 = 300;
 
 /// Time beyond its wait after which a watch of the engines is given up for a list, in
 /// milliseconds: a slow store answers within it. With the age of the engines that a
@@ -61,26 +61,26 @@
     /// watch may hang, or tell changes of another history.
     Abandoned,
     /// Relays tell what it is for.
-    Told,
+    CoveredByRelays,
     /// An engine came that may belong to an order that is not known.
-    OrderLacking,
+    OrderUnknown,
     /// Named weights came to be known otherwise, and not by this watch; or it did not
     /// end when it should have.
-    Missed,
+    Stalled,
 }
 
 /// Waits until relays tell what a kind of watch is for.
-async fn wait_until_told(gateway: &Gateway, kind: StoreKind) {
+async fn wait_until_covered_by_relays(gateway: &Gateway, kind: StoreKind) {
     loop {
-        let is_told = match kind {
+        let is_covered = match kind {
             StoreKind::Configuration => is_configuration_told(gateway),
             StoreKind::Rollouts => are_orders_told(gateway),
             _ => are_engines_told(gateway),
         };
-        if is_told {
+        if is_covered {
             return;
         }
-        sleep(TOLD_LOOK_MS).await;
+        sleep(RELAY_CHECK_PERIOD_MS).await;
     }
 }
 
@@ -107,7 +107,7 @@
     }
 
     /// Waits while relays tell what this feed is for.
-    async fn wait_while_told(&self) {
+    async fn wait_while_covered_by_relays(&self) {
         match self.kind {
             StoreKind::Configuration => wait_while_configuration_is_told(&self.gateway).await,
             StoreKind::Rollouts => wait_while_orders_are_told(&self.gateway).await,
@@ -123,7 +123,7 @@
     pub async fn pause(&self, backoff: &mut Backoff) {
         if role(&self.gateway, self.gateway.clock.now()) == Role::Follower {
             let pause_ms = FOLLOWER_PAUSE_MS + fastrand::u64(0..FOLLOWER_PAUSE_MS);
-            within(pause_ms, self.until_others_are_served()).await;
+            within(pause_ms, self.wait_for_served_relay()).await;
         } else if self.kind == StoreKind::Configuration {
             backoff.wait().await;
         } else {
@@ -136,21 +136,21 @@
     /// Waits until a relay has shown that the store answered it after this node's call
     /// failed: then the store is there, and the failure was this node's own. A short
     /// pause spreads the calls of the nodes that find out together.
-    async fn until_others_are_served(&self) {
+    async fn wait_for_served_relay(&self) {
         let failed_at = self.gateway.clock.now();
         while self.gateway.beliefs().followed.newest_proof() <= Some(failed_at) {
-            sleep(TOLD_LOOK_MS).await;
+            sleep(RELAY_CHECK_PERIOD_MS).await;
         }
-        sleep(fastrand::u64(0..TOLD_LOOK_MS)).await;
+        sleep(fastrand::u64(0..RELAY_CHECK_PERIOD_MS)).await;
     }
 
     /// Reads all objects, however long the store is away.
     pub async fn list(&mut self, backoff: &mut Backoff) -> (Vec<StoreObject>, u64, Millis) {
         loop {
-            self.wait_while_told().await;
-            let sent = self.gateway.clock.now();
+            self.wait_while_covered_by_relays().await;
+            let sent_at = self.gateway.clock.now();
             match self.list_once(backoff).await {
-                Some((objects, revision)) => return (objects, revision, sent),
+                Some((objects, revision)) => return (objects, revision, sent_at),
                 None => self.pause(backoff).await,
             }
         }
@@ -181,15 +181,15 @@
         revision: u64,
         backoff: &mut Backoff,
     ) -> Option<(Vec<WatchEvent>, u64, Millis)> {
-        let sent = self.gateway.clock.now();
+        let sent_at = self.gateway.clock.now();
         match self.watch(revision).await {
-            Ok(WatchEnd::Abandoned | WatchEnd::OrderLacking) => self.client.reset(),
-            Ok(WatchEnd::Missed) => {
+            Ok(WatchEnd::Abandoned | WatchEnd::OrderUnknown) => self.client.reset(),
+            Ok(WatchEnd::Stalled) => {
                 slog::warn!(self.gateway.log, "watch abandoned: it told nothing";
                     "kind" => self.kind_name(), "revision" => revision);
                 self.client.reset();
             }
-            Ok(WatchEnd::Told) => {
+            Ok(WatchEnd::CoveredByRelays) => {
                 slog::info!(self.gateway.log, "relays are relied on again";
                     "kind" => self.kind_name());
                 self.client.reset();
@@ -197,7 +197,7 @@
             Ok(WatchEnd::Answered(StoreReply::Changes { events, revision })) => {
                 self.note_reached();
                 backoff.reset();
-                return Some((events, revision, sent));
+                return Some((events, revision, sent_at));
             }
             Ok(WatchEnd::Answered(_)) => {}
             Err(StoreError::HistoryGone) => {
@@ -243,16 +243,16 @@
             gateway.store_recovered.listen().await;
             Ok(WatchEnd::Abandoned)
         };
-        let told = async {
-            wait_until_told(&gateway, self.kind).await;
-            Ok(WatchEnd::Told)
+        let covered = async {
+            wait_until_covered_by_relays(&gateway, self.kind).await;
+            Ok(WatchEnd::CoveredByRelays)
         };
-        let lacking = async {
+        let order_unknown = async {
             if self.kind != StoreKind::Rollouts {
                 std::future::pending::<()>().await;
             }
             wait_until_order_is_lacking(&gateway).await;
-            Ok(WatchEnd::OrderLacking)
+            Ok(WatchEnd::OrderUnknown)
         };
         let stood_still = async {
             gateway.stood_still.listen().await;
@@ -264,25 +264,25 @@
         };
         let abandoning = futures_lite::future::or(abandoning, stood_still);
         let abandoning = futures_lite::future::or(abandoning, restored);
-        let abandoning = futures_lite::future::or(abandoning, told);
-        let missed = async {
+        let abandoning = futures_lite::future::or(abandoning, covered);
+        let stalled = async {
             if self.kind != StoreKind::Weights {
                 std::future::pending::<()>().await;
             }
             gateway.weights_missed.listen().await;
-            sleep(MISSED_AFTER_MS).await;
-            Ok(WatchEnd::Missed)
+            sleep(STALLED_AFTER_MS).await;
+            Ok(WatchEnd::Stalled)
         };
         let overdue = async {
             if self.kind != StoreKind::Engines {
                 std::future::pending::<()>().await;
             }
             sleep(wait_ms + ENGINES_OVERDUE_MS).await;
-            Ok(WatchEnd::Missed)
+            Ok(WatchEnd::Stalled)
         };
-        let abandoning = futures_lite::future::or(abandoning, lacking);
+        let abandoning = futures_lite::future::or(abandoning, order_unknown);
         let abandoning = futures_lite::future::or(abandoning, overdue);
-        let abandoning = futures_lite::future::or(abandoning, missed);
+        let abandoning = futures_lite::future::or(abandoning, stalled);
         futures_lite::future::or(watching, abandoning).await
     }
 
@@ -327,16 +327,16 @@
     let mut feed = Feed::new(Arc::clone(&gateway), StoreKind::Configuration);
     let mut backoff = Backoff::new();
     loop {
-        let (objects, mut revision, sent) = feed.list(&mut backoff).await;
+        let (objects, mut revision, sent_at) = feed.list(&mut backoff).await;
         for object in &objects {
-            take_configuration(&gateway, object);
+            apply_configuration(&gateway, object);
         }
-        gateway.beliefs().freshness.prove(sent);
+        gateway.beliefs().freshness.prove(sent_at);
         gateway.site_learned.notify(usize::MAX);
-        while let Some((events, next, sent)) = feed.changes(revision, &mut backoff).await {
+        while let Some((events, next, sent_at)) = feed.changes(revision, &mut backoff).await {
             let objects = events.iter().map(|event| &event.object);
-            objects.for_each(|object| take_configuration(&gateway, object));
-            gateway.beliefs().freshness.prove(sent);
+            objects.for_each(|object| apply_configuration(&gateway, object));
+            gateway.beliefs().freshness.prove(sent_at);
             gateway.site_learned.notify(usize::MAX);
             revision = next;
         }
@@ -344,7 +344,7 @@
 }
 
 /// Takes in the configuration as it is stored, from the store or from a relay.
-pub fn take_configuration(gateway: &Gateway, object: &StoreObject) {
+pub fn apply_configuration(gateway: &Gateway, object: &StoreObject) {
     let document = match gateway.site.configuration(object) {
         Ok(document) => document,
         Err(error) => {
--- a/crates/gateway/src/store/lapsed.rs
+++ b/crates/gateway/src/store/lapsed.rs
@@ -4,7 +4,7 @@
 //! entries of engines that live. They write them again within a short time; until
 //! then the engines are kept, or a node would have none to send requests to.
 
-use super::engine_feed::take_record;
+use super::engine_feed::apply_record;
 use crate::engine_log::{log_engine_updates, UpdateSource};
 use crate::state::Gateway;
 use crate::time::sleep;
@@ -33,7 +33,7 @@
         if is_first_list {
             gateway.beliefs().upsert_engine(record, now);
         } else {
-            take_record(gateway, record);
+            apply_record(gateway, record);
         }
     }
     for instance in missing {
@@ -54,10 +54,10 @@
     let now = gateway.clock.now();
     let wait_ms = match has_ended(gateway, &instance) {
         true => 0,
-        false => gateway.beliefs().store_outage.time_to_come_back_ms(now),
+        false => gateway.beliefs().store_outage.remaining_grace_ms(now),
     };
     if wait_ms == 0 {
-        return forget(gateway, instance, revision);
+        return remove_now(gateway, instance, revision);
     }
     slog::info!(gateway.log, "engine lapsed";
         "engine" => &instance.0, "revision" => revision, "wait_ms" => wait_ms);
@@ -67,12 +67,12 @@
     smol::spawn(async move {
         sleep(wait_ms).await;
         // An entry that was written since has a later revision, and stays.
-        forget(&gateway, instance, revision);
+        remove_now(&gateway, instance, revision);
     })
     .detach();
 }
 
-fn forget(gateway: &Gateway, instance: InstanceId, revision: u64) {
+fn remove_now(gateway: &Gateway, instance: InstanceId, revision: u64) {
     let now = gateway.clock.now();
     let mut beliefs = gateway.beliefs();
     let before = beliefs.catalogue_log.through();
--- a/crates/gateway/src/store/mod.rs
+++ b/crates/gateway/src/store/mod.rs
@@ -1,6 +1,6 @@
 //! The object store: a client, and copies that follow what is stored.
 
-pub mod answer_time;
+pub mod answer_timeout;
 pub(crate) mod backoff;
 mod client;
 mod engine_feed;
@@ -10,5 +10,5 @@
 pub mod outage;
 
 pub use client::StoreClient;
-pub use engine_feed::{follow_engines, take_engine};
-pub use feed::{follow_configuration, take_configuration};
+pub use engine_feed::{apply_engine_change, follow_engines};
+pub use feed::{apply_configuration, follow_configuration};
--- a/crates/gateway/src/store/outage.rs
+++ b/crates/gateway/src/store/outage.rs
@@ -15,10 +15,10 @@
 
 /// Time for which a failed call alone shows an outage, in milliseconds: the longest
 /// pause of a feed before its next call.
-const FAILURE_COUNTS_MS: u64 = 3_000;
+const FAILURE_RELEVANT_MS: u64 = 3_000;
 /// Time from the store's return within which living engines have written their
 /// records again, in milliseconds (the site's promise: about two seconds).
-const BACK_WITHIN_MS: u64 = 2_000;
+const RECORD_GRACE_MS: u64 = 2_000;
 /// Heartbeats that the store has missed at least when a record lapses: three, of which
 /// the first may have been due just before the outage.
 const MISSED_HEARTBEATS: u64 = 2;
@@ -29,13 +29,13 @@
     failed_at: Option<Millis>,
     returned_at: Option<Millis>,
     /// When the first call after the last answer began.
-    asked_at: Option<Millis>,
+    unanswered_since: Option<Millis>,
     /// When the store answered again after a silence in which records may have lapsed.
     lapses_ended_at: Option<Millis>,
     /// Shortest silence of the store in which records may lapse, in milliseconds.
     shortest_silence_ms: u64,
     /// Time from the store's return for which lapsed records are kept, in milliseconds.
-    kept_ms: u64,
+    grace_ms: u64,
 }
 
 /// What the end of a call has changed.
@@ -60,10 +60,10 @@
         Self {
             failed_at: None,
             returned_at: None,
-            asked_at: None,
+            unanswered_since: None,
             lapses_ended_at: None,
             shortest_silence_ms: 0,
-            kept_ms: BACK_WITHIN_MS,
+            grace_ms: RECORD_GRACE_MS,
         }
     }
 }
@@ -74,35 +74,35 @@
     pub fn new(settings: &GatewaySettings, engines_age_limit_ms: u64) -> Self {
         Self {
             shortest_silence_ms: settings.store.engine_heartbeat_ms * MISSED_HEARTBEATS,
-            kept_ms: BACK_WITHIN_MS.min(engines_age_limit_ms),
+            grace_ms: RECORD_GRACE_MS.min(engines_age_limit_ms),
             ..Self::default()
         }
     }
 
     /// A call of the store begins. A node that makes none for a time shows no silence.
-    pub fn note_asked(&mut self, now: Millis) {
-        self.asked_at.get_or_insert(now);
+    pub fn note_call_began(&mut self, now: Millis) {
+        self.unanswered_since.get_or_insert(now);
     }
 
     /// This node stood still: that it heard nothing meanwhile was not the store's silence.
-    pub fn note_stood_still(&mut self) {
-        self.asked_at = None;
+    pub fn note_suspension(&mut self) {
+        self.unanswered_since = None;
     }
 
     /// A call of the store ended; tells what is news.
-    pub fn note<T>(
+    pub fn note_call_ended<T>(
         &mut self,
         outcome: &Result<T, StoreError>,
         now: Millis,
     ) -> Option<OutageChange> {
         let was_away = self.is_away();
-        let silence_ms = self.asked_at.map(|at| now.since(at));
+        let silence_ms = self.unanswered_since.map(|at| now.since(at));
         if is_failure(outcome) {
             self.failed_at = Some(now);
             return (!was_away).then_some(OutageChange::Began { silence_ms });
         }
         let may_have_lapsed = was_away && self.is_long_silence(now);
-        self.asked_at = None;
+        self.unanswered_since = None;
         if !was_away {
             return None;
         }
@@ -137,7 +137,7 @@
     }
 
     fn is_long_silence(&self, now: Millis) -> bool {
-        let silence_ms = self.asked_at.map_or(0, |at| now.since(at));
+        let silence_ms = self.unanswered_since.map_or(0, |at| now.since(at));
         silence_ms >= self.shortest_silence_ms
     }
 
@@ -145,15 +145,15 @@
     /// record can have lapsed. While no call has succeeded since a failure, whoever is
     /// told of a lapsed record is the first to see the store's return: the whole time
     /// is left.
-    pub fn time_to_come_back_ms(&self, now: Millis) -> u64 {
-        let has_failed_lately = self
+    pub fn remaining_grace_ms(&self, now: Millis) -> u64 {
+        let has_recent_failure = self
             .failed_at
-            .is_some_and(|at| now.since(at) < FAILURE_COUNTS_MS);
-        if self.is_away() && has_failed_lately && self.is_long_silence(now) {
-            return self.kept_ms;
+            .is_some_and(|at| now.since(at) < FAILURE_RELEVANT_MS);
+        if self.is_away() && has_recent_failure && self.is_long_silence(now) {
+            return self.grace_ms;
         }
         let ended_at = self.lapses_ended_at;
-        ended_at.map_or(0, |at| self.kept_ms.saturating_sub(now.since(at)))
+        ended_at.map_or(0, |at| self.grace_ms.saturating_sub(now.since(at)))
     }
 }
 
--- a/crates/gateway/src/suspension.rs
+++ b/crates/gateway/src/suspension.rs
@@ -22,7 +22,7 @@
         let stood_still_ms = passed_ms.saturating_sub(LOOK_PERIOD_MS);
         if stood_still_ms >= STOOD_STILL_MS {
             slog::warn!(gateway.log, "stood still"; "for_ms" => stood_still_ms);
-            gateway.beliefs().store_outage.note_stood_still();
+            gateway.beliefs().store_outage.note_suspension();
             gateway.stood_still.notify(usize::MAX);
         }
     }
--- a/crates/gateway/src/weights/engine_load.rs
+++ b/crates/gateway/src/weights/engine_load.rs
@@ -22,7 +22,7 @@
 const LOADING_MS: u64 = 700;
 
 /// What to do next with the engine.
-enum Next {
+enum NextStep {
     Report { after_ms: u64 },
     Loaded { after_ms: Option<u64> },
     Finished,
@@ -62,16 +62,16 @@
     };
     for _ in 0..MAX_REPORTS {
         match load.step().await {
-            Next::Report { after_ms } => sleep(after_ms).await,
-            Next::Finished => return None,
-            Next::Loaded { after_ms } => return after_ms,
+            NextStep::Report { after_ms } => sleep(after_ms).await,
+            NextStep::Finished => return None,
+            NextStep::Loaded { after_ms } => return after_ms,
         }
     }
     None
 }
 
 impl EngineLoad<'_> {
-    async fn step(&mut self) -> Next {
+    async fn step(&mut self) -> NextStep {
         let Some(report) = self.report().await else {
             return self.unreachable();
         };
@@ -81,25 +81,26 @@
             .note_engine_life(instance, report.born_ms);
         let newest = self.gateway.beliefs().weights.newest(&self.engine.model);
         let Some((version, _)) = newest else {
-            return Next::Finished;
+            return NextStep::Finished;
         };
-        let held = report.weights.get(&self.engine.model).copied();
-        self.learn(held.unwrap_or(0));
+        let current = report.weights.get(&self.engine.model).copied();
+        self.note_reported_version(current.unwrap_or(0));
         // A version that was named meanwhile is loaded in its own turn: chasing it
         // here would keep more engines loading than the schedule allows.
         let wanted = self.ordered.unwrap_or(version);
-        if held.is_some_and(|held| held >= wanted) && !report.is_busy {
-            let held = held.unwrap_or(version);
-            self.note_loaded(held);
-            return self.loaded(held);
+        if current.is_some_and(|current| current >= wanted) && !report.is_busy {
+            let current = current.unwrap_or(version);
+            self.note_loaded(current);
+            return self.loaded(current);
         }
         if report.is_busy {
             self.note_loading();
             let now = self.gateway.clock.now();
-            let usual_ms = self.gateway.settings().weights.load_ms;
-            self.loading.note_busy(&self.engine.instance, usual_ms, now);
+            let configured_ms = self.gateway.settings().weights.load_ms;
+            self.loading
+                .note_busy(&self.engine.instance, configured_ms, now);
             let after_ms = REPORT_PERIOD_MS;
-            return Next::Report { after_ms };
+            return NextStep::Report { after_ms };
         }
         self.order(version, report.orders_taken).await
     }
@@ -111,7 +112,7 @@
         self.gateway.site.read_report(&answer.0, &answer.1)
     }
 
-    fn loaded(&self, version: u64) -> Next {
+    fn loaded(&self, version: u64) -> NextStep {
         let now = self.gateway.clock.now();
         let after_ms = self.ordered_at.map(|ordered| now.since(ordered));
         slog::info!(self.gateway.log, "weights loaded";
@@ -120,16 +121,16 @@
             "after_ms" => after_ms);
         // Several orders do not tell how long one load takes.
         let after_ms = after_ms.filter(|_| self.orders == 1);
-        Next::Loaded { after_ms }
+        NextStep::Loaded { after_ms }
     }
 
-    fn unreachable(&self) -> Next {
+    fn unreachable(&self) -> NextStep {
         self.gateway
             .note_outcome(&self.engine.instance, Outcome::Unreachable);
-        Next::Finished
+        NextStep::Finished
     }
 
-    fn learn(&self, version: u64) {
+    fn note_reported_version(&self, version: u64) {
         let engine = &self.engine;
         let engines = &mut self.gateway.beliefs().engines;
         engines.note_weights(&engine.instance, &engine.model, version);
@@ -150,21 +151,21 @@
         engines.note_loading(&self.engine.instance, until);
     }
 
-    async fn order(&mut self, version: u64, orders_taken: u64) -> Next {
+    async fn order(&mut self, version: u64, orders_taken: u64) -> NextStep {
         if self.orders >= MAX_ORDERS {
-            return Next::Finished;
+            return NextStep::Finished;
         }
         let timeout_ms = self.gateway.settings().weights.order_timeout_ms;
         if let Err(error) = self.connection.open(timeout_ms).await {
             slog::info!(self.gateway.log, "order not sent";
                 "engine" => &self.engine.instance.0, "error" => error.to_string());
-            return Next::Report {
+            return NextStep::Report {
                 after_ms: REPORT_PERIOD_MS,
             };
         }
         // Asked when nothing is left to wait for: the right may end meanwhile.
         let Some(fencing_token) = self.holder.token() else {
-            return Next::Finished;
+            return NextStep::Finished;
         };
         self.orders += 1;
         self.ordered = Some(version);
@@ -210,18 +211,18 @@
         answer
     }
 
-    fn after_order(&self, answer: Option<OrderAnswer>, version: u64) -> Next {
+    fn after_order(&self, answer: Option<OrderAnswer>, version: u64) -> NextStep {
         let report_after_ms = self.gateway.settings().weights.report_after_ms;
         match answer {
-            Some(OrderAnswer::Accepted) => Next::Report {
+            Some(OrderAnswer::Accepted) => NextStep::Report {
                 after_ms: report_after_ms,
             },
             Some(OrderAnswer::AlreadyDone) => {
                 self.note_loaded(version);
-                Next::Finished
+                NextStep::Finished
             }
             // Without an answer the order may be under way: a report tells.
-            Some(OrderAnswer::Conflict) | None => Next::Report {
+            Some(OrderAnswer::Conflict) | None => NextStep::Report {
                 after_ms: REPORT_PERIOD_MS,
             },
             Some(OrderAnswer::OtherInstance) => {
@@ -229,9 +230,9 @@
                 let mut beliefs = self.gateway.beliefs();
                 let engines = &mut beliefs.engines;
                 engines.note_misdirected(&self.engine.instance, now);
-                Next::Finished
+                NextStep::Finished
             }
-            Some(OrderAnswer::FenceTooLow | OrderAnswer::Rejected) => Next::Finished,
+            Some(OrderAnswer::FenceTooLow | OrderAnswer::Rejected) => NextStep::Finished,
         }
     }
 }
--- a/crates/gateway/src/weights/knowledge.rs
+++ b/crates/gateway/src/weights/knowledge.rs
@@ -21,26 +21,26 @@
 /// Part of the time for which a proof is relied on after which it is renewed. What is
 /// left is enough for all engines to load once a version is named (4 of 6 s where weights
 /// must be in use within 8 s).
-const RENEWED_AFTER_SHARE: f64 = 0.25;
+const RENEW_AFTER_SHARE: f64 = 0.25;
 /// The same for a node that is told by relays: they have failed to renew it by then.
-const READ_ANYWAY_AFTER_SHARE: f64 = 0.6;
+const FOLLOWER_RENEW_AFTER_SHARE: f64 = 0.6;
 /// Time between the turns of two nodes, in milliseconds. A proof that is told seems older
 /// by up to the time between two reports of the node that is told (250 ms), and is told a
 /// call later; the next node must not renew it for that.
 const TURN_MS: u64 = 400;
 /// Turns; nodes beyond them take the last one.
-const TURNS: u64 = 4;
+const MAX_TURNS: u64 = 4;
 /// Time after its start from which a node that has no proof asks for one, in milliseconds:
 /// its first list or the others have told it before.
 const FIRST_PROOF_MS: u64 = 1_000;
 /// Longest time between two looks at the age of the proof, in milliseconds.
-const LOOK_PERIOD_MS: u64 = 200;
+const CHECK_PERIOD_MS: u64 = 200;
 /// Shortest time between two looks, in milliseconds.
-const SHORTEST_LOOK_MS: u64 = 5;
+const MIN_CHECK_PERIOD_MS: u64 = 5;
 
 /// Where a version was heard of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NewsOrigin {
+pub enum VersionSource {
     /// This node's watch of the store, or its list before the watch.
     Watch,
     /// This node's call that renewed the proof.
@@ -51,14 +51,14 @@
     Relay,
 }
 
-impl NewsOrigin {
+impl VersionSource {
     /// Its name in logs.
     fn name(self) -> &'static str {
         match self {
-            NewsOrigin::Watch => "watch",
-            NewsOrigin::Renewal => "renewal",
-            NewsOrigin::Node => "node",
-            NewsOrigin::Relay => "relay",
+            VersionSource::Watch => "watch",
+            VersionSource::Renewal => "renewal",
+            VersionSource::Node => "node",
+            VersionSource::Relay => "relay",
         }
     }
 }
@@ -75,8 +75,8 @@
     let mut feed = Feed::new(Arc::clone(&gateway), StoreKind::Weights);
     let mut backoff = Backoff::new();
     loop {
-        let (objects, mut revision, sent) = feed.list(&mut backoff).await;
-        take_list(&gateway, &objects, sent, NewsOrigin::Watch);
+        let (objects, mut revision, sent_at) = feed.list(&mut backoff).await;
+        apply_list(&gateway, &objects, sent_at, VersionSource::Watch);
         if revision == EVERY_REVISION {
             // A store without the kind has nothing to watch; renewals show when it has.
             sleep(gateway.settings().store.other_watch_ms).await;
@@ -84,7 +84,7 @@
         }
         while let Some((events, next, _)) = feed.changes(revision, &mut backoff).await {
             for event in events.iter().filter(|event| !event.is_gone) {
-                take_change(&gateway, &event.object);
+                apply_change(&gateway, &event.object);
             }
             revision = next;
         }
@@ -98,9 +98,9 @@
     let mut backoff = Backoff::new();
     loop {
         wait_until_due(&gateway).await;
-        let sent = gateway.clock.now();
+        let sent_at = gateway.clock.now();
         match feed.list_once(&mut backoff).await {
-            Some((objects, _)) => take_list(&gateway, &objects, sent, NewsOrigin::Renewal),
+            Some((objects, _)) => apply_list(&gateway, &objects, sent_at, VersionSource::Renewal),
             None => feed.pause(&mut backoff).await,
         }
     }
@@ -112,37 +112,37 @@
         if left_ms == 0 {
             return;
         }
-        sleep(left_ms.clamp(SHORTEST_LOOK_MS, LOOK_PERIOD_MS)).await;
+        sleep(left_ms.clamp(MIN_CHECK_PERIOD_MS, CHECK_PERIOD_MS)).await;
     }
 }
 
 /// Time until this node should renew the proof, in milliseconds.
 fn due_in_ms(gateway: &Gateway, now: Millis) -> u64 {
     if waits_for_store_alone(gateway) {
-        return LOOK_PERIOD_MS;
+        return CHECK_PERIOD_MS;
     }
     let Some(age_ms) = gateway.beliefs().weights.proof_age_ms(now) else {
         return gateway.started_at.plus(FIRST_PROOF_MS).since(now);
     };
-    let is_told = role(gateway, now) == Role::Follower && are_engines_told(gateway);
-    let share = match is_told {
-        true => READ_ANYWAY_AFTER_SHARE,
-        false => RENEWED_AFTER_SHARE,
+    let is_covered = role(gateway, now) == Role::Follower && are_engines_told(gateway);
+    let share = match is_covered {
+        true => FOLLOWER_RENEW_AFTER_SHARE,
+        false => RENEW_AFTER_SHARE,
     };
-    (relied_on_ms(gateway, share) + turn_ms(gateway)).saturating_sub(age_ms)
+    (proof_lifetime_ms(gateway, share) + turn_delay_ms(gateway)).saturating_sub(age_ms)
 }
 
 /// Time by which this node leaves the renewal to the ones before it, in milliseconds.
 /// Those that follow relays are spread: there are many of them.
-fn turn_ms(gateway: &Gateway) -> u64 {
+fn turn_delay_ms(gateway: &Gateway) -> u64 {
     match succession_rank(gateway) {
-        Some(position) => position.min(TURNS) * TURN_MS,
-        None => PeerId::of(&gateway.settings().node.name).0 % (TURNS * TURN_MS),
+        Some(position) => position.min(MAX_TURNS) * TURN_MS,
+        None => PeerId::of(&gateway.settings().node.name).0 % (MAX_TURNS * TURN_MS),
     }
 }
 
 /// A part of the time for which a proof is relied on, in milliseconds.
-fn relied_on_ms(gateway: &Gateway, share: f64) -> u64 {
+fn proof_lifetime_ms(gateway: &Gateway, share: f64) -> u64 {
     let margin_ms = gateway.settings().weights.margin_ms;
     let limit_ms = gateway.weights_bounds(margin_ms).avoid_after_ms;
     (limit_ms as f64 * share) as u64
@@ -150,31 +150,36 @@
 
 /// How late this node may learn of a version while some node renews the proof, in
 /// milliseconds: whoever learns of it later takes it to have been named by then.
-pub fn latest_news_ms(gateway: &Gateway) -> u64 {
-    relied_on_ms(gateway, RENEWED_AFTER_SHARE) + TURNS * TURN_MS
+pub fn max_report_delay_ms(gateway: &Gateway) -> u64 {
+    proof_lifetime_ms(gateway, RENEW_AFTER_SHARE) + MAX_TURNS * TURN_MS
 }
 
-/// Takes in what another node tells. Ages count from `sent`, as for
+/// Takes in what another node tells. Ages count from `sent_at`, as for
 /// [`ploverlift_balancing::weights::NamedWeights::hear`].
-pub fn hear_weights(
+pub fn apply_weights_report(
     gateway: &Gateway,
-    news: &WeightsNews,
-    sent: Option<Millis>,
-    origin: NewsOrigin,
+    report: &WeightsNews,
+    sent_at: Option<Millis>,
+    origin: VersionSource,
 ) {
     let now = gateway.clock.now();
-    let named = gateway.beliefs().weights.apply_reported(news, sent, now);
-    for told in &named {
-        note_named(gateway, &told.model, told.version, None, origin);
+    let named = gateway
+        .beliefs()
+        .weights
+        .apply_reported(report, sent_at, now);
+    for newer in &named {
+        announce_version(gateway, &newer.model, newer.version, None, origin);
     }
 }
 
-/// A call that was sent at `sent` told the newest version of every model.
-fn take_list(gateway: &Gateway, objects: &[StoreObject], sent: Millis, origin: NewsOrigin) {
-    let versions = objects.iter().filter_map(|object| read(gateway, object));
+/// A call that was sent_at at `sent_at` told the newest version of every model.
+fn apply_list(gateway: &Gateway, objects: &[StoreObject], sent_at: Millis, origin: VersionSource) {
+    let versions = objects
+        .iter()
+        .filter_map(|object| read_version(gateway, object));
     let versions: Vec<StoredVersion> = versions.collect();
     for stored in &versions {
-        name(gateway, stored, origin);
+        record_version(gateway, stored, origin);
     }
     let newest = versions.iter();
     let newest = newest.map(|stored| (stored.model.as_str(), stored.version));
@@ -183,18 +188,18 @@
         is_complete: versions.len() == objects.len(),
     };
     let now = gateway.clock.now();
-    gateway.beliefs().weights.note_listed(&listed, sent, now);
+    gateway.beliefs().weights.note_listed(&listed, sent_at, now);
     // The others need not ask for it.
     gateway.weights_report_due.notify(usize::MAX);
 }
 
-fn take_change(gateway: &Gateway, object: &StoreObject) {
-    if let Some(stored) = read(gateway, object) {
-        name(gateway, &stored, NewsOrigin::Watch);
+fn apply_change(gateway: &Gateway, object: &StoreObject) {
+    if let Some(stored) = read_version(gateway, object) {
+        record_version(gateway, &stored, VersionSource::Watch);
     }
 }
 
-fn read(gateway: &Gateway, object: &StoreObject) -> Option<StoredVersion> {
+fn read_version(gateway: &Gateway, object: &StoreObject) -> Option<StoredVersion> {
     match gateway.site.named_version(object) {
         Ok(named) => Some(StoredVersion {
             model: named.model,
@@ -209,21 +214,21 @@
     }
 }
 
-fn name(gateway: &Gateway, stored: &StoredVersion, origin: NewsOrigin) {
+fn record_version(gateway: &Gateway, stored: &StoredVersion, origin: VersionSource) {
     let now = gateway.clock.now();
     let (model, version) = (&stored.model, stored.version);
     if gateway.beliefs().weights.note_version(model, version, now) {
-        note_named(gateway, model, version, Some(stored.revision), origin);
+        announce_version(gateway, model, version, Some(stored.revision), origin);
     }
 }
 
 /// Logs a version that is news, and tells those who wait for it.
-fn note_named(
+fn announce_version(
     gateway: &Gateway,
     model: &str,
     version: u64,
     revision: Option<u64>,
-    origin: NewsOrigin,
+    origin: VersionSource,
 ) {
     let now = gateway.clock.now();
     let proof_age_ms = gateway.beliefs().weights.proof_age_ms(now);
@@ -233,7 +238,7 @@
         "proof_age_ms" => proof_age_ms);
     gateway.weights_named.notify(usize::MAX);
     gateway.weights_report_due.notify(usize::MAX);
-    if origin != NewsOrigin::Watch {
+    if origin != VersionSource::Watch {
         gateway.weights_missed.notify(usize::MAX);
     }
 }
--- a/crates/gateway/src/weights/loading.rs
+++ b/crates/gateway/src/weights/loading.rs
@@ -20,16 +20,16 @@
 
 #[derive(Default)]
 struct LoadingState {
-    loads: HashMap<InstanceId, PresentLoad>,
+    loads: HashMap<InstanceId, ActiveLoad>,
     load_ms: Option<f64>,
     width: LoadWidth,
 }
 
 /// One engine that is being brought up to date.
-struct PresentLoad {
-    begun: Millis,
+struct ActiveLoad {
+    began_at: Millis,
     /// Engines that were allowed to load at the same time when it began.
-    at_once: usize,
+    allowed: usize,
     /// Most engines that loaded at the same time since.
     peak: usize,
     /// Whether it was seen to load for longer than expected.
@@ -38,65 +38,65 @@
 
 impl Loading {
     pub(super) fn count(&self) -> usize {
-        self.with(|state| state.loads.len())
+        self.with_state(|state| state.loads.len())
     }
 
     /// Engines whose load is not expected to be over yet, or was seen not to be.
-    pub(super) fn count_busy(&self, usual_ms: u64, now: Millis) -> usize {
-        let load_ms = self.load_ms(usual_ms);
-        let is_busy = |load: &&PresentLoad| load.is_late || now.since(load.begun) < load_ms;
-        self.with(|state| state.loads.values().filter(is_busy).count())
+    pub(super) fn count_busy(&self, configured_ms: u64, now: Millis) -> usize {
+        let load_ms = self.load_ms(configured_ms);
+        let is_busy = |load: &&ActiveLoad| load.is_late || now.since(load.began_at) < load_ms;
+        self.with_state(|state| state.loads.values().filter(is_busy).count())
     }
 
     /// A report shows that the engine is still loading.
-    pub(super) fn note_busy(&self, instance: &InstanceId, usual_ms: u64, now: Millis) {
-        let load_ms = self.load_ms(usual_ms);
-        self.with(|state| {
+    pub(super) fn note_busy(&self, instance: &InstanceId, configured_ms: u64, now: Millis) {
+        let load_ms = self.load_ms(configured_ms);
+        self.with_state(|state| {
             if let Some(load) = state.loads.get_mut(instance) {
-                load.is_late = now.since(load.begun) >= load_ms;
+                load.is_late = now.since(load.began_at) >= load_ms;
             }
         });
     }
 
     /// Time that a load is expected to take, in milliseconds.
-    pub(super) fn load_ms(&self, usual_ms: u64) -> u64 {
-        self.with(|state| state.load_ms.map_or(usual_ms, |known| known as u64))
+    pub(super) fn load_ms(&self, configured_ms: u64) -> u64 {
+        self.with_state(|state| state.load_ms.map_or(configured_ms, |known| known as u64))
     }
 
     /// Engines that may load at once, as loads have shown, between what is needed and
     /// what can be spared.
     pub(super) fn width(&self, least: usize, most: usize) -> usize {
-        self.with(|state| state.width.width(least, most))
+        self.with_state(|state| state.width.width(least, most))
     }
 
     /// Engines that must load at once so that so many have loaded within `finish_ms`.
-    pub(super) fn needed(&self, engines: usize, assumed_ms: u64, finish_ms: u64) -> usize {
-        self.with(|state| state.width.required_width(engines, assumed_ms, finish_ms))
+    pub(super) fn needed_width(&self, engines: usize, assumed_ms: u64, finish_ms: u64) -> usize {
+        self.with_state(|state| state.width.required_width(engines, assumed_ms, finish_ms))
     }
 
     pub(super) fn instances(&self) -> Vec<InstanceId> {
         let mut instances: Vec<InstanceId> =
-            self.with(|state| state.loads.keys().cloned().collect());
+            self.with_state(|state| state.loads.keys().cloned().collect());
         instances.sort();
         instances
     }
 
-    pub(super) fn has(&self, instance: &InstanceId) -> bool {
-        self.with(|state| state.loads.contains_key(instance))
+    pub(super) fn contains(&self, instance: &InstanceId) -> bool {
+        self.with_state(|state| state.loads.contains_key(instance))
     }
 
-    pub(super) fn begin(&self, instance: &InstanceId, at_once: usize, now: Millis) {
-        self.with(|state| {
-            let load = PresentLoad {
-                begun: now,
-                at_once,
+    pub(super) fn begin(&self, instance: &InstanceId, allowed: usize, now: Millis) {
+        self.with_state(|state| {
+            let load = ActiveLoad {
+                began_at: now,
+                allowed,
                 peak: 0,
                 is_late: false,
             };
             state.loads.insert(instance.clone(), load);
-            let present = state.loads.len();
+            let active = state.loads.len();
             for load in state.loads.values_mut() {
-                load.peak = load.peak.max(present);
+                load.peak = load.peak.max(active);
             }
         });
     }
@@ -104,7 +104,7 @@
     /// The engine is done with; `reported_ms` is the time from its order to the
     /// report that showed the load.
     pub(super) fn end(&self, instance: &InstanceId, reported_ms: Option<u64>) {
-        self.with(|state| {
+        self.with_state(|state| {
             let load = state.loads.remove(instance);
             let (Some(load), Some(reported_ms)) = (load, reported_ms) else {
                 return;
@@ -116,11 +116,11 @@
                 took_ms,
                 peak: load.peak,
             };
-            state.width.observe(finished, load.at_once);
+            state.width.observe(finished, load.allowed);
         });
     }
 
-    fn with<T>(&self, work: impl FnOnce(&mut LoadingState) -> T) -> T {
+    fn with_state<T>(&self, work: impl FnOnce(&mut LoadingState) -> T) -> T {
         let state = self.state.lock();
         work(&mut state.unwrap_or_else(|poisoned| poisoned.into_inner()))
     }
--- a/crates/gateway/src/weights/mod.rs
+++ b/crates/gateway/src/weights/mod.rs
@@ -30,10 +30,10 @@
 
 /// Time between the decision on a load and its order, in milliseconds: the next
 /// report to the other nodes goes out before.
-const ANNOUNCED_BEFORE_MS: u64 = 60;
+const ANNOUNCEMENT_LEAD_MS: u64 = 60;
 
 /// Takes part in the lease and gives orders, until the task is dropped.
-pub async fn roll_weights(gateway: Arc<Gateway>) {
+pub async fn update_engine_weights(gateway: Arc<Gateway>) {
     let holder = Arc::new(LeaseHolder::new(&gateway, LeaseName::Weights));
     let loading = Loading::default();
     loop {
@@ -44,7 +44,7 @@
             within(IDLE_PERIOD_MS, named).await;
             continue;
         }
-        let outdated = waiting_engines(&gateway, &loading);
+        let outdated = pending_engines(&gateway, &loading);
         gateway.beliefs().loading = loading.instances();
         if outdated.is_empty() && loading.count() == 0 {
             holder.note_idle();
@@ -54,14 +54,14 @@
             within(IDLE_PERIOD_MS, named).await;
             continue;
         }
-        let waits_ms = match holder.is_own() {
+        let succession_wait_ms = match holder.is_own() {
             true => 0,
             false => succession_delay_ms(&gateway),
         };
-        if waits_ms <= LAST_SUCCESSOR_DELAY_MS {
+        if succession_wait_ms <= LAST_SUCCESSOR_DELAY_MS {
             holder.observe_once().await;
         }
-        let at_once = loads_at_once(&gateway, &loading, &outdated, waits_ms);
+        let at_once = loads_at_once(&gateway, &loading, &outdated, succession_wait_ms);
         let is_idle = loading.count() == 0;
         // A node that stops gives no first order: it would lose the lease in between.
         if is_idle && (at_once == 0 || gateway.is_stopping()) {
@@ -77,11 +77,11 @@
 }
 
 /// Engines with outdated weights that are not being loaded.
-fn waiting_engines(gateway: &Gateway, loading: &Loading) -> Vec<OutdatedEngine> {
+fn pending_engines(gateway: &Gateway, loading: &Loading) -> Vec<OutdatedEngine> {
     let outdated = outdated_engines(gateway, gateway.clock.now());
     let waiting = outdated.into_iter();
     waiting
-        .filter(|engine| !loading.has(&engine.instance))
+        .filter(|engine| !loading.contains(&engine.instance))
         .collect()
 }
 
@@ -92,8 +92,8 @@
     outdated: &[OutdatedEngine],
     at_once: usize,
 ) -> Vec<OutdatedEngine> {
-    let usual_ms = gateway.settings().weights.load_ms;
-    let busy = loading.count_busy(usual_ms, gateway.clock.now());
+    let configured_ms = gateway.settings().weights.load_ms;
+    let busy = loading.count_busy(configured_ms, gateway.clock.now());
     let free = at_once.saturating_sub(busy);
     outdated.iter().take(free).cloned().collect()
 }
@@ -113,7 +113,7 @@
         let loading = loading.clone();
         smol::spawn(async move {
             // Other nodes hear of it first.
-            sleep(ANNOUNCED_BEFORE_MS).await;
+            sleep(ANNOUNCEMENT_LEAD_MS).await;
             let instance = engine.instance.clone();
             let reported_ms = bring_up_to_date(&gateway, &holder, &loading, engine).await;
             loading.end(&instance, reported_ms);
--- a/crates/gateway/src/weights/pace.rs
+++ b/crates/gateway/src/weights/pace.rs
@@ -16,17 +16,17 @@
     gateway: &Gateway,
     loading: &Loading,
     outdated: &[OutdatedEngine],
-    waits_ms: u64,
+    succession_wait_ms: u64,
 ) -> usize {
     let settings = &gateway.settings().weights;
     let load_ms = loading.load_ms(settings.load_ms);
     let all = outdated.len() + loading.count();
-    let needed = loading.needed(all, settings.load_ms, settings.finish_ms);
+    let needed = loading.needed_width(all, settings.load_ms, settings.finish_ms);
     let least = settings.loads_at_once.max(needed);
     let spared = engines_with_weights(gateway) as f64 * settings.loads_share;
     let at_once_limit = loading.width(least, spared as usize);
     let rounds = all.div_ceil(at_once_limit.max(1)) as u64;
-    let finish_ms = settings.finish_ms.min(rounds * load_ms) + waits_ms;
+    let finish_ms = settings.finish_ms.min(rounds * load_ms) + succession_wait_ms;
     let deadlines: Vec<Millis> = outdated
         .iter()
         .map(|engine| engine.named_at.plus(finish_ms))
--- a/crates/gateway/src/weights/plan.rs
+++ b/crates/gateway/src/weights/plan.rs
@@ -1,6 +1,6 @@
 //! Which engines have weights that are too old, and in which order they load.
 
-use super::knowledge::latest_news_ms;
+use super::knowledge::max_report_delay_ms;
 use crate::state::Gateway;
 use ploverlift_balancing::catalogue::InstanceId;
 use ploverlift_policy::ids::Millis;
@@ -27,7 +27,7 @@
 /// that have loaded, so at the others fewer and fewer are left. Engines that leave,
 /// cannot be reached or are not where their entry says are left out.
 pub fn outdated_engines(gateway: &Gateway, now: Millis) -> Vec<OutdatedEngine> {
-    let late_ms = latest_news_ms(gateway);
+    let late_ms = max_report_delay_ms(gateway);
     let beliefs = gateway.beliefs();
     let mut outdated = Vec::new();
     for engine in beliefs.engines.iter() {
--- a/crates/gateway/tests/leaving_engines.rs
+++ b/crates/gateway/tests/leaving_engines.rs
@@ -20,7 +20,7 @@
 use ploverlift_gateway::peers::roles::Role;
 use ploverlift_gateway::ports::{StoreError, StoreObject, WatchEvent};
 use ploverlift_gateway::reliance::{reliance, Reliance};
-use ploverlift_gateway::store::take_engine;
+use ploverlift_gateway::store::apply_engine_change;
 use ploverlift_gateway::time::sleep;
 use serde_json::json;
 use std::sync::Arc;
@@ -56,7 +56,10 @@
         reason: "timed out".to_owned(),
     });
     let now = node.gateway.clock.now();
-    node.gateway.beliefs().store_outage.note(&failed, now);
+    node.gateway
+        .beliefs()
+        .store_outage
+        .note_call_ended(&failed, now);
 }
 
 #[test]
@@ -164,7 +167,7 @@
         },
         is_gone: false,
     };
-    take_engine(&node.gateway, &event);
+    apply_engine_change(&node.gateway, &event);
     let now = node.gateway.clock.now();
     node.gateway.beliefs().engines_proof.read(now, now, 1_000);
     node.gateway.site_learned.notify(usize::MAX);
--- a/crates/gateway/tests/store_trouble.rs
+++ b/crates/gateway/tests/store_trouble.rs
@@ -6,9 +6,9 @@
 use ploverlift_balancing::catalogue::InstanceId;
 use ploverlift_gateway::ports::{StoreError, StoreKind, StoreObject, WatchEvent};
 use ploverlift_gateway::settings::GatewaySettings;
-use ploverlift_gateway::store::answer_time::AnswerTime;
+use ploverlift_gateway::store::answer_timeout::AnswerTimeout;
 use ploverlift_gateway::store::outage::{OutageChange, StoreOutage};
-use ploverlift_gateway::store::{take_engine, StoreClient};
+use ploverlift_gateway::store::{apply_engine_change, StoreClient};
 use ploverlift_policy::ids::Millis;
 use serde_json::json;
 use std::path::Path;
@@ -78,22 +78,22 @@
 
 #[test]
 fn the_wait_for_an_answer_follows_the_answers_that_came() {
-    let mut time = AnswerTime::new(450);
-    assert_eq!(time.wait_ms(), 450);
+    let mut timeout = AnswerTimeout::new(450);
+    assert_eq!(timeout.timeout_ms(), 450);
     for _ in 0..20 {
-        time.on_answer(4);
+        timeout.on_answer(4);
     }
-    assert_eq!(time.wait_ms(), 100);
-    time.on_silence();
-    assert_eq!(time.wait_ms(), 200);
+    assert_eq!(timeout.timeout_ms(), 100);
+    timeout.on_timeout();
+    assert_eq!(timeout.timeout_ms(), 200);
     for _ in 0..3 {
-        time.on_silence();
+        timeout.on_timeout();
     }
-    assert_eq!(time.wait_ms(), 450);
+    assert_eq!(timeout.timeout_ms(), 450);
     for _ in 0..20 {
-        time.on_answer(60);
+        timeout.on_answer(60);
     }
-    assert!((330..=370).contains(&time.wait_ms()));
+    assert!((330..=370).contains(&timeout.timeout_ms()));
 }
 
 #[test]
@@ -283,28 +283,28 @@
 fn outage_at_one_second() -> StoreOutage {
     let mut outage = StoreOutage::default();
     let failed: Result<(), StoreError> = Err(StoreError::Refused { status: 503 });
-    outage.note(&failed, Millis(1_000));
+    outage.note_call_ended(&failed, Millis(1_000));
     outage
 }
 
 #[test]
 fn lapsed_engines_have_their_time_before_the_return_was_seen_and_from_it_on() {
-    assert_eq!(StoreOutage::default().time_to_come_back_ms(Millis(500)), 0);
+    assert_eq!(StoreOutage::default().remaining_grace_ms(Millis(500)), 0);
     let mut outage = outage_at_one_second();
-    assert_eq!(outage.time_to_come_back_ms(Millis(1_400)), 2_000);
-    outage.note(&Ok(()), Millis(1_500));
-    assert_eq!(outage.time_to_come_back_ms(Millis(1_500)), 2_000);
-    assert_eq!(outage.time_to_come_back_ms(Millis(2_500)), 1_000);
+    assert_eq!(outage.remaining_grace_ms(Millis(1_400)), 2_000);
+    outage.note_call_ended(&Ok(()), Millis(1_500));
+    assert_eq!(outage.remaining_grace_ms(Millis(1_500)), 2_000);
+    assert_eq!(outage.remaining_grace_ms(Millis(2_500)), 1_000);
     // Calls that go well later do not begin the time anew.
-    outage.note(&Ok(()), Millis(3_000));
-    assert_eq!(outage.time_to_come_back_ms(Millis(3_600)), 0);
+    outage.note_call_ended(&Ok(()), Millis(3_000));
+    assert_eq!(outage.remaining_grace_ms(Millis(3_600)), 0);
 }
 
 #[test]
 fn a_failure_that_no_later_call_followed_is_forgotten() {
     let outage = outage_at_one_second();
-    assert_eq!(outage.time_to_come_back_ms(Millis(3_900)), 2_000);
-    assert_eq!(outage.time_to_come_back_ms(Millis(4_100)), 0);
+    assert_eq!(outage.remaining_grace_ms(Millis(3_900)), 2_000);
+    assert_eq!(outage.remaining_grace_ms(Millis(4_100)), 0);
 }
 
 #[test]
@@ -312,9 +312,9 @@
     let mut outage = StoreOutage::default();
     for error in [StoreError::NotFound, StoreError::Throttled] {
         let answer: Result<(), StoreError> = Err(error);
-        outage.note(&answer, Millis(1_000));
+        outage.note_call_ended(&answer, Millis(1_000));
     }
-    assert_eq!(outage.time_to_come_back_ms(Millis(1_001)), 0);
+    assert_eq!(outage.remaining_grace_ms(Millis(1_001)), 0);
 }
 
 #[test]
@@ -325,7 +325,11 @@
         let now = fixture.gateway.clock.now();
         // The configuration's feed has seen the outage, and not yet the return.
         let failed: Result<(), StoreError> = Err(StoreError::Refused { status: 503 });
-        fixture.gateway.beliefs().store_outage.note(&failed, now);
+        fixture
+            .gateway
+            .beliefs()
+            .store_outage
+            .note_call_ended(&failed, now);
         let gone = WatchEvent {
             object: StoreObject {
                 name: "app-1".to_owned(),
@@ -336,7 +340,7 @@
             },
             is_gone: true,
         };
-        take_engine(&fixture.gateway, &gone);
+        apply_engine_change(&fixture.gateway, &gone);
         assert_eq!(fixture.gateway.beliefs().engines.len(), 1);
     });
 }
@@ -357,38 +361,38 @@
     });
     let mut outage = outage_where_engines_write();
     // A follower asks after a long time in which it was told, and its first call fails.
-    outage.note_asked(Millis(60_000));
-    outage.note(&failed, Millis(61_000));
-    assert_eq!(outage.time_to_come_back_ms(Millis(61_001)), 0);
-    outage.note(&Ok(()), Millis(61_200));
-    assert_eq!(outage.time_to_come_back_ms(Millis(61_200)), 0);
+    outage.note_call_began(Millis(60_000));
+    outage.note_call_ended(&failed, Millis(61_000));
+    assert_eq!(outage.remaining_grace_ms(Millis(61_001)), 0);
+    outage.note_call_ended(&Ok(()), Millis(61_200));
+    assert_eq!(outage.remaining_grace_ms(Millis(61_200)), 0);
     // Two heartbeats that the store did not take leave a record that may lapse.
-    outage.note_asked(Millis(61_200));
-    outage.note(&failed, Millis(62_000));
-    outage.note_asked(Millis(62_500));
-    outage.note(&Ok(()), Millis(63_599));
-    assert_eq!(outage.time_to_come_back_ms(Millis(63_599)), 0);
+    outage.note_call_began(Millis(61_200));
+    outage.note_call_ended(&failed, Millis(62_000));
+    outage.note_call_began(Millis(62_500));
+    outage.note_call_ended(&Ok(()), Millis(63_599));
+    assert_eq!(outage.remaining_grace_ms(Millis(63_599)), 0);
 }
 
 #[test]
 fn records_that_may_have_lapsed_are_kept_no_longer_than_knowledge_may_be_old() {
     let failed: Result<(), StoreError> = Err(StoreError::Refused { status: 503 });
     let mut outage = outage_where_engines_write();
-    outage.note_asked(Millis(1_000));
-    outage.note(&failed, Millis(1_100));
-    let ended = outage.note(&Ok(()), Millis(3_400));
+    outage.note_call_began(Millis(1_000));
+    outage.note_call_ended(&failed, Millis(1_100));
+    let ended = outage.note_call_ended(&Ok(()), Millis(3_400));
     let expected = OutageChange::Ended {
         silence_ms: Some(2_400),
         may_have_lapsed: true,
     };
     assert_eq!(ended, Some(expected));
-    assert_eq!(outage.time_to_come_back_ms(Millis(3_400)), 1_300);
+    assert_eq!(outage.remaining_grace_ms(Millis(3_400)), 1_300);
     // Another failure in that time, of this node's own, neither ends nor renews it.
-    outage.note_asked(Millis(3_450));
-    outage.note(&failed, Millis(3_500));
-    outage.note(&Ok(()), Millis(3_600));
-    assert_eq!(outage.time_to_come_back_ms(Millis(3_700)), 1_000);
-    assert_eq!(outage.time_to_come_back_ms(Millis(4_700)), 0);
+    outage.note_call_began(Millis(3_450));
+    outage.note_call_ended(&failed, Millis(3_500));
+    outage.note_call_ended(&Ok(()), Millis(3_600));
+    assert_eq!(outage.remaining_grace_ms(Millis(3_700)), 1_000);
+    assert_eq!(outage.remaining_grace_ms(Millis(4_700)), 0);
 }
 
 /// Another writer may spoil an entry. It names no engine to use, and the others hold.
