--- a/crates/gateway/src/cache_feeds/engines.rs
+++ b/crates/gateway/src/cache_feeds/engines.rs
@@ -1,9 +1,8 @@
-//! Follows what the engines keep.
+//! Follows the cache contents of the engines.
 //!
-//! Nodes follow the engines of their own zone: calls within a zone cost no bytes
-//! between zones. The first follower of an engine tells all other nodes what the
-//! engine has dropped. Engines of a zone without any node are followed from
-//! elsewhere.
+//! Nodes follow the engines of their own zone, which causes no traffic between zones. The
+//! first follower of an engine reports its evictions to all other nodes. Engines of a zone
+//! without any node are followed by nodes of other zones.
 
 use super::first_answers::FirstAnswerLimit;
 use super::follow_duty::follow_duty;
@@ -27,21 +26,21 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Time between two looks at which engines are to be followed, in milliseconds.
+/// Period at which the assignment of engines is renewed, in milliseconds.
 const CHECK_PERIOD_MS: u64 = 500;
-/// How long calls for events may take: a live engine answers within it, so the feed
-/// shows soon that an engine no longer answers at all.
+/// Time limits of calls for events: a running engine answers within them, so the feed soon
+/// detects an engine that no longer answers at all.
 const EVENT_WAIT: EventWait = EventWait {
     hold_ms: 400,
     slack_ms: 350,
 };
-/// Pause between two calls, in milliseconds, so that events come in batches.
+/// Pause between two calls, in milliseconds, so that events arrive in batches.
 const BATCH_PERIOD_MS: u64 = 100;
 
-/// An engine whose events are to be followed.
+/// An engine whose events this node follows.
 #[derive(Clone, Debug)]
 pub struct FollowedEngine {
-    /// Its life.
+    /// The engine's incarnation.
     pub instance: InstanceId,
     tag: EngineTag,
     address: SocketAddr,
@@ -86,7 +85,7 @@
     }
 }
 
-/// Decides anew which engines this node follows, and tells them.
+/// Reassigns the engines that this node follows and returns them.
 pub fn engines_to_follow(gateway: &Gateway, now: Millis) -> Vec<FollowedEngine> {
     let settings = gateway.settings();
     let duty = match settings.cache.follow_engines {
@@ -116,7 +115,7 @@
     followed
 }
 
-/// The engines that fall to this node among others.
+/// The engines assigned to this node among the following nodes.
 fn assigned_among(nodes: &FollowingNodes, beliefs: &Beliefs) -> HashMap<EngineTag, Assignment> {
     let configuration = beliefs.configuration.as_deref();
     let engines = beliefs.engines.iter();
@@ -129,7 +128,7 @@
     assigned.collect()
 }
 
-/// Calls for events that an engine takes.
+/// Maximum number of concurrent event calls to an engine.
 fn max_followers(configuration: Option<&ActiveConfiguration>, engine: &Engine) -> usize {
     let services = configuration.map(|known| &known.document.services);
     let service = services.and_then(|services| services.get(&engine.record.service));
@@ -211,8 +210,8 @@
     note_followed(gateway, engine, is_followed, false);
 }
 
-/// An engine that does not answer calls for events is ejected before requests
-/// have to find out, one by one and each by its own time-out.
+/// Ejects an engine that does not answer calls for events, before requests detect it one by
+/// one, each after its own time-out.
 fn eject(gateway: &Gateway, engine: &FollowedEngine) {
     gateway.note_outcome(&engine.instance, Outcome::Unreachable);
 }
--- a/crates/gateway/src/cache_feeds/first_answers.rs
+++ b/crates/gateway/src/cache_feeds/first_answers.rs
@@ -1,37 +1,38 @@
-//! How fast feeds of engines' caches begin.
+//! Rate limit for beginning feeds of engine caches.
 //!
-//! The first answer of a feed tells all that its engine keeps, and passes the link that
-//! callers' answers pass as well. Feeds are worth a better choice, answers a caller.
+//! The first answer of a feed contains the engine's whole cache contents and shares the link
+//! with the answers to callers. A feed only improves the choice of engines, while a lost
+//! answer costs a caller.
 
 use crate::settings::NodeSettings;
 use crate::time::sleep;
 use smol::lock::{Semaphore, SemaphoreGuard};
 
-/// First answers that are under way together: several, so that an engine that does not
-/// answer holds up few others.
+/// Maximum number of concurrent first answers: several, so that an engine that does not
+/// answer delays few others.
 const MAX_UNDER_WAY: usize = 4;
-/// Part of the node's link that first answers use: with the steady events of the feeds
-/// that run, most of the link stays with callers.
+/// Share of the node's link that first answers use: together with the steady events of the
+/// running feeds, it leaves most of the link to callers.
 const LINK_SHARE: f64 = 0.25;
-/// Time that a byte takes on a link of one megabit a second, in milliseconds.
+/// Transfer time of a byte on a link of one megabit per second, in milliseconds.
 const BYTE_MS_AT_ONE_MBPS: f64 = 8.0 / 1_000.0;
 
-/// Turns of first answers.
+/// Limits the rate of first answers.
 pub(super) struct FirstAnswerLimit {
     permits: Semaphore,
-    /// Time that a byte takes on a turn's part of the link, in milliseconds; 0 where
-    /// the link is not known.
+    /// Transfer time of a byte on a permit's share of the link, in milliseconds; 0 if the
+    /// link rate is unknown.
     byte_ms: f64,
 }
 
-/// The turn of one feed.
+/// Permit for the first answer of one feed.
 pub(super) struct FirstAnswerPermit<'a> {
     byte_ms: f64,
     _guard: SemaphoreGuard<'a>,
 }
 
 impl FirstAnswerLimit {
-    /// Those of a node.
+    /// The limit for a node's link.
     pub(super) fn of(node: &NodeSettings) -> Self {
         let permit_mbps = node.link_mbps * LINK_SHARE / MAX_UNDER_WAY as f64;
         Self {
@@ -53,7 +54,8 @@
 }
 
 impl FirstAnswerPermit<'_> {
-    /// Ends the turn once an answer of so many bytes has used up its part of the link.
+    /// Releases the permit after the time that an answer of `bytes` takes on its share of the
+    /// link.
     pub(super) async fn release_after(self, bytes: usize) {
         sleep((bytes as f64 * self.byte_ms) as u64).await;
     }
--- a/crates/gateway/src/cache_feeds/follow_duty.rs
+++ b/crates/gateway/src/cache_feeds/follow_duty.rs
@@ -1,4 +1,4 @@
-//! Which nodes divide the engines' caches, as this node knows them by its role.
+//! Which nodes share the following of engine caches, as known to this node in its role.
 
 use crate::peers::roles::{role, Role};
 use crate::state::Gateway;
@@ -7,11 +7,11 @@
 use ploverlift_policy::ids::Millis;
 use std::collections::HashSet;
 
-/// Time from the start after which engines of zones without any node are followed,
-/// in milliseconds: before it, the other nodes were not heard of yet.
+/// Time after the start from which engines of zones without any node are followed, in
+/// milliseconds: before it, other nodes may not have been discovered yet.
 const OTHER_ZONES_AFTER_MS: u64 = 3_000;
 
-/// What this node may follow now.
+/// Which engines this node may follow now.
 pub(super) fn follow_duty(gateway: &Gateway, now: Millis) -> FollowDuty {
     if gateway.is_refusing() {
         return FollowDuty::Nothing;
@@ -33,7 +33,7 @@
     FollowDuty::Shared(nodes)
 }
 
-/// The nodes of a follower's zone; nothing when no relay has named any lately.
+/// The nodes of a follower's zone; `None` when no relay has recently reported any.
 fn reported_by_relays(gateway: &Gateway, now: Millis) -> Option<FollowingNodes> {
     let beliefs = gateway.beliefs();
     let named = &beliefs.peer_loads.relayed.named_nodes;
@@ -45,8 +45,8 @@
     })
 }
 
-/// The nodes of a relay's zone. One that has just begun has heard few of those that
-/// report to it, so it counts all that the store lists.
+/// The nodes of a relay's zone. A relay that has just started has received few reports, so
+/// it also counts all nodes listed in the store.
 fn reporting_and_listed(gateway: &Gateway) -> FollowingNodes {
     let mut nodes = listed(gateway);
     let reporting = reporting(gateway);
@@ -57,7 +57,8 @@
     nodes
 }
 
-/// The nodes of a small site. One that hears nobody may be the one that is cut off.
+/// The nodes of a small site. A node that receives no reports may itself be cut off, so it
+/// uses the nodes listed in the store.
 fn reporting_or_listed(gateway: &Gateway) -> FollowingNodes {
     let reporting = reporting(gateway);
     match reporting.near.is_empty() && reporting.far.is_empty() {
--- a/crates/gateway/src/cache_feeds/mod.rs
+++ b/crates/gateway/src/cache_feeds/mod.rs
@@ -1,8 +1,8 @@
-//! Following what engines and KV cache stores hold.
+//! Following the cache contents of engines and KV cache stores.
 //!
-//! Each of them tells changes to those who ask, and holds a call until there are
-//! some. A call that fails costs hits and never an answer: without a feed the
-//! node relies on where prompts were sent.
+//! Both report changes by long polling: a call is held until there are some. A failed call
+//! costs cache hits but never an answer: without a feed, the node estimates the contents
+//! from where prompts were sent.
 
 pub mod call_pacing;
 mod engines;
@@ -18,28 +18,28 @@
 use crate::state::Gateway;
 use ploverlift_policy::ids::ZoneName;
 
-/// Shortest pause after there was no room for the call, in milliseconds.
+/// Minimum pause after a call was refused because all event calls were in use, in milliseconds.
 const MIN_REFUSED_PAUSE_MS: u64 = 4_000;
-/// Pause after a call that failed, in milliseconds.
+/// Pause after a failed call, in milliseconds.
 const RETRY_MS: u64 = 400;
 
-/// How long calls for events may take.
+/// Time limits of calls for events.
 #[derive(Clone, Copy)]
 struct EventWait {
-    /// How long a call is held where there are no events, in milliseconds.
+    /// Time for which a call is held while there are no events, in milliseconds.
     hold_ms: u64,
-    /// Longest wait for an answer beyond it, in milliseconds.
+    /// Maximum additional wait for the answer, in milliseconds.
     slack_ms: u64,
 }
 
 /// An answer to a call for events.
 struct EventsAnswer {
     answer: CacheAnswer,
-    /// The size of its body.
+    /// Size of the body, in bytes.
     bytes: usize,
 }
 
-/// Asks an engine or a store in a zone for the events after a position.
+/// Requests the events after a position from an engine or a cache store in a zone.
 async fn ask_for_events(
     gateway: &Gateway,
     connection: &mut CallConnection,
@@ -60,7 +60,7 @@
     })
 }
 
-/// The pause after there was no room for a call, in milliseconds.
+/// A random pause after a refused call, in milliseconds.
 fn refused_pause_ms() -> u64 {
     fastrand::u64(MIN_REFUSED_PAUSE_MS..2 * MIN_REFUSED_PAUSE_MS)
 }
--- a/crates/gateway/src/cache_feeds/store.rs
+++ b/crates/gateway/src/cache_feeds/store.rs
@@ -1,13 +1,13 @@
-//! Follows what the KV cache stores hold.
+//! Follows the contents of the KV cache stores.
 //!
-//! Without it each node would save each shared prompt anew, and the saves alone
-//! would fill a store's link.
+//! Without it, each node would save each shared prompt again, and the saves alone would
+//! saturate a store's link.
 //!
-//! Events from another region are paid for: there only relays follow a store, and tell
-//! the nodes of their zone ([`crate::peers::store_contents`]).
+//! Traffic from another region has a cost, so only relays follow a store of another region
+//! and report its contents to the nodes of their zone ([`crate::peers::store_contents`]).
 //!
-//! A store holds a few calls for events at once, over all nodes. So the nodes take
-//! turns: the more there are, the longer each rests between two calls.
+//! A store accepts only a few concurrent calls for events, over all nodes. Therefore the more
+//! nodes there are, the longer each pauses between two calls.
 
 use super::call_pacing::{CallPacing, Callers, HOLD_TIME};
 use super::{ask_for_events, EventWait, RETRY_MS};
@@ -28,14 +28,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Time between two looks at which stores there are, in milliseconds.
+/// Period of checks of the configured stores, in milliseconds.
 const CHECK_PERIOD_MS: u64 = 400;
-/// Longest wait for an answer beyond what a call is held, in milliseconds.
+/// Maximum wait for an answer beyond the time for which a call is held, in milliseconds.
 const SLACK_MS: u64 = 500;
-/// CallPacing that may be refused one after another while what was known is believed.
+/// Number of consecutive refused calls after which the known contents are no longer used.
 const MAX_REFUSED_CALLS: u32 = 3;
 
-/// The KV cache stores.
+/// The KV cache stores in a configuration.
 pub fn cache_stores(configuration: &ActiveConfiguration) -> impl Iterator<Item = &CacheStore> {
     let services = configuration.document.services.values();
     services.filter_map(|service| service.cache_store.as_ref())
@@ -114,7 +114,7 @@
     stores.expire_reported(store.address, now);
 }
 
-/// Whether relays tell this node what the store keeps.
+/// Whether relays report the contents of the store to this node.
 fn is_reported(gateway: &Gateway, store: &CacheStore, call_pacing: &CallPacing) -> bool {
     let is_for_relays = call_pacing.are_relays_alone || is_far(gateway, store);
     is_for_relays && role(gateway, gateway.clock.now()) == Role::Follower
@@ -124,7 +124,7 @@
     gateway.topology.distance(&gateway.zone, &store.zone) == Distance::OtherRegion
 }
 
-/// Who calls the store, and how often.
+/// Which nodes call the store, and how often.
 fn call_pacing(gateway: &Gateway, store: &CacheStore) -> CallPacing {
     let far: Vec<ZoneTag> = gateway
         .topology
@@ -154,7 +154,7 @@
     CallPacing::of(callers, store.max_event_calls)
 }
 
-/// Asks for events, and takes in what the answer shows.
+/// Requests events and applies the answer.
 async fn poll(
     gateway: &Gateway,
     store: &CacheStore,
--- a/crates/gateway/src/leases/document.rs
+++ b/crates/gateway/src/leases/document.rs
@@ -1,4 +1,4 @@
-//! The stored lease.
+//! The stored form of a lease.
 
 use ploverlift_lease::StoredLease;
 use ploverlift_policy::objects::LeaseSpec;
@@ -8,16 +8,16 @@
 /// The lease as it is stored.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseDocument {
-    /// Holder, token and life.
+    /// Holder, fencing token and incarnation of the holder.
     pub lease: LeaseSpec,
-    /// The era of the store in which the holder wrote it; 0 where the store has none, and
-    /// from a holder of an earlier release.
+    /// The store era in which the holder wrote the lease; 0 if the store reports no era or
+    /// the holder runs an earlier release.
     #[serde(default)]
     pub store_era: u64,
 }
 
 impl LeaseDocument {
-    /// What is stored of a lease.
+    /// The document for a lease.
     pub fn of(lease: &StoredLease) -> Self {
         Self {
             lease: lease.spec.clone(),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The same as the content of an object.
+    /// The document as the content of a store object.
     pub fn to_json(&self) -> Value {
         json!(self)
     }
--- a/crates/gateway/src/leases/holder.rs
+++ b/crates/gateway/src/leases/holder.rs
@@ -1,4 +1,4 @@
-//! This node's part in one lease.
+//! Acquiring, renewing and observing one lease.
 
 use super::document::LeaseDocument;
 use super::{LeaseName, LeaseRenewal};
@@ -15,23 +15,23 @@
 use ploverlift_policy::store_revision::StoreRevision;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// The holder stops acting when its last renewal is so old, in milliseconds.
+/// Age of the last renewal at which the holder stops acting, in milliseconds.
 const STOP_ACTING_AFTER_MS: u64 = 1_000;
-/// The holder renews when its last renewal is so old, in milliseconds.
+/// Age of the last renewal at which the holder renews, in milliseconds.
 const RENEW_AFTER_MS: u64 = 400;
-/// Added to the bound between two holders, in milliseconds.
+/// Margin added to the configured time between two holders, in milliseconds.
 const HANDOVER_MARGIN_MS: u64 = 200;
-/// Time between two looks at another node's lease, in milliseconds. Only nodes
-/// that would succeed its holder look.
+/// Time between two reads of another node's lease, in milliseconds. Only possible
+/// successors of its holder read it.
 const READ_PERIOD_MS: u64 = 700;
-/// Pause after a call that failed while this node does not hold the lease, in
-/// milliseconds: a store that is away is not asked again and again.
+/// Pause after a failed call while this node does not hold the lease, in
+/// milliseconds, so that an unavailable store is not called in a tight loop.
 const RETRY_MS: u64 = 250;
-/// Longest wait for an answer to a call on the lease, in milliseconds. A write
-/// that takes longer would leave little of the lease.
+/// Maximum time-out of a call on the lease, in milliseconds. A write that takes
+/// longer would leave little of the lease duration.
 const CALL_TIMEOUT_MS: u64 = 450;
 
-/// Holds the lease, or waits for it.
+/// Holds the lease or tries to acquire it.
 pub struct LeaseHolder {
     gateway: Arc<Gateway>,
     lease: LeaseName,
@@ -47,7 +47,7 @@
 }
 
 impl LeaseHolder {
-    /// A node that has not seen the lease.
+    /// A holder that has not yet read the lease.
     pub fn new(gateway: &Arc<Gateway>, lease: LeaseName) -> Self {
         let settings = gateway.settings();
         let timing = LeaseTiming {
@@ -75,8 +75,8 @@
         view.unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// The view with all that this node has learned elsewhere: the era of the store, and
-    /// what holders told in reports.
+    /// The view, updated with what this node learned elsewhere: the store era and the
+    /// renewals that holders announced in reports.
     fn current_view(&self, now: Millis) -> MutexGuard<'_, LeaseView> {
         let announced = self.gateway.beliefs().leases.of(self.lease).announced;
         let mut view = self.view();
@@ -89,12 +89,12 @@
         view
     }
 
-    /// This node's name as a holder.
+    /// This node's name, as written into the lease.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The fencing token, while this node may act as the holder.
+    /// The fencing token, if this node may act as the holder now.
     pub fn token(&self) -> Option<FencingToken> {
         let now = self.gateway.clock.now();
         let token = self.current_view(now).token(now);
@@ -103,7 +103,7 @@
         token
     }
 
-    /// An engine refused a token because it has seen a higher one.
+    /// Records that an engine refused a token because it has seen a higher one.
     pub fn note_token_refused(&self, engine: &InstanceId, token: FencingToken) {
         slog::warn!(self.gateway.log, "fencing token refused";
             "engine" => &engine.0, "token" => token.0);
@@ -112,13 +112,13 @@
         self.view().on_token_refused(token, now);
     }
 
-    /// Whether this node was the last holder that it knows of.
+    /// Whether this node is the last known holder.
     pub fn is_own(&self) -> bool {
         self.current_view(self.gateway.clock.now()).is_own_lease()
     }
 
-    /// Reads the lease unless it was read lately: the time after which it counts
-    /// as expired runs from when it was first seen.
+    /// Reads the lease unless it was already read since the node was last idle: the time
+    /// after which the lease counts as expired runs from when it was first observed.
     pub async fn observe_once(&self) {
         let now = self.gateway.clock.now();
         let mut io = self.io.lock().await;
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Reads the lease if nothing is known of it in the present era of the store: the wait
-    /// for a holder that may be alive runs before there is anything to do.
+    /// Reads the lease if it has not been read in the current store era, so that the wait
+    /// for a holder that may be alive is over before there is anything to do.
     pub async fn observe_if_unread(&self) {
         let now = self.gateway.clock.now();
         let mut io = self.io.lock().await;
@@ -139,7 +139,7 @@
         }
     }
 
-    /// There is nothing to do: the next time there is, the lease is read anew.
+    /// Records that there is nothing to do; the lease is read again when there is.
     pub fn note_idle(&self) {
         self.gateway.beliefs().leases.of_mut(self.lease).held = None;
         if let Some(mut io) = self.io.try_lock() {
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Renews the lease or asks for it; tells whether this node may act as the holder.
+    /// Renews the lease or tries to acquire it. Returns whether this node may act as the
+    /// holder.
     pub async fn renew_or_acquire(&self) -> bool {
         let may_act = self.try_renew_or_acquire().await;
         let held = may_act.then(|| self.last_renewal());
@@ -198,8 +199,8 @@
         self.token().is_some()
     }
 
-    /// Whether another known node has this node's number in fencing tokens; of two, the one
-    /// with the lower id stands for the lease.
+    /// Whether a known node with a lower id has the same node number in fencing tokens. Of
+    /// two such nodes, only the one with the lower id may acquire the lease.
     fn yields_shared_number(&self) -> bool {
         let own = PeerId::of(&self.name);
         let number = NodeNumber::of_hash(own.0);
@@ -221,12 +222,12 @@
         }
     }
 
-    /// Takes in the lease as it was read, or that there is none.
+    /// Applies the result of a read: the stored lease, or that there is none.
     fn apply_read(&self, object: Option<&StoreObject>, era: StoreEra) {
         let now = self.gateway.clock.now();
         let stored = object.map(read_lease);
         if stored.as_ref().is_some_and(Option::is_none) {
-            slog::warn!(self.gateway.log, "lease does not fit";
+            slog::warn!(self.gateway.log, "stored lease could not be parsed";
                 "lease" => self.lease.stored_name());
             return;
         }
@@ -248,7 +249,7 @@
         view.on_read(stored, era, known_at);
     }
 
-    /// The store has no lease.
+    /// Logs and counts that a lease known to this node is missing in the store.
     fn note_missing(&self, view: &LeaseView, era: StoreEra) {
         let Some(known) = view.observed_lease() else {
             return;
@@ -332,8 +333,8 @@
             "seen_ms" => seen_ms);
     }
 
-    /// After a write without an answer: if the store holds just what was
-    /// written, the write was done, and not before it `began`.
+    /// Reads the lease after a write without an answer. If the store holds exactly what was
+    /// written, the write succeeded, and not before `write.began`.
     async fn confirm_write(&self, io: &mut LeaseIo, write: LeaseWrite) {
         let name = self.lease.stored_name();
         let Ok(object) = io.client.get(StoreKind::Leases, name).await else {
@@ -346,7 +347,7 @@
         let Some(object) = object.as_ref().filter(|_| is_as_written) else {
             return self.apply_read(object.as_ref(), era);
         };
-        slog::info!(self.gateway.log, "lease found written";
+        slog::info!(self.gateway.log, "lease write confirmed by reading it back";
             "lease" => name, "revision" => object.revision, "ground" => write.reason.name());
         self.note_written(write, object, era);
     }
@@ -359,7 +360,7 @@
     }
 }
 
-/// The lease as the store has it; nothing where it can't be read.
+/// Parses a stored lease; `None` if it is invalid.
 fn read_lease(object: &StoreObject) -> Option<StoredLease> {
     let document: LeaseDocument = serde_json::from_value(object.content.clone()).ok()?;
     Some(StoredLease {
--- a/crates/gateway/src/leases/mod.rs
+++ b/crates/gateway/src/leases/mod.rs
@@ -1,8 +1,9 @@
-//! Leases in the object store, for duties that one node at a time has.
+//! Leases in the object store, for duties that only one node at a time may perform.
 //!
-//! Each duty has a lease of its own. The holder tells the other nodes of each renewal
-//! in its reports, so those that would succeed it need not read the store. What a node may
-//! do about a lease is decided in `ploverlift-lease`; here are the calls and the reports.
+//! Each duty has its own lease. The holder announces each renewal to the other nodes
+//! in its reports, so that its possible successors need not read the store. The rules for
+//! acquiring and renewing a lease are in `ploverlift-lease`; this module makes the store
+//! calls and processes the reports.
 
 mod document;
 mod holder;
@@ -13,17 +14,17 @@
 use ploverlift_lease::FencingToken;
 use ploverlift_policy::ids::Millis;
 
-/// A duty that one node at a time has.
+/// A duty that only one node at a time may perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseName {
-    /// Giving engines orders to load weights.
+    /// Ordering engines to load weights.
     Weights,
-    /// Deciding on rollouts of engines' software.
+    /// Deciding on rollouts of engine software.
     Rollouts,
 }
 
 impl LeaseName {
-    /// Its name in the store and in logs.
+    /// The name used in the store and in logs.
     pub fn stored_name(self) -> &'static str {
         match self {
             LeaseName::Weights => "weights",
@@ -32,22 +33,22 @@
     }
 }
 
-/// A renewal of a lease, as its holder tells it. Renewals are ordered by the token first:
-/// revisions go back when the store comes back from a copy.
+/// A renewal of a lease, as announced by its holder. Renewals are ordered by the token
+/// first, because revisions go back when the store is restored from a copy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LeaseRenewal {
-    /// The holder's fencing token; 0 when the holder is of an earlier release.
+    /// The holder's fencing token; 0 when the holder runs an earlier release.
     pub token: FencingToken,
-    /// The revision that the renewal was given, within its era of the store.
+    /// The store revision of the renewal, within its store era.
     pub revision: u64,
 }
 
-/// A renewal of a lease of which its holder told this node.
+/// A renewal of a lease that its holder announced to this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnnouncedLease {
     /// The renewal.
     pub renewal: LeaseRenewal,
-    /// When this node first heard of it.
+    /// When this node first received the announcement.
     pub received_at: Millis,
 }
 
@@ -56,12 +57,12 @@
 pub struct LeaseKnowledge {
     /// The last renewal, while this node holds the lease.
     pub held: Option<LeaseRenewal>,
-    /// The newest renewal of which its holder told this node.
+    /// The newest renewal that the holder announced to this node.
     pub announced: Option<AnnouncedLease>,
 }
 
 impl LeaseKnowledge {
-    /// The holder told of its last renewal.
+    /// Records a renewal announced by the holder, if it is newer than the known one.
     pub fn note_announced(&mut self, renewal: LeaseRenewal, now: Millis) {
         if self.announced.is_none_or(|known| known.renewal < renewal) {
             self.announced = Some(AnnouncedLease {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The newest renewal that is known.
+    /// The newest known renewal.
     pub fn newest(&self) -> Option<LeaseRenewal> {
         let announced = self.announced.map(|announced| announced.renewal);
         self.held.max(announced)
@@ -86,7 +87,7 @@
 }
 
 impl LeaseBeliefs {
-    /// One lease.
+    /// Knowledge of one lease.
     pub fn of(&self, name: LeaseName) -> &LeaseKnowledge {
         match name {
             LeaseName::Weights => &self.weights,
@@ -94,7 +95,7 @@
         }
     }
 
-    /// One lease, to take in news of it.
+    /// Mutable knowledge of one lease.
     pub fn of_mut(&mut self, name: LeaseName) -> &mut LeaseKnowledge {
         match name {
             LeaseName::Weights => &mut self.weights,
--- a/crates/gateway/src/leases/succession.rs
+++ b/crates/gateway/src/leases/succession.rs
@@ -1,23 +1,23 @@
-//! Who succeeds the holder of a lease, and after how long.
+//! Which nodes succeed the holder of a lease, and after which delay.
 
 use crate::peers::roles::{role, Role};
 use crate::state::Gateway;
 use ploverlift_balancing::peer_loads::PeerId;
 
-/// Nodes that stand by to succeed the holder of the lease.
+/// Number of nodes on standby to succeed the holder of the lease.
 const SUCCESSORS: u64 = 4;
-/// Time between two of them, in milliseconds, so that not all ask at once.
+/// Delay between two successors, in milliseconds, so that they do not all try to acquire
+/// the lease at once.
 const SUCCESSION_STEP_MS: u64 = 100;
-/// The wait of the last one that stands by, in milliseconds.
+/// Delay of the last standby node, in milliseconds.
 pub const LAST_SUCCESSOR_DELAY_MS: u64 = SUCCESSORS * SUCCESSION_STEP_MS;
-/// The wait of all other nodes, in milliseconds.
+/// Delay of all other nodes, in milliseconds.
 const NON_SUCCESSOR_DELAY_MS: u64 = 1_500;
 
-/// Time by which this node waits longer than the holder before it asks for the
-/// lease, in milliseconds. The relays, or in a small fleet the nodes that hear of
-/// each other, are ordered by their names; the first few succeed one after the
-/// other, and the many others neither look at the lease nor ask for it unless all
-/// of those fail.
+/// Additional delay of this node, compared with the holder, before it tries to acquire the
+/// lease, in milliseconds. The relays, or in a small fleet the nodes that exchange
+/// reports, are ordered by their names. The first few try one after the other; all others
+/// neither read the lease nor try to acquire it unless all of those fail.
 pub fn succession_delay_ms(gateway: &Gateway) -> u64 {
     match succession_rank(gateway) {
         Some(position) if position < SUCCESSORS => position * SUCCESSION_STEP_MS,
@@ -25,16 +25,16 @@
     }
 }
 
-/// Whether this node is among the first to succeed a holder, and knows its role: at the
-/// start all nodes would take themselves for the first.
+/// Whether this node is among the first successors of a holder and knows its role. Without
+/// a known role, all nodes would rank themselves first at their start.
 pub fn is_lease_candidate(gateway: &Gateway) -> bool {
     let role = role(gateway, gateway.clock.now());
     let is_settled = matches!(role, Role::Direct | Role::Relay);
     is_settled && succession_delay_ms(gateway) <= LAST_SUCCESSOR_DELAY_MS
 }
 
-/// This node's place in the order of the relays, or in a small fleet of the nodes that
-/// hear of each other; nothing when it follows relays.
+/// This node's rank among the relays, or in a small fleet among the nodes that exchange
+/// reports; `None` when it follows relays.
 pub fn succession_rank(gateway: &Gateway) -> Option<u64> {
     let own = PeerId::of(&gateway.settings().node.name);
     let now = gateway.clock.now();
--- a/crates/gateway/src/store/answer_timeout.rs
+++ b/crates/gateway/src/store/answer_timeout.rs
@@ -1,18 +1,18 @@
-//! How long to wait for an answer of the store, from how long answers took.
+//! Adaptive time-out of store calls, derived from the response times of earlier calls.
 //!
-//! A store that loses answers costs the whole wait for each of them, and a lease
-//! lasts a second. So the wait follows the answers that came, as a transport's
-//! retransmission timeout does (RFC 6298), and doubles after each that did not,
-//! so that a store which has become slow is waited for.
+//! Each lost answer costs the whole time-out, and a lease lasts only a second. The time-out
+//! therefore follows the measured response times, like a transport's retransmission time-out
+//! (RFC 6298), and doubles after each missing answer so that a store that has become slow
+//! can still answer.
 
-/// Weight of the newest answer in the usual time.
+/// Weight of the newest response time in the smoothed one.
 const NEWEST_WEIGHT: f64 = 0.25;
-/// The wait as a multiple of the usual time.
+/// The time-out as a multiple of the smoothed response time.
 const TIMEOUT_MULTIPLE: f64 = 6.0;
-/// Shortest wait, in milliseconds.
+/// Minimum time-out, in milliseconds.
 const MIN_TIMEOUT_MS: u64 = 100;
 
-/// The wait for the next answer.
+/// Time-out of the next call.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerTimeout {
     max_ms: u64,
@@ -21,7 +21,7 @@
 }
 
 impl AnswerTimeout {
-    /// Waits at most `max_ms`, and so long until an answer came.
+    /// A time-out of at most `max_ms` milliseconds, which also applies until the first answer.
     pub fn new(max_ms: u64) -> Self {
         Self {
             max_ms,
@@ -30,12 +30,12 @@
         }
     }
 
-    /// The wait for the next answer, in milliseconds.
+    /// The time-out of the next call, in milliseconds.
     pub fn timeout_ms(&self) -> u64 {
         self.timeout_ms
     }
 
-    /// An answer came after so long.
+    /// Records an answer that arrived after `elapsed_ms`.
     pub fn on_answer(&mut self, elapsed_ms: u64) {
         let newest = elapsed_ms as f64;
         let smoothed = self.smoothed_ms.unwrap_or(newest);
@@ -45,7 +45,7 @@
         self.timeout_ms = timeout_ms.min(self.max_ms);
     }
 
-    /// No answer came within the wait.
+    /// Records that no answer arrived within the time-out.
     pub fn on_timeout(&mut self) {
         self.timeout_ms = (self.timeout_ms * 2).min(self.max_ms);
     }
--- a/crates/gateway/src/store/backoff.rs
+++ b/crates/gateway/src/store/backoff.rs
@@ -1,32 +1,32 @@
-//! Pauses between failed calls of the store.
+//! Backoff between failed store calls.
 
 use crate::time::sleep;
 
 /// First pause after a failed call, in milliseconds.
 const FIRST_PAUSE_MS: u64 = 60;
-/// Longest pause after failed calls, in milliseconds.
+/// Maximum pause after failed calls, in milliseconds.
 const LONGEST_PAUSE_MS: u64 = 250;
 
-/// Pauses between failed calls: doubled each time and jittered, so that nodes
-/// which lost the store together do not come back together.
+/// Exponential backoff with jitter, so that nodes that lost the store at the same time do
+/// not retry at the same time.
 pub(crate) struct Backoff {
     pause_ms: u64,
 }
 
 impl Backoff {
-    /// The first pause is the shortest.
+    /// A backoff that starts with the shortest pause.
     pub(crate) fn new() -> Self {
         Self {
             pause_ms: FIRST_PAUSE_MS,
         }
     }
 
-    /// A call went well.
+    /// Returns to the shortest pause after a successful call.
     pub(crate) fn reset(&mut self) {
         self.pause_ms = FIRST_PAUSE_MS;
     }
 
-    /// Pauses after a call that failed.
+    /// Pauses after a failed call and doubles the next pause.
     pub(crate) async fn wait(&mut self) {
         let jittered = self.pause_ms / 2 + fastrand::u64(0..=self.pause_ms / 2);
         sleep(jittered).await;
--- a/crates/gateway/src/store/client.rs
+++ b/crates/gateway/src/store/client.rs
@@ -1,5 +1,5 @@
-//! Calls of the object store. Each has a deadline, and its error says whether
-//! it was done, was not done, or may still be done.
+//! Client of the object store. Each call has a deadline, and its error distinguishes calls
+//! that were not executed from those with an unknown outcome, which may still be executed.
 
 use super::answer_timeout::AnswerTimeout;
 use super::era::{EraChange, EraSource};
@@ -13,7 +13,7 @@
 use serde_json::Value;
 use std::sync::Arc;
 
-/// A client with one connection; calls go one after another.
+/// A client with one connection, on which calls are made one after another.
 pub struct StoreClient {
     gateway: Arc<Gateway>,
     connection: CallConnection,
@@ -22,7 +22,7 @@
 }
 
 impl StoreClient {
-    /// A client of the store in the settings.
+    /// A client of the configured store.
     pub fn new(gateway: &Arc<Gateway>) -> Self {
         let address = gateway.settings().store.address;
         Self {
@@ -33,8 +33,8 @@
         }
     }
 
-    /// A client whose calls take at most so long, in milliseconds, and less
-    /// while the store answers sooner.
+    /// A client whose calls time out after at most `timeout_ms`, and sooner while the
+    /// store answers faster.
     pub fn with_timeout(gateway: &Arc<Gateway>, timeout_ms: u64) -> Self {
         Self {
             answer_timeout: Some(AnswerTimeout::new(timeout_ms)),
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Gives up the connection; a new one finds the store where it is now.
+    /// Drops the connection; the next call opens a new one to the store's current location.
     pub fn reset(&mut self) {
         self.connection.reset();
     }
 
-    /// The era of the store that gave the last answer; 0 where it tells none.
+    /// The store era of the last answer; 0 if the store reports none.
     pub fn answered_era(&self) -> StoreEra {
         self.answered_era
     }
@@ -55,7 +55,7 @@
     /// Makes one call.
     ///
     /// # Errors
-    /// When it was not done or its outcome is not known.
+    /// When the call was not executed or its outcome is unknown.
     pub async fn call(&mut self, call: &StoreCall) -> Result<StoreReply, StoreError> {
         let wait_ms = match call {
             StoreCall::Watch { wait_ms, .. } => *wait_ms,
@@ -97,8 +97,9 @@
         result
     }
 
-    /// The call as the store reads it, and the era that it rests on. Nothing holds of a
-    /// revision of an earlier era: the store may have given it out again.
+    /// The call with the revision number as the store expects it, and the era that the call
+    /// depends on. Calls with a revision of an earlier era are rejected, because the store
+    /// may have assigned the same revision again.
     fn resolve_revision(
         &self,
         call: &StoreCall,
@@ -119,8 +120,9 @@
         })
     }
 
-    /// Reads an answer. One from before the store came back from a copy tells what is no
-    /// longer stored, and changes since a revision of an earlier era lack others.
+    /// Reads an answer. Answers from before the store was restored from a copy are rejected,
+    /// because they contain what is no longer stored; so are changes since a revision of an
+    /// earlier era, because they are incomplete.
     fn read_answer(
         &mut self,
         call: &StoreCall,
@@ -133,7 +135,7 @@
         if let Some(era) = era {
             if self.gateway.note_store_era(era, EraSource::Store) == EraChange::Outdated {
                 return Err(StoreError::Unknown {
-                    reason: "the answer is of an earlier era of the store".to_owned(),
+                    reason: "response is from an earlier era of the store".to_owned(),
                 });
             }
             self.answered_era = era;
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Whose call began an outage as this node sees it, or ended it.
+    /// Logs the call that began or ended an outage as observed by this node.
     fn log_outage(
         &self,
         call: &StoreCall,
@@ -178,8 +180,8 @@
         }
     }
 
-    /// Reads all objects of a kind, with the store's revision before the first
-    /// page: changes during the reading are seen again by a watch from there.
+    /// Reads all objects of a kind, with the store's revision before the first page. A watch
+    /// from that revision reports changes made during the list again.
     ///
     /// # Errors
     /// When a page cannot be read.
@@ -187,7 +189,7 @@
         self.list_pages(kind, false).await
     }
 
-    /// Reads all objects of a kind as they were some seconds ago, or later.
+    /// Reads all objects of a kind; the result may be stale by some seconds.
     ///
     /// # Errors
     /// When a page cannot be read.
@@ -232,7 +234,7 @@
         }
     }
 
-    /// Reads one object; nothing when it is not there.
+    /// Reads one object; `None` when it does not exist.
     ///
     /// # Errors
     /// When the store does not answer properly.
@@ -250,11 +252,11 @@
         }
     }
 
-    /// Stores an object if its revision is still `revision`; 0 makes it.
+    /// Stores an object if its revision is still `revision`; with 0, creates it.
     ///
     /// # Errors
-    /// [`StoreError::Conflict`] when it is not; [`StoreError::Unknown`] when the
-    /// change may have been made, or may still be made.
+    /// [`StoreError::Conflict`] when the revision differs; [`StoreError::Unknown`] when the
+    /// change may have been made or may still be made.
     pub async fn compare_and_set(
         &mut self,
         kind: StoreKind,
@@ -282,7 +284,7 @@
         }
     }
 
-    /// Removes an object; one that is not there is as good as removed.
+    /// Deletes an object; succeeds if it does not exist.
     ///
     /// # Errors
     /// When the store does not answer properly.
@@ -294,7 +296,7 @@
         }
     }
 
-    /// Records the status of an object if its revision is still `revision`.
+    /// Stores the status of an object if its revision is still `revision`.
     ///
     /// # Errors
     /// As [`StoreClient::compare_and_set`].
@@ -320,6 +322,6 @@
 
 fn unexpected_reply() -> StoreError {
     StoreError::Unknown {
-        reason: "the answer is not one to this call".to_owned(),
+        reason: "response does not match the call".to_owned(),
     }
 }
--- a/crates/gateway/src/store/engine_feed.rs
+++ b/crates/gateway/src/store/engine_feed.rs
@@ -1,4 +1,4 @@
-//! The copy of the engines' records: a list, then every change.
+//! The local copy of the engine records: a list, then a watch for changes.
 
 use super::backoff::Backoff;
 use super::feed::{Feed, ENGINES_OVERDUE_MS};
@@ -12,9 +12,10 @@
 use ploverlift_policy::ids::Millis;
 use std::sync::Arc;
 
-/// Time between the sending of two watches of which the first told changes of engines, in
-/// milliseconds: engines change in groups, and each answer of a watch is a call. Counted
-/// from the sending, as the proof is: the pause makes it no older.
+/// Minimum time between sending a watch that reported changes and sending the next one, in
+/// milliseconds: engines change in groups, and each answer of a watch costs a call. Like the
+/// age of the proof, it counts from the time of sending, so the pause does not make the proof
+/// older.
 const BATCH_PERIOD_MS: u64 = 800;
 /// Follows the engines until the task is dropped.
 pub async fn follow_engines(gateway: Arc<Gateway>) {
@@ -45,7 +46,7 @@
     }
 }
 
-/// A call that was sent at `sent` told all changes of the engines up to a revision.
+/// Records that a call sent at `sent_at` reported all engine changes up to a revision.
 fn note_engines_proven(gateway: &Gateway, revision: u64, sent_at: Millis) {
     let now = gateway.clock.now();
     let mut beliefs = gateway.beliefs();
@@ -78,10 +79,10 @@
 }
 
 fn log_unreadable(gateway: &Gateway, error: &InvalidDocument) {
-    slog::warn!(gateway.log, "engine does not fit"; "error" => error.to_string());
+    slog::warn!(gateway.log, "engine record could not be parsed"; "error" => error.to_string());
 }
 
-/// Takes in a change of an engine from the store.
+/// Applies an engine change from the store.
 pub fn apply_engine_change(gateway: &Arc<Gateway>, event: &WatchEvent) {
     let object = &event.object;
     if event.is_gone {
@@ -94,7 +95,7 @@
     }
 }
 
-/// Takes in an engine's record, and logs what is news.
+/// Applies an engine record and logs the resulting changes.
 pub(super) fn apply_record(gateway: &Gateway, record: EngineRecord) {
     let now = gateway.clock.now();
     let mut beliefs = gateway.beliefs();
--- a/crates/gateway/src/store/era.rs
+++ b/crates/gateway/src/store/era.rs
@@ -1,13 +1,13 @@
-//! The era of the store, as this node knows it.
+//! The store era, as known to this node.
 //!
-//! A store that comes back from a copy has lost what was written since, and gives out
-//! revisions again. Each time it enters a later era, which all its answers tell.
+//! A store that is restored from a copy has lost later writes and assigns revisions again.
+//! Each restoration begins a later era, which the store includes in all its answers.
 
 use crate::state::Gateway;
 use ploverlift_policy::ids::StoreEra;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Who told this node of an era.
+/// Where this node learned of an era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EraSource {
     /// An answer of the store.
@@ -17,7 +17,7 @@
 }
 
 impl EraSource {
-    /// Its name in logs.
+    /// The name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Store => "store",
@@ -26,35 +26,35 @@
     }
 }
 
-/// The latest era of which this node knows.
+/// The latest known era.
 #[derive(Debug, Default)]
 pub struct KnownEra {
-    /// The era plus one; 0 while none is known.
+    /// The era plus one; 0 while no era is known.
     plus_one: AtomicU64,
 }
 
-/// What the news of an era means.
+/// Result of comparing a reported era with the known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EraChange {
-    /// It is the one that is known, or the first one.
+    /// The era is the known one, or the first one reported.
     None,
-    /// The store has come back from a copy since the era that was known.
+    /// The store was restored from a copy after the known era.
     Restored {
-        /// The era that was known.
+        /// The previously known era.
         before: StoreEra,
     },
-    /// The change is from before the store came back.
+    /// The reported era is from before the store was restored.
     Outdated,
 }
 
 impl KnownEra {
-    /// The latest era; nothing while the store has told none.
+    /// The latest era; `None` while the store has reported none.
     pub fn get(&self) -> Option<StoreEra> {
         let plus_one = self.plus_one.load(Ordering::Acquire);
         plus_one.checked_sub(1).map(StoreEra)
     }
 
-    /// Takes in an era.
+    /// Updates the known era if the reported one is later.
     pub fn advance(&self, era: StoreEra) -> EraChange {
         let plus_one = era.0.saturating_add(1);
         let before = self.plus_one.fetch_max(plus_one, Ordering::AcqRel);
@@ -67,14 +67,14 @@
 }
 
 impl Gateway {
-    /// Takes in the era that another node told, where it told one.
+    /// Applies the era reported by another node, if any.
     pub fn note_peer_era(&self, era: Option<StoreEra>) {
         if let Some(era) = era {
             self.note_store_era(era, EraSource::Peer);
         }
     }
 
-    /// Takes in the era that an answer of the store or another node told.
+    /// Applies the era reported by an answer of the store or by another node.
     pub fn note_store_era(&self, era: StoreEra, source: EraSource) -> EraChange {
         let change = self.store_era.advance(era);
         if let EraChange::Restored { before } = change {
--- a/crates/gateway/src/store/feed.rs
+++ b/crates/gateway/src/store/feed.rs
@@ -1,13 +1,13 @@
-//! Copies of what is stored: a list, then every change, for one kind each. That of the
-//! engines is `engine_feed`.
+//! Local copies of stored objects, one per kind: a list, then a watch for changes. The copy
+//! of the engines is in `engine_feed`.
 //!
-//! The watch of the configuration waits briefly, because its answer proves that
-//! the configuration is the newest; it also notices first when the store is
-//! lost or back. A watch may hear nothing though the store is well, so each ends
-//! within the age that what it tells may have
-//! ([design](../../../../docs/design/knowledge.md)); those that may wait long are also
-//! begun anew when the store is back. A node that follows relays ([`crate::peers::roles`]) makes no calls
-//! while they tell it what is stored.
+//! The watch of the configuration has a short wait, because its answer proves that the
+//! configuration is the newest; it is also the first to notice that the store is lost or
+//! available again. A watch may miss changes although the store works, so each watch ends
+//! within the maximum age of what it reports
+//! ([design](../../../../docs/design/knowledge.md)). Watches with a long wait are also
+//! reopened when the store is available again. A node that follows relays
+//! ([`crate::peers::roles`]) makes no calls while the relays report what is stored.
 
 use super::backoff::Backoff;
 use super::StoreClient;
@@ -26,50 +26,49 @@
 use ploverlift_wire::peers::StoredConfiguration;
 use std::sync::Arc;
 
-/// How long a relay's watch of the engines waits, in milliseconds: its answer shows
-/// the nodes that follow the relay that nothing has changed.
+/// Wait of a relay's watch of the engines, in milliseconds: its answer proves to the
+/// followers of the relay that nothing has changed.
 const RELAY_ENGINES_WATCH_MS: u64 = 700;
-/// Longest pause after a failed call for anything but the configuration, in
-/// milliseconds: the watch of the configuration notices that the store is back.
+/// Maximum pause after a failed call for any kind but the configuration, in milliseconds:
+/// the watch of the configuration notices when the store is available again.
 const OTHERS_PAUSE_MS: u64 = 1_000;
-/// Shortest pause after a failed call of a node that follows relays, in
-/// milliseconds; the longest is twice as long. Hundreds of them must not keep a store
-/// busy that is in trouble, and the relays notice sooner that it is back. The longest
-/// is under the shortest time after trouble at which a node counts as in touch with
-/// the store in a large fleet (4 s).
+/// Minimum pause after a failed call of a follower of relays, in milliseconds; the maximum
+/// is twice as long. Hundreds of followers must not load a failing store, and the relays
+/// notice sooner that it is available again. The maximum is below 4 s, the shortest time
+/// after a failure at which a node counts as connected to the store in a large fleet.
 const FOLLOWER_PAUSE_MS: u64 = 1_500;
-/// Time between two looks at whether relays tell what a watch waits for, in
-/// milliseconds.
+/// Period of checks whether relays report what a watch waits for, in milliseconds.
 const RELAY_CHECK_PERIOD_MS: u64 = 200;
 
-/// Time for which a watch may tell later than another node what has changed, in
-/// milliseconds; after it the watch is taken to hear nothing.
+/// Time by which a watch may report a change later than another node, in milliseconds;
+/// after it, the watch counts as stalled.
 const STALLED_AFTER_MS: u64 = 300;
 
-/// Time beyond its wait after which a watch of the engines is given up for a list, in
-/// milliseconds: a slow store answers within it. With the age of the engines that a
-/// watch leaves, this stays under a bound of 2 s on leaving engines less the sending.
+/// Time beyond its wait after which a watch of the engines is abandoned for a list, in
+/// milliseconds: a slow store answers within it. Together with the age that the engines may
+/// reach during a watch, it stays below a bound of 2 s on leaving engines minus the time to
+/// send a request.
 pub(super) const ENGINES_OVERDUE_MS: u64 = 250;
 
-/// The revision of a list of a kind that the store does not have.
+/// Revision of the list of a kind that the store does not support.
 pub(crate) const EVERY_REVISION: u64 = u64::MAX;
 
 /// How a watch ended.
 enum WatchEnd {
     Answered(StoreReply),
-    /// The store is back after a failure, or from a copy, or this node stood still: the
-    /// watch may hang, or tell changes of another history.
+    /// The store is available again after a failure, was restored from a copy, or this node
+    /// was suspended: the watch may hang or report changes of another history.
     Abandoned,
-    /// Relays tell what it is for.
+    /// Relays report what the watch is for.
     CoveredByRelays,
-    /// An engine came that may belong to an order that is not known.
+    /// An engine appeared that may belong to an unknown rollout order.
     OrderUnknown,
-    /// Named weights came to be known otherwise, and not by this watch; or it did not
-    /// end when it should have.
+    /// This node learned of named weights from another source but not from this watch, or
+    /// the watch did not end in time.
     Stalled,
 }
 
-/// Waits until relays tell what a kind of watch is for.
+/// Waits until relays report the objects of a kind.
 async fn wait_until_covered_by_relays(gateway: &Gateway, kind: StoreKind) {
     loop {
         let is_covered = match kind {
@@ -84,7 +83,7 @@
     }
 }
 
-/// One copy.
+/// The local copy of one kind of objects.
 pub(crate) struct Feed {
     gateway: Arc<Gateway>,
     client: StoreClient,
@@ -95,7 +94,7 @@
 }
 
 impl Feed {
-    /// A copy that has nothing yet.
+    /// An empty copy.
     pub fn new(gateway: Arc<Gateway>, kind: StoreKind) -> Self {
         Self {
             client: StoreClient::new(&gateway),
@@ -106,7 +105,7 @@
         }
     }
 
-    /// Waits while relays tell what this feed is for.
+    /// Waits while relays report the objects of this feed.
     async fn wait_while_covered_by_relays(&self) {
         match self.kind {
             StoreKind::Configuration => wait_while_configuration_is_told(&self.gateway).await,
@@ -119,7 +118,7 @@
         }
     }
 
-    /// The pause after a failed call.
+    /// Pauses after a failed call.
     pub async fn pause(&self, backoff: &mut Backoff) {
         if role(&self.gateway, self.gateway.clock.now()) == Role::Follower {
             let pause_ms = FOLLOWER_PAUSE_MS + fastrand::u64(0..FOLLOWER_PAUSE_MS);
@@ -133,9 +132,9 @@
         }
     }
 
-    /// Waits until a relay has shown that the store answered it after this node's call
-    /// failed: then the store is there, and the failure was this node's own. A short
-    /// pause spreads the calls of the nodes that find out together.
+    /// Waits until a relay has proven that the store answered it after this node's call
+    /// failed: then the store is available and the failure was local to this node. A short
+    /// random pause spreads the calls of nodes that learn this at the same time.
     async fn wait_for_served_relay(&self) {
         let failed_at = self.gateway.clock.now();
         while self.gateway.beliefs().followed.newest_proof() <= Some(failed_at) {
@@ -144,7 +143,7 @@
         sleep(fastrand::u64(0..RELAY_CHECK_PERIOD_MS)).await;
     }
 
-    /// Reads all objects, however long the store is away.
+    /// Reads all objects; retries for as long as the store is unavailable.
     pub async fn list(&mut self, backoff: &mut Backoff) -> (Vec<StoreObject>, u64, Millis) {
         loop {
             self.wait_while_covered_by_relays().await;
@@ -156,7 +155,7 @@
         }
     }
 
-    /// Reads all objects; nothing when the store does not answer properly.
+    /// Reads all objects once; `None` when the call fails.
     pub async fn list_once(&mut self, backoff: &mut Backoff) -> Option<(Vec<StoreObject>, u64)> {
         match self.client.list(self.kind).await {
             Ok(listed) => {
@@ -164,7 +163,7 @@
                 backoff.reset();
                 Some(listed)
             }
-            // A store without the kind has no object of it, at any revision.
+            // A store that does not support the kind has no objects of it at any revision.
             Err(StoreError::NotFound) => Some((Vec::new(), EVERY_REVISION)),
             Err(error) => {
                 self.note_lost(&error);
@@ -173,9 +172,9 @@
         }
     }
 
-    /// Waits for changes after a revision; nothing when a list must come first. That is
-    /// so after every trouble: a list answers at once, where a watch that is opened
-    /// again waits for a change, and may hear none.
+    /// Waits for changes after a revision; `None` when a list must come first. That is the
+    /// case after every failure: a list is answered at once, whereas a reopened watch waits
+    /// for a change and may miss it.
     pub async fn changes(
         &mut self,
         revision: u64,
@@ -216,7 +215,7 @@
         let is_probe = self.kind == StoreKind::Configuration;
         let role = role(&self.gateway, self.gateway.clock.now());
         let wait_ms = match self.kind {
-            // A proof ages on its way to the nodes that follow a relay.
+            // The proof gets older on its way to the followers of a relay.
             StoreKind::Configuration if role == Role::Relay => store.configuration_watch_ms / 2,
             StoreKind::Configuration => store.configuration_watch_ms,
             StoreKind::Engines if role == Role::Relay => RELAY_ENGINES_WATCH_MS,
@@ -286,8 +285,8 @@
         futures_lite::future::or(watching, abandoning).await
     }
 
-    /// How long a watch of the engines waits where no other node follows, in
-    /// milliseconds: its end shows what it did not hear. The pause before it counts.
+    /// Wait of a watch of the engines on a node without followers, in milliseconds: after it,
+    /// missed changes are found. The pause before the watch is subtracted.
     fn engines_watch_ms(&self) -> u64 {
         let limit_ms = engines_age_limit_ms(&self.gateway.settings());
         let passed_ms = self.gateway.clock.now().since(self.answered_at);
@@ -343,7 +342,7 @@
     }
 }
 
-/// Takes in the configuration as it is stored, from the store or from a relay.
+/// Applies a stored configuration that came from the store or from a relay.
 pub fn apply_configuration(gateway: &Gateway, object: &StoreObject) {
     let document = match gateway.site.configuration(object) {
         Ok(document) => document,
--- a/crates/gateway/src/store/lapsed.rs
+++ b/crates/gateway/src/store/lapsed.rs
@@ -1,8 +1,8 @@
-//! Engines whose entries lapsed while the store was away.
+//! Engines whose records expired while the store was unavailable.
 //!
-//! An engine renews its entry in the store, so a store that comes back may lack the
-//! entries of engines that live. They write them again within a short time; until
-//! then the engines are kept, or a node would have none to send requests to.
+//! Engines renew their records in the store, so a store that is available again may lack the
+//! records of running engines. The engines write them again within a short time. Until then
+//! they are kept, because otherwise a node would have no engine to send requests to.
 
 use super::engine_feed::apply_record;
 use crate::engine_log::{log_engine_updates, UpdateSource};
@@ -11,19 +11,19 @@
 use ploverlift_balancing::catalogue::{EngineRecord, InstanceId};
 use std::sync::Arc;
 
-/// All engines as the store lists them.
+/// All engines, as listed by the store.
 pub struct EngineList {
-    /// Those whose records can be read.
+    /// Records that could be parsed.
     pub records: Vec<EngineRecord>,
-    /// Those whose records another writer spoilt: they name no engine to use, and take
-    /// none away.
+    /// Engines whose records are invalid, for example because another writer damaged them.
+    /// They neither add nor remove an engine.
     pub unreadable: Vec<InstanceId>,
-    /// Revision of the store.
+    /// Store revision of the list.
     pub revision: u64,
 }
 
-/// Replaces the engines by those listed. Shortly after the store's return, engines that
-/// are missing are given time to come back.
+/// Replaces the known engines with the listed ones. Shortly after an outage of the store,
+/// missing engines have a grace period to write their records again.
 pub fn replace_engines(gateway: &Arc<Gateway>, list: EngineList) {
     let now = gateway.clock.now();
     let mut missing = gateway.beliefs().engines.missing_in(&list.records);
@@ -46,10 +46,10 @@
     gateway.site_learned.notify(usize::MAX);
 }
 
-/// Forgets an engine whose entry is gone since a revision: at once, or, shortly
-/// after the store's return from an outage in which entries may have lapsed, when it has
-/// not come back in time. An engine that said that it leaves, or at whose address another
-/// one answered, goes at once.
+/// Removes an engine whose record is missing since a revision. The removal is immediate, or,
+/// shortly after an outage in which records may have expired, after a grace period in which
+/// the engine did not write its record again. An engine that announced that it leaves, or
+/// whose address is used by another engine, is always removed at once.
 pub fn remove_engine(gateway: &Arc<Gateway>, instance: InstanceId, revision: u64) {
     let now = gateway.clock.now();
     let wait_ms = match has_ended(gateway, &instance) {
@@ -61,12 +61,12 @@
     }
     slog::info!(gateway.log, "engine lapsed";
         "engine" => &instance.0, "revision" => revision, "wait_ms" => wait_ms);
-    // Others are told how old that makes what this node knows.
+    // Other nodes learn from the proof how old this node's engine list is.
     gateway.beliefs().engines_proof.keep(instance.clone(), now);
     let gateway = Arc::clone(gateway);
     smol::spawn(async move {
         sleep(wait_ms).await;
-        // An entry that was written since has a later revision, and stays.
+        // A record written since has a later revision and is not removed.
         remove_now(&gateway, instance, revision);
     })
     .detach();
--- a/crates/gateway/src/store/mod.rs
+++ b/crates/gateway/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The object store: a client, and copies that follow what is stored.
+//! The object store: a client, and local copies that follow the stored objects.
 
 pub mod answer_timeout;
 pub(crate) mod backoff;
--- a/crates/gateway/src/store/outage.rs
+++ b/crates/gateway/src/store/outage.rs
@@ -1,44 +1,45 @@
-//! What the calls of the store have shown of its outages.
+//! Detection of store outages from the outcomes of calls.
 //!
-//! Feeds notice an outage at different times: a watch that waits through a short one
-//! notices nothing, and is the first to be told of what lapsed meanwhile. So the
-//! outcome of every call counts, whoever made it.
+//! Feeds notice an outage at different times: a watch that waits through a short outage
+//! does not notice it, and is then the first to receive the expiry of records. Therefore the
+//! outcomes of all calls count, independent of the caller.
 //!
-//! A call may fail for a reason of this node's own, as when its link is full. So a
-//! failure alone does not show that records may have lapsed: an engine's record lapses
-//! only when the store took none of its heartbeats for a time, and through that time it
-//! answered no call of this node either.
+//! A call may also fail for a local reason, such as a saturated link, so a failure alone
+//! does not show that records may have expired: an engine record expires only if the store
+//! accepted none of the engine's heartbeats for a time, and in that time the store answered
+//! no call of this node either.
 
 use crate::ports::StoreError;
 use crate::settings::GatewaySettings;
 use ploverlift_policy::ids::Millis;
 
-/// Time for which a failed call alone shows an outage, in milliseconds: the longest
-/// pause of a feed before its next call.
+/// Time for which a failed call is evidence of an outage while no call has succeeded since,
+/// in milliseconds: the longest pause of a feed before its next call.
 const FAILURE_RELEVANT_MS: u64 = 3_000;
-/// Time from the store's return within which living engines have written their
-/// records again, in milliseconds (the site's promise: about two seconds).
+/// Time after an outage within which running engines have written their records again, in
+/// milliseconds (the site promises about two seconds).
 const RECORD_GRACE_MS: u64 = 2_000;
-/// Heartbeats that the store has missed at least when a record lapses: three, of which
-/// the first may have been due just before the outage.
+/// Minimum number of heartbeat periods in an outage in which a record expires: a record
+/// expires after three missed heartbeats, the first of which may have been due just before
+/// the outage.
 const MISSED_HEARTBEATS: u64 = 2;
 
-/// What calls have shown of the store's outages.
+/// Outages of the store, as observed from the outcomes of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreOutage {
     failed_at: Option<Millis>,
     returned_at: Option<Millis>,
     /// When the first call after the last answer began.
     unanswered_since: Option<Millis>,
-    /// When the store answered again after a silence in which records may have lapsed.
+    /// When an outage in which records may have expired ended.
     lapses_ended_at: Option<Millis>,
-    /// Shortest silence of the store in which records may lapse, in milliseconds.
+    /// Shortest time without answers in which records may expire, in milliseconds.
     shortest_silence_ms: u64,
-    /// Time from the store's return for which lapsed records are kept, in milliseconds.
+    /// Time after an outage for which expired records are kept, in milliseconds.
     grace_ms: u64,
 }
 
-/// What the end of a call has changed.
+/// Change of the outage state at the end of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutageChange {
     /// The first failure after an answer.
@@ -50,7 +51,7 @@
     Ended {
         /// Time for which calls had no answer, in milliseconds.
         silence_ms: Option<u64>,
-        /// Whether records may have lapsed meanwhile.
+        /// Whether records may have expired during the outage.
         may_have_lapsed: bool,
     },
 }
@@ -69,8 +70,8 @@
 }
 
 impl StoreOutage {
-    /// No call was made yet. Lapsed records are kept no longer than knowledge of the
-    /// engines may be old, `engines_age_limit_ms`.
+    /// The state before the first call. Expired records are kept for at most
+    /// `engines_age_limit_ms`, the maximum age of the engine list.
     pub fn new(settings: &GatewaySettings, engines_age_limit_ms: u64) -> Self {
         Self {
             shortest_silence_ms: settings.store.engine_heartbeat_ms * MISSED_HEARTBEATS,
@@ -79,17 +80,18 @@
         }
     }
 
-    /// A call of the store begins. A node that makes none for a time shows no silence.
+    /// Records that a call began. Times without calls do not count as times without answers.
     pub fn note_call_began(&mut self, now: Millis) {
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// This node stood still: that it heard nothing meanwhile was not the store's silence.
+    /// Records that this node was suspended: missing answers in that time are not evidence of
+    /// an outage.
     pub fn note_suspension(&mut self) {
         self.unanswered_since = None;
     }
 
-    /// A call of the store ended; tells what is news.
+    /// Records the outcome of a call and returns the resulting change, if any.
     pub fn note_call_ended<T>(
         &mut self,
         outcome: &Result<T, StoreError>,
@@ -106,7 +108,7 @@
         if !was_away {
             return None;
         }
-        // The store answered: it is there.
+        // Any answer shows that the store is available.
         self.returned_at = Some(now);
         if may_have_lapsed {
             self.lapses_ended_at = Some(now);
@@ -117,17 +119,17 @@
         })
     }
 
-    /// The store came back from a copy, which lacks records that were written since.
+    /// Records that the store was restored from a copy, which lacks records written since.
     pub fn note_restored(&mut self, now: Millis) {
         self.lapses_ended_at = Some(now);
     }
 
-    /// When the store was last reached again after a failure.
+    /// When a call last succeeded after a failure.
     pub fn returned_at(&self) -> Option<Millis> {
         self.returned_at
     }
 
-    /// When a call last failed, where none has gone well since.
+    /// When a call last failed, if none has succeeded since.
     pub fn failing_since(&self) -> Option<Millis> {
         self.failed_at.filter(|_| self.is_away())
     }
@@ -141,10 +143,10 @@
         silence_ms >= self.shortest_silence_ms
     }
 
-    /// Time that is left to engines whose records lapsed, in milliseconds; none where no
-    /// record can have lapsed. While no call has succeeded since a failure, whoever is
-    /// told of a lapsed record is the first to see the store's return: the whole time
-    /// is left.
+    /// Remaining grace period of engines whose records expired, in milliseconds; 0 if no
+    /// record can have expired. While no call has succeeded since a failure, the feed that
+    /// receives an expired record is the first to observe the end of the outage, so the whole
+    /// grace period remains.
     pub fn remaining_grace_ms(&self, now: Millis) -> u64 {
         let has_recent_failure = self
             .failed_at
--- a/crates/gateway/src/weights/engine_load.rs
+++ b/crates/gateway/src/weights/engine_load.rs
@@ -1,4 +1,4 @@
-//! Bringing one engine to the newest weights.
+//! Updating one engine to the newest weights.
 
 use super::{Loading, OutdatedEngine};
 use crate::engine_signals::{take_signals, AnswerOrigin};
@@ -12,23 +12,23 @@
 use ploverlift_policy::ids::Millis;
 use std::sync::Arc;
 
-/// Orders that one engine is given before the next look at all engines.
+/// Maximum number of orders to one engine before all engines are checked again.
 const MAX_ORDERS: u32 = 4;
-/// Reports that are asked for before the next look at all engines.
+/// Maximum number of reports requested from one engine before all engines are checked again.
 const MAX_REPORTS: u32 = 24;
-/// Time between two reports of a busy engine, in milliseconds.
+/// Time between two report requests to a busy engine, in milliseconds.
 const REPORT_PERIOD_MS: u64 = 120;
-/// Time that an engine counts as loading after an order, in milliseconds.
+/// Time for which an engine counts as loading after an order, in milliseconds.
 const LOADING_MS: u64 = 700;
 
-/// What to do next with the engine.
+/// The next step with the engine.
 enum NextStep {
     Report { after_ms: u64 },
     Loaded { after_ms: Option<u64> },
     Finished,
 }
 
-/// One engine that is being brought up to date.
+/// The update of one engine.
 struct EngineLoad<'a> {
     gateway: &'a Arc<Gateway>,
     holder: &'a LeaseHolder,
@@ -40,9 +40,9 @@
     ordered: Option<u64>,
 }
 
-/// Gives orders and asks for reports until the engine has the newest weights,
-/// the lease is lost, or the engine does not answer. Tells the time from the
-/// order to the report that showed the load, in milliseconds.
+/// Sends orders and requests reports until the engine has the newest weights, the lease is
+/// lost, or the engine does not answer. Returns the time from the order to the report that
+/// showed the finished load, in milliseconds, if it is known.
 pub(super) async fn bring_up_to_date(
     gateway: &Arc<Gateway>,
     holder: &LeaseHolder,
@@ -85,8 +85,8 @@
         };
         let current = report.weights.get(&self.engine.model).copied();
         self.note_reported_version(current.unwrap_or(0));
-        // A version that was named meanwhile is loaded in its own turn: chasing it
-        // here would keep more engines loading than the schedule allows.
+        // A version that was named in the meantime is scheduled like any other: loading it
+        // here at once would keep more engines loading than the schedule allows.
         let wanted = self.ordered.unwrap_or(version);
         if current.is_some_and(|current| current >= wanted) && !report.is_busy {
             let current = current.unwrap_or(version);
@@ -119,7 +119,7 @@
             "engine" => &self.engine.instance.0, "model" => &self.engine.model,
             "version" => version, "orders" => self.orders,
             "after_ms" => after_ms);
-        // Several orders do not tell how long one load takes.
+        // After several orders the duration of a single load is unknown.
         let after_ms = after_ms.filter(|_| self.orders == 1);
         NextStep::Loaded { after_ms }
     }
@@ -163,7 +163,7 @@
                 after_ms: REPORT_PERIOD_MS,
             };
         }
-        // Asked when nothing is left to wait for: the right may end meanwhile.
+        // Read immediately before sending, because the lease may expire during any wait.
         let Some(fencing_token) = self.holder.token() else {
             return NextStep::Finished;
         };
@@ -196,8 +196,8 @@
         self.after_order(answer, version)
     }
 
-    /// Reads the answer to an order. Orders name the engine that is meant: any other one
-    /// says that it is not that one.
+    /// Reads the answer to an order. Orders name their target engine; any other engine answers
+    /// that it is not the target.
     fn read_order_answer(&self, head: &ResponseHead, sent_at: Millis) -> OrderAnswer {
         let site = &self.gateway.site;
         let answer = site.read_order_answer(head);
@@ -221,7 +221,7 @@
                 self.note_loaded(version);
                 NextStep::Finished
             }
-            // Without an answer the order may be under way: a report tells.
+            // Without an answer the engine may be executing the order: a report shows it.
             Some(OrderAnswer::Conflict) | None => NextStep::Report {
                 after_ms: REPORT_PERIOD_MS,
             },
--- a/crates/gateway/src/weights/knowledge.rs
+++ b/crates/gateway/src/weights/knowledge.rs
@@ -1,10 +1,11 @@
-//! Which weights are the newest: a watch of the store tells at once, calls of the store
-//! prove it again and again, and other nodes tell what they know.
+//! Tracking of the newest weights: a watch of the store reports changes at once, periodic
+//! calls of the store prove which versions are the newest, and other nodes report what they
+//! know.
 //!
-//! A watch alone proves nothing: one that was opened while the store's watches hear
-//! nothing stays silent until it ends. So a call that answers at once renews the proof
-//! while it is young. The nodes take turns, and each tells the others, so one call
-//! serves all of them.
+//! A watch alone proves nothing: one that was opened while the store delivers no events
+//! reports nothing until it ends. Therefore a call that is answered at once renews the proof
+//! well before it expires. The nodes take turns and report the result to each other, so one
+//! call serves all of them.
 
 use crate::leases::succession::succession_rank;
 use crate::peers::roles::{are_engines_told, role, waits_for_store_alone, Role};
@@ -18,32 +19,32 @@
 use ploverlift_policy::ids::Millis;
 use std::sync::Arc;
 
-/// Part of the time for which a proof is relied on after which it is renewed. What is
-/// left is enough for all engines to load once a version is named (4 of 6 s where weights
-/// must be in use within 8 s).
+/// Share of the lifetime of a proof after which it is renewed. The rest is enough for all
+/// engines to load once a version is named (4 of 6 s where weights must be in use within
+/// 8 s).
 const RENEW_AFTER_SHARE: f64 = 0.25;
-/// The same for a node that is told by relays: they have failed to renew it by then.
+/// The same for a follower of relays: by then the relays have failed to renew the proof.
 const FOLLOWER_RENEW_AFTER_SHARE: f64 = 0.6;
-/// Time between the turns of two nodes, in milliseconds. A proof that is told seems older
-/// by up to the time between two reports of the node that is told (250 ms), and is told a
-/// call later; the next node must not renew it for that.
+/// Time between the turns of two nodes, in milliseconds. A reported proof seems older by up
+/// to the report period of the receiving node (250 ms), and arrives one call later; the next
+/// node must not renew the proof because of this.
 const TURN_MS: u64 = 400;
-/// Turns; nodes beyond them take the last one.
+/// Number of turns; all further nodes share the last one.
 const MAX_TURNS: u64 = 4;
-/// Time after its start from which a node that has no proof asks for one, in milliseconds:
-/// its first list or the others have told it before.
+/// Time after its start from which a node without a proof requests one, in milliseconds:
+/// usually its first list or the other nodes have provided one before.
 const FIRST_PROOF_MS: u64 = 1_000;
-/// Longest time between two looks at the age of the proof, in milliseconds.
+/// Maximum period of checks of the age of the proof, in milliseconds.
 const CHECK_PERIOD_MS: u64 = 200;
-/// Shortest time between two looks, in milliseconds.
+/// Minimum period of these checks, in milliseconds.
 const MIN_CHECK_PERIOD_MS: u64 = 5;
 
-/// Where a version was heard of.
+/// Where this node learned of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionSource {
-    /// This node's watch of the store, or its list before the watch.
+    /// This node's watch of the store, or the list before the watch.
     Watch,
-    /// This node's call that renewed the proof.
+    /// This node's call to renew the proof.
     Renewal,
     /// The report of another node.
     Node,
@@ -52,7 +53,7 @@
 }
 
 impl VersionSource {
-    /// Its name in logs.
+    /// The name used in logs.
     fn name(self) -> &'static str {
         match self {
             VersionSource::Watch => "watch",
@@ -63,7 +64,7 @@
     }
 }
 
-/// A version as it stands in the store.
+/// A version as stored.
 struct StoredVersion {
     model: String,
     version: u64,
@@ -78,7 +79,8 @@
         let (objects, mut revision, sent_at) = feed.list(&mut backoff).await;
         apply_list(&gateway, &objects, sent_at, VersionSource::Watch);
         if revision == EVERY_REVISION {
-            // A store without the kind has nothing to watch; renewals show when it has.
+            // A store that does not support the kind has nothing to watch; a renewal of the
+            // proof shows when it does.
             sleep(gateway.settings().store.other_watch_ms).await;
             continue;
         }
@@ -91,8 +93,8 @@
     }
 }
 
-/// Renews the proof of which weights are the newest, in turns with the other nodes, until
-/// the task is dropped.
+/// Renews the proof of the newest weights, in turns with the other nodes, until the task is
+/// dropped.
 pub async fn renew_proof(gateway: Arc<Gateway>) {
     let mut feed = Feed::new(Arc::clone(&gateway), StoreKind::Weights);
     let mut backoff = Backoff::new();
@@ -116,7 +118,7 @@
     }
 }
 
-/// Time until this node should renew the proof, in milliseconds.
+/// Time until this node has to renew the proof, in milliseconds.
 fn due_in_ms(gateway: &Gateway, now: Millis) -> u64 {
     if waits_for_store_alone(gateway) {
         return CHECK_PERIOD_MS;
@@ -132,8 +134,8 @@
     (proof_lifetime_ms(gateway, share) + turn_delay_ms(gateway)).saturating_sub(age_ms)
 }
 
-/// Time by which this node leaves the renewal to the ones before it, in milliseconds.
-/// Those that follow relays are spread: there are many of them.
+/// Delay of this node's renewal compared with the first node's, in milliseconds. Followers
+/// of relays are spread by their ids, because there are many of them.
 fn turn_delay_ms(gateway: &Gateway) -> u64 {
     match succession_rank(gateway) {
         Some(position) => position.min(MAX_TURNS) * TURN_MS,
@@ -141,21 +143,21 @@
     }
 }
 
-/// A part of the time for which a proof is relied on, in milliseconds.
+/// A share of the time for which a proof is valid, in milliseconds.
 fn proof_lifetime_ms(gateway: &Gateway, share: f64) -> u64 {
     let margin_ms = gateway.settings().weights.margin_ms;
     let limit_ms = gateway.weights_bounds(margin_ms).avoid_after_ms;
     (limit_ms as f64 * share) as u64
 }
 
-/// How late this node may learn of a version while some node renews the proof, in
-/// milliseconds: whoever learns of it later takes it to have been named by then.
+/// Maximum delay with which this node learns of a version while some node renews the proof,
+/// in milliseconds. A node that learns of a version later assumes that it was named by then.
 pub fn max_report_delay_ms(gateway: &Gateway) -> u64 {
     proof_lifetime_ms(gateway, RENEW_AFTER_SHARE) + MAX_TURNS * TURN_MS
 }
 
-/// Takes in what another node tells. Ages count from `sent_at`, as for
-/// [`ploverlift_balancing::weights::NamedWeights::hear`].
+/// Applies the report of another node. Ages count from `sent_at`, as for
+/// [`ploverlift_balancing::weights::NamedWeights::apply_reported`].
 pub fn apply_weights_report(
     gateway: &Gateway,
     report: &WeightsNews,
@@ -172,7 +174,7 @@
     }
 }
 
-/// A call that was sent_at at `sent_at` told the newest version of every model.
+/// Applies a list of the newest version of every model, from a call sent at `sent_at`.
 fn apply_list(gateway: &Gateway, objects: &[StoreObject], sent_at: Millis, origin: VersionSource) {
     let versions = objects
         .iter()
@@ -189,7 +191,7 @@
     };
     let now = gateway.clock.now();
     gateway.beliefs().weights.note_listed(&listed, sent_at, now);
-    // The others need not ask for it.
+    // Other nodes then need not renew the proof.
     gateway.weights_report_due.notify(usize::MAX);
 }
 
@@ -207,7 +209,7 @@
             revision: object.revision,
         }),
         Err(error) => {
-            slog::warn!(gateway.log, "named weights do not fit";
+            slog::warn!(gateway.log, "weights record could not be parsed";
                 "name" => &object.name, "error" => error.to_string());
             None
         }
@@ -222,7 +224,7 @@
     }
 }
 
-/// Logs a version that is news, and tells those who wait for it.
+/// Logs a new version and notifies the tasks that wait for it.
 fn announce_version(
     gateway: &Gateway,
     model: &str,
--- a/crates/gateway/src/weights/loading.rs
+++ b/crates/gateway/src/weights/loading.rs
@@ -1,4 +1,4 @@
-//! Engines that this node is bringing up to date, and what their loads have shown.
+//! Engines that this node is updating, and estimates from their finished loads.
 
 use ploverlift_balancing::catalogue::InstanceId;
 use ploverlift_balancing::load_width::{FinishedLoad, LoadWidth};
@@ -6,13 +6,13 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 
-/// Age of what a report shows, in milliseconds. A load is over by so much
-/// earlier than its report tells.
+/// Age of the state in a report, in milliseconds. A load ends earlier than its report shows
+/// by this time.
 const REPORT_AGE_MS: u64 = 200;
-/// Weight of the newest load in the expected time of a load.
+/// Weight of the newest load in the expected duration of a load.
 const NEWEST_LOAD_WEIGHT: f64 = 0.2;
 
-/// Engines that are being brought up to date by this node.
+/// Engines that this node is updating.
 #[derive(Clone, Default)]
 pub(super) struct Loading {
     state: Arc<Mutex<LoadingState>>,
@@ -25,14 +25,14 @@
     width: LoadWidth,
 }
 
-/// One engine that is being brought up to date.
+/// The load of one engine.
 struct ActiveLoad {
     began_at: Millis,
-    /// Engines that were allowed to load at the same time when it began.
+    /// Maximum number of concurrent loads when this one began.
     allowed: usize,
-    /// Most engines that loaded at the same time since.
+    /// Highest number of concurrent loads since.
     peak: usize,
-    /// Whether it was seen to load for longer than expected.
+    /// Whether a report showed that it takes longer than expected.
     is_late: bool,
 }
 
@@ -41,14 +41,14 @@
         self.with_state(|state| state.loads.len())
     }
 
-    /// Engines whose load is not expected to be over yet, or was seen not to be.
+    /// Number of engines whose load is expected, or was observed, to be still running.
     pub(super) fn count_busy(&self, configured_ms: u64, now: Millis) -> usize {
         let load_ms = self.load_ms(configured_ms);
         let is_busy = |load: &&ActiveLoad| load.is_late || now.since(load.began_at) < load_ms;
         self.with_state(|state| state.loads.values().filter(is_busy).count())
     }
 
-    /// A report shows that the engine is still loading.
+    /// Records a report that the engine is still loading.
     pub(super) fn note_busy(&self, instance: &InstanceId, configured_ms: u64, now: Millis) {
         let load_ms = self.load_ms(configured_ms);
         self.with_state(|state| {
@@ -58,18 +58,19 @@
         });
     }
 
-    /// Time that a load is expected to take, in milliseconds.
+    /// Expected duration of a load, in milliseconds.
     pub(super) fn load_ms(&self, configured_ms: u64) -> u64 {
         self.with_state(|state| state.load_ms.map_or(configured_ms, |known| known as u64))
     }
 
-    /// Engines that may load at once, as loads have shown, between what is needed and
-    /// what can be spared.
+    /// Number of engines that may load at once, estimated from finished loads, between
+    /// `least` (needed) and `most` (spare).
     pub(super) fn width(&self, least: usize, most: usize) -> usize {
         self.with_state(|state| state.width.width(least, most))
     }
 
-    /// Engines that must load at once so that so many have loaded within `finish_ms`.
+    /// Number of engines that must load at once so that `engines` have loaded within
+    /// `finish_ms`.
     pub(super) fn needed_width(&self, engines: usize, assumed_ms: u64, finish_ms: u64) -> usize {
         self.with_state(|state| state.width.required_width(engines, assumed_ms, finish_ms))
     }
@@ -101,8 +102,8 @@
         });
     }
 
-    /// The engine is done with; `reported_ms` is the time from its order to the
-    /// report that showed the load.
+    /// Records the end of an engine's load; `reported_ms` is the time from its order to the
+    /// report that showed the finished load.
     pub(super) fn end(&self, instance: &InstanceId, reported_ms: Option<u64>) {
         self.with_state(|state| {
             let load = state.loads.remove(instance);
--- a/crates/gateway/src/weights/mod.rs
+++ b/crates/gateway/src/weights/mod.rs
@@ -1,9 +1,9 @@
-//! Bringing engines to new weights, and knowing which are the newest ([`knowledge`]).
+//! Updating engines to new weights, and tracking the newest versions ([`knowledge`]).
 //!
-//! One node at a time gives orders: the holder of a lease in the object store.
-//! Its orders carry the lease's fencing token, the life of the engine that is
-//! meant and the number of orders that this life must have taken, so an order
-//! that is carried out late cannot undo a newer one.
+//! Only the holder of a lease in the object store sends load orders. Each order contains the
+//! lease's fencing token, the incarnation of the target engine and the number of orders that
+//! this incarnation must have accepted before, so an order that is executed late cannot undo
+//! a newer one.
 
 mod engine_load;
 pub mod knowledge;
@@ -23,23 +23,23 @@
 use pace::loads_at_once;
 use std::sync::Arc;
 
-/// Time between two looks while there is nothing to do, in milliseconds.
+/// Period of checks while there is nothing to do, in milliseconds.
 const IDLE_PERIOD_MS: u64 = 500;
-/// Time between two looks while weights are being loaded, in milliseconds.
+/// Period of checks while weights are being loaded, in milliseconds.
 const BUSY_PERIOD_MS: u64 = 50;
 
-/// Time between the decision on a load and its order, in milliseconds: the next
-/// report to the other nodes goes out before.
+/// Time between the decision on a load and its order, in milliseconds: the next report to
+/// the other nodes is sent in between.
 const ANNOUNCEMENT_LEAD_MS: u64 = 60;
 
-/// Takes part in the lease and gives orders, until the task is dropped.
+/// Competes for the lease and sends load orders, until the task is dropped.
 pub async fn update_engine_weights(gateway: Arc<Gateway>) {
     let holder = Arc::new(LeaseHolder::new(&gateway, LeaseName::Weights));
     let loading = Loading::default();
     loop {
         let named = gateway.weights_named.listen();
         if loading.count() == 0 && are_engines_told(&gateway) {
-            // The relays stand for the lease.
+            // Only the relays compete for the lease.
             holder.note_idle();
             within(IDLE_PERIOD_MS, named).await;
             continue;
@@ -63,7 +63,7 @@
         }
         let at_once = loads_at_once(&gateway, &loading, &outdated, succession_wait_ms);
         let is_idle = loading.count() == 0;
-        // A node that stops gives no first order: it would lose the lease in between.
+        // A stopping node does not begin a first load: it would lose the lease in between.
         if is_idle && (at_once == 0 || gateway.is_stopping()) {
             within(BUSY_PERIOD_MS, named).await;
             continue;
@@ -76,7 +76,7 @@
     }
 }
 
-/// Engines with outdated weights that are not being loaded.
+/// Engines with outdated weights that are not yet loading.
 fn pending_engines(gateway: &Gateway, loading: &Loading) -> Vec<OutdatedEngine> {
     let outdated = outdated_engines(gateway, gateway.clock.now());
     let waiting = outdated.into_iter();
@@ -85,7 +85,7 @@
         .collect()
 }
 
-/// The engines that load next, as far as there is room.
+/// The engines to load next, limited by the number of spare load slots.
 fn next_loads(
     gateway: &Gateway,
     loading: &Loading,
@@ -112,7 +112,7 @@
         let (gateway, holder) = (Arc::clone(gateway), Arc::clone(holder));
         let loading = loading.clone();
         smol::spawn(async move {
-            // Other nodes hear of it first.
+            // Other nodes receive the announcement first.
             sleep(ANNOUNCEMENT_LEAD_MS).await;
             let instance = engine.instance.clone();
             let reported_ms = bring_up_to_date(&gateway, &holder, &loading, engine).await;
--- a/crates/gateway/src/weights/pace.rs
+++ b/crates/gateway/src/weights/pace.rs
@@ -1,8 +1,8 @@
-//! How many engines load new weights at the same time, and by when all have.
+//! How many engines load new weights at the same time, and when all have finished.
 //!
-//! `weights.finish_ms` bounds the time; within it, engines load as wide as they can
-//! without slowing each other, since until its load an engine makes answers of outdated
-//! weights, and a load costs its engine the same time early or late.
+//! `weights.finish_ms` bounds the total time. Within it, as many engines load at once as is
+//! possible without slowing each other down: until its load, an engine answers with outdated
+//! weights, and a load costs its engine the same time whether it happens early or late.
 
 use super::loading::Loading;
 use super::OutdatedEngine;
@@ -10,8 +10,8 @@
 use ploverlift_balancing::load_schedule::{loads_now, LoadPace};
 use ploverlift_policy::ids::Millis;
 
-/// Engines that should load at the same time now; 0 while there is time. Nodes
-/// that did not hold the lease last wait a little longer.
+/// Number of engines that should load at the same time now; 0 while no load is due. Nodes
+/// that were not the last holder of the lease wait `succession_wait_ms` longer.
 pub(super) fn loads_at_once(
     gateway: &Gateway,
     loading: &Loading,
@@ -39,7 +39,7 @@
     loads_now(&deadlines, &pace, gateway.clock.now())
 }
 
-/// Engines that serve models.
+/// Number of engines that serve models.
 fn engines_with_weights(gateway: &Gateway) -> usize {
     let beliefs = gateway.beliefs();
     let engines = beliefs.engines.iter();
--- a/crates/gateway/src/weights/plan.rs
+++ b/crates/gateway/src/weights/plan.rs
@@ -1,4 +1,4 @@
-//! Which engines have weights that are too old, and in which order they load.
+//! Which engines have outdated weights, and in which order they load.
 
 use super::knowledge::max_report_delay_ms;
 use crate::state::Gateway;
@@ -6,26 +6,26 @@
 use ploverlift_policy::ids::Millis;
 use std::net::SocketAddr;
 
-/// An engine whose weights are older than those named.
+/// An engine whose weights are older than the named version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutdatedEngine {
-    /// The engine.
+    /// The engine's instance id.
     pub instance: InstanceId,
-    /// Where it listens.
+    /// The engine's address.
     pub address: SocketAddr,
-    /// The model.
+    /// The model with outdated weights.
     pub model: String,
-    /// When the oldest version that it lacks was named, as far as this node can tell.
+    /// When the oldest version that the engine lacks was named, as far as this node knows.
     pub named_at: Millis,
-    /// Requests of all nodes there. What they have yet to make counts as made on
-    /// changed weights.
+    /// Requests of all nodes that run on the engine. Output that they have yet to generate
+    /// counts as generated with changed weights.
     pub running: u32,
 }
 
-/// Engines with outdated weights; the one whose missing version was named first
-/// is first, and among those the one with the fewest requests: new ones go to engines
-/// that have loaded, so at the others fewer and fewer are left. Engines that leave,
-/// cannot be reached or are not where their entry says are left out.
+/// Engines with outdated weights, ordered by the time at which the oldest missing version
+/// was named, then by the number of running requests: new requests go to engines that have
+/// loaded, so the others have fewer and fewer requests left. Engines that are leaving,
+/// unreachable, or not at the address in their record are left out.
 pub fn outdated_engines(gateway: &Gateway, now: Millis) -> Vec<OutdatedEngine> {
     let late_ms = max_report_delay_ms(gateway);
     let beliefs = gateway.beliefs();
