--- a/crates/gateway/tests/cache_followers.rs
+++ b/crates/gateway/tests/cache_followers.rs
@@ -35,7 +35,7 @@
 const SILENCE_MS: u64 = 5_000;
 /// First answers of engines that may be under way together: each may carry all that an
 /// engine keeps, and callers' answers pass the same link.
-const MOST_FIRST_ANSWERS: usize = 4;
+const MAX_FIRST_ANSWERS: usize = 4;
 
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
@@ -104,7 +104,7 @@
 }
 
 /// A relay names the nodes of the zone and the zones that have any.
-fn hear_relay(node: &RunningGateway, sequence: u64, members: std::ops::Range<u16>) {
+fn receive_relay_report(node: &RunningGateway, sequence: u64, members: std::ops::Range<u16>) {
     let mut report = empty_relay_report();
     report.loads.sequence = sequence;
     let members = members.map(|index| PeerId::of(&node_name(index)));
@@ -121,25 +121,25 @@
 }
 
 #[test]
-fn a_follower_that_hears_no_relay_takes_over_no_engine() {
+fn a_follower_without_relay_reports_takes_over_no_engine() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         let node = follower(&store).await;
-        hear_relay(&node, 1, 0..NODES);
-        let heard_at = node.gateway.clock.now();
-        let before = followed(&node, heard_at);
+        receive_relay_report(&node, 1, 0..NODES);
+        let received_at = node.gateway.clock.now();
+        let before = followed(&node, received_at);
         assert!(before.len() < ENGINES / 2, "{} of {ENGINES}", before.len());
         for passed_ms in (0..=SILENCE_MS).step_by(250) {
-            let now = heard_at.plus(passed_ms);
+            let now = received_at.plus(passed_ms);
             let present = followed(&node, now);
-            let taken: Vec<_> = present.difference(&before).collect();
-            assert!(taken.is_empty(), "{taken:?} after {passed_ms} ms");
+            let added: Vec<_> = present.difference(&before).collect();
+            assert!(added.is_empty(), "{added:?} after {passed_ms} ms");
         }
     });
 }
 
 #[test]
-fn a_follower_that_has_heard_no_relay_yet_follows_no_engine() {
+fn a_follower_before_its_first_relay_report_follows_no_engine() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         let node = follower(&store).await;
@@ -152,17 +152,17 @@
 }
 
 #[test]
-fn a_node_that_stops_takes_over_no_engine_and_lets_go_of_all_once_it_refuses_requests() {
+fn a_stopping_node_takes_over_no_engine_and_follows_none_once_it_refuses_requests() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         let node = follower(&store).await;
-        hear_relay(&node, 1, 0..NODES);
+        receive_relay_report(&node, 1, 0..NODES);
         let now = node.gateway.clock.now();
         let before = followed(&node, now);
         assert!(!before.is_empty());
         node.gateway.begin_stop();
         // The zone loses all its other nodes but one: their engines fall to this one.
-        hear_relay(&node, 2, 0..1);
+        receive_relay_report(&node, 2, 0..1);
         let present = followed(&node, now);
         assert!(present.is_subset(&before), "{present:?}, before {before:?}");
         node.gateway.begin_refusing();
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn first_answers_of_few_engines_share_the_link_with_callers() {
+fn few_first_answers_share_the_link_with_callers() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         store.put("Configuration", "main", followed_configuration());
@@ -183,6 +183,6 @@
         // Less than the time after which a call that is not answered is given up.
         sleep(500).await;
         let calls = calls.load(Ordering::SeqCst);
-        assert!(calls <= MOST_FIRST_ANSWERS, "{calls} calls at once");
+        assert!(calls <= MAX_FIRST_ANSWERS, "{calls} calls at once");
     });
 }
--- a/crates/gateway/tests/deaf_watches.rs
+++ b/crates/gateway/tests/deaf_watches.rs
@@ -23,7 +23,7 @@
 /// The bound on a bad version.
 const ROLL_BACK_MS: u64 = 5_000;
 /// Bounds within which no watch ends by itself.
-const PATIENT_BOUNDS: &str = "[bounds]\nleaving_engine_ms = 60000\nroll_back_ms = 60000\n";
+const LONG_BOUNDS: &str = "[bounds]\nleaving_engine_ms = 60000\nroll_back_ms = 60000\n";
 /// Watches of a node: configuration, engines, weights, orders.
 const WATCHES: u64 = 4;
 /// Leases that a node looks for when it starts.
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_deaf_watch_hides_no_leaving_engine_beyond_the_bound() {
+fn a_deaf_watch_delays_a_leaving_engine_at_most_by_its_bound() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         store.put("Configuration", "main", configuration(1));
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_deaf_watch_hides_no_order_beyond_the_bound_on_a_bad_version() {
+fn a_deaf_watch_delays_an_order_at_most_by_the_roll_back_bound() {
     smol::block_on(async {
         let (store, _old, new) = two_versions().await;
         let node = start_deaf(&store, StoreFault::DeafWatches).await;
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_kind_that_the_store_lacked_is_looked_for_within_the_bound_on_a_bad_version() {
+fn a_newly_supported_kind_is_listed_within_the_roll_back_bound() {
     smol::block_on(async {
         let (store, _old, _new) = two_versions().await;
         let node = start_deaf(&store, StoreFault::LacksOrders).await;
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_deaf_watch_hides_no_configuration_for_longer_than_it_waits() {
+fn a_deaf_watch_delays_a_configuration_at_most_by_its_wait() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         store.put("Configuration", "main", configuration(1));
@@ -163,13 +163,13 @@
 }
 
 #[test]
-fn what_changed_in_an_outage_is_read_at_its_end_though_watches_hear_nothing() {
+fn changes_during_an_outage_are_read_after_it_though_watches_are_deaf() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         store.put("Configuration", "main", configuration(1));
         let app = StandInEngine::start("app", "app", Behaviour::Answer).await;
         store.put("Engines", &app.instance, app.record());
-        let mut settings = settings(&store, "node", PATIENT_BOUNDS);
+        let mut settings = settings(&store, "node", LONG_BOUNDS);
         settings.store.other_watch_ms = LONG_WATCH_MS;
         let node = start(settings, Arc::new(StandInSite), silent_logger()).expect("start");
         while caller::get_status(node.readiness).await != 200 {}
--- a/crates/gateway/tests/outdated_weights.rs
+++ b/crates/gateway/tests/outdated_weights.rs
@@ -35,7 +35,7 @@
 use support::{configuration, settings};
 
 /// Time in which new weights must be in use, in milliseconds, where a test awaits it.
-const BRIEF_BOUND_MS: u64 = 600;
+const SHORT_BOUND_MS: u64 = 600;
 /// No engine loads: orders are given long after the bound.
 const NO_LOADS: &str = "[weights]\nfinish_ms = 60000\nmargin_ms = 200\nloads_at_once = 1\n";
 /// Time for which a node is observed beyond the bound, in milliseconds.
@@ -70,11 +70,11 @@
 /// Sends requests to the engine, which has version 1, for as long as the bound and
 /// longer; tells when the last one that was answered was sent, in milliseconds after
 /// `named_at`.
-async fn last_begun_ms(node: &RunningGateway, named_at: Instant) -> u64 {
+async fn last_answered_ms(node: &RunningGateway, named_at: Instant) -> u64 {
     let mut last_ms = 0;
     loop {
         let sent_ms = named_at.elapsed().as_millis() as u64;
-        if sent_ms > BRIEF_BOUND_MS + OBSERVED_MS {
+        if sent_ms > SHORT_BOUND_MS + OBSERVED_MS {
             return last_ms;
         }
         let answer = caller::send(node.callers, &prompt("stream.test", "r")).await;
@@ -86,24 +86,24 @@
 }
 
 #[test]
-fn no_request_begins_on_outdated_weights_where_the_watch_of_new_ones_is_deaf() {
+fn no_request_begins_on_outdated_weights_if_the_watch_is_deaf() {
     smol::block_on(async {
         let (store, _engine) = site().await;
         store.set_fault(StoreFault::DeafWatches);
-        let node = start_node(&store, "node", BRIEF_BOUND_MS).await;
+        let node = start_node(&store, "node", SHORT_BOUND_MS).await;
         let named_at = Instant::now();
         store.put("Weights", "m", json!({"version": 2}));
-        let last_ms = last_begun_ms(&node, named_at).await;
+        let last_ms = last_answered_ms(&node, named_at).await;
         assert!(last_ms > 0, "version 1 may be used at first");
-        assert!(last_ms <= BRIEF_BOUND_MS, "begun {last_ms} ms after");
+        assert!(last_ms <= SHORT_BOUND_MS, "begun {last_ms} ms after");
     });
 }
 
 #[test]
-fn trouble_of_a_node_with_the_store_does_not_lengthen_the_bound_on_outdated_weights() {
+fn store_failures_of_a_node_do_not_extend_the_bound_on_outdated_weights() {
     smol::block_on(async {
         let (store, _engine) = site().await;
-        let node = start_node(&store, "node", BRIEF_BOUND_MS).await;
+        let node = start_node(&store, "node", SHORT_BOUND_MS).await;
         let named_at = Instant::now();
         store.put("Weights", "m", json!({"version": 2}));
         let refusing = async {
@@ -114,14 +114,14 @@
                 store.set_fault(StoreFault::None);
             }
         };
-        let sending = last_begun_ms(&node, named_at);
+        let sending = last_answered_ms(&node, named_at);
         let last_ms = futures_lite::future::or(sending, refusing).await;
-        assert!(last_ms <= BRIEF_BOUND_MS, "begun {last_ms} ms after");
+        assert!(last_ms <= SHORT_BOUND_MS, "begun {last_ms} ms after");
     });
 }
 
 #[test]
-fn a_node_whose_watch_is_deaf_learns_of_new_weights_from_another_one() {
+fn a_node_with_a_deaf_watch_learns_of_new_weights_from_a_peer() {
     smol::block_on(async {
         let (store, _engine) = site().await;
         // Nothing but a report tells so soon.
@@ -134,7 +134,7 @@
         };
         store.put("Weights", "m", json!({"version": 2}));
         wait_until(&well, knows).await;
-        let telling = async {
+        let reporting = async {
             wait_until(&deaf, knows).await;
             true
         };
@@ -142,35 +142,35 @@
             smol::Timer::after(Duration::from_secs(5)).await;
             false
         };
-        let is_told = futures_lite::future::or(telling, too_long).await;
-        assert!(is_told, "no other node told of version 2");
+        let is_reported = futures_lite::future::or(reporting, too_long).await;
+        assert!(is_reported, "no other node told of version 2");
         // Its watch is abandoned, long before it would end.
         let lists = store.calls("list Weights");
         let listing = wait_until(&deaf, |_| store.calls("list Weights") > lists);
-        let is_opened_again = ploverlift_gateway::time::within(5_000, listing).await;
-        assert!(is_opened_again.is_some(), "the deaf watch is relied on");
+        let is_reopened = ploverlift_gateway::time::within(5_000, listing).await;
+        assert!(is_reopened.is_some(), "the deaf watch is relied on");
     });
 }
 
 #[test]
-fn requests_go_on_for_as_long_as_calls_of_the_store_prove_their_weights() {
+fn requests_are_served_while_store_calls_prove_their_weights() {
     smol::block_on(async {
         let (store, _engine) = site().await;
-        let node = start_node(&store, "node", BRIEF_BOUND_MS).await;
-        let last_ms = last_begun_ms(&node, Instant::now()).await;
+        let node = start_node(&store, "node", SHORT_BOUND_MS).await;
+        let last_ms = last_answered_ms(&node, Instant::now()).await;
         assert!(
-            last_ms > BRIEF_BOUND_MS + OBSERVED_MS / 2,
+            last_ms > SHORT_BOUND_MS + OBSERVED_MS / 2,
             "ended after {last_ms} ms"
         );
     });
 }
 
 #[test]
-fn a_list_proves_what_was_the_newest_when_it_was_asked_for() {
+fn a_list_proves_the_newest_version_at_the_time_of_its_request() {
     smol::block_on(async {
         let (store, _engine) = site().await;
         store.set_fault(StoreFault::DeafWatches);
-        let node = start_node(&store, "node", BRIEF_BOUND_MS).await;
+        let node = start_node(&store, "node", SHORT_BOUND_MS).await;
         // Lists take long from now on, and tell what stood there when they came.
         store.set_fault(StoreFault::SlowLists { ms: 350 });
         ploverlift_gateway::time::sleep(400).await;
@@ -179,13 +179,13 @@
         wait_until(&node, |_| store.calls("list Weights") > lists).await;
         let named_at = Instant::now();
         store.put("Weights", "m", json!({"version": 2}));
-        let last_ms = last_begun_ms(&node, named_at).await;
-        assert!(last_ms <= BRIEF_BOUND_MS, "begun {last_ms} ms after");
+        let last_ms = last_answered_ms(&node, named_at).await;
+        assert!(last_ms <= SHORT_BOUND_MS, "begun {last_ms} ms after");
     });
 }
 
 #[test]
-fn a_proof_that_is_told_counts_from_the_report_that_it_answers() {
+fn a_reported_proof_counts_from_the_report_that_it_acknowledges() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         let gateway = Gateway::new(
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn two_relays_share_their_proofs_though_one_does_not_list_the_other() {
+fn two_relays_share_proofs_though_one_does_not_list_the_other() {
     smol::block_on(async {
         let (store, _engine) = site().await;
         list_silent_nodes(&store);
@@ -263,14 +263,14 @@
 }
 
 #[test]
-fn a_model_whose_named_version_was_taken_back_is_served_on() {
+fn a_model_whose_named_version_was_withdrawn_is_still_served() {
     smol::block_on(async {
         let (store, _engine) = site().await;
-        let node = start_node(&store, "node", BRIEF_BOUND_MS).await;
+        let node = start_node(&store, "node", SHORT_BOUND_MS).await;
         store.remove("Weights", "m");
-        let last_ms = last_begun_ms(&node, Instant::now()).await;
+        let last_ms = last_answered_ms(&node, Instant::now()).await;
         assert!(
-            last_ms > BRIEF_BOUND_MS + OBSERVED_MS / 2,
+            last_ms > SHORT_BOUND_MS + OBSERVED_MS / 2,
             "ended after {last_ms} ms"
         );
     });
--- a/crates/gateway/tests/planned_work.rs
+++ b/crates/gateway/tests/planned_work.rs
@@ -23,11 +23,11 @@
 use support::{configuration, settings, site, Fixture};
 
 /// Weights are loaded at once, and old ones avoided soon.
-const BRISK_LOADS: &str = "[weights]\nfinish_ms = 1\nload_ms = 20\nreport_after_ms = 1\n\
+const FAST_LOADS: &str = "[weights]\nfinish_ms = 1\nload_ms = 20\nreport_after_ms = 1\n\
     order_timeout_ms = 50\nmargin_ms = 200\n[bounds]\nweights_ms = 600\nlease_ms = 300\n";
 
 #[test]
-fn a_stop_takes_readiness_back_and_finishes_what_is_under_way() {
+fn a_stop_withdraws_readiness_and_finishes_running_requests() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Silent).await;
         let mut fixture =
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_kept_connection_carries_request_after_request() {
+fn a_kept_connection_carries_several_requests() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let fixture = Fixture::new(&[&app]).await;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn changed_settings_are_put_in_force_and_unusable_ones_are_not() {
+fn changed_settings_are_applied_and_invalid_ones_are_not() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         let node = start(
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_leaving_engine_gets_nothing_new() {
+fn a_leaving_engine_gets_no_new_requests() {
     smol::block_on(async {
         let first = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let second = StandInEngine::start("app-2", "app", Behaviour::Answer).await;
@@ -142,12 +142,12 @@
 }
 
 #[test]
-fn all_engines_are_brought_to_named_weights_by_one_holder() {
+fn all_engines_are_updated_to_named_weights_by_one_holder() {
     smol::block_on(async {
         let engines = engines(5).await;
         let all: Vec<&StandInEngine> = engines.iter().collect();
-        let fixture = Fixture::with(&all, configuration(1), BRISK_LOADS).await;
-        let second = support::start_node(&fixture.store, "second", BRISK_LOADS);
+        let fixture = Fixture::with(&all, configuration(1), FAST_LOADS).await;
+        let second = support::start_node(&fixture.store, "second", FAST_LOADS);
         fixture.store.put("Weights", "m", json!({"version": 2}));
         wait_for_weights(&engines, 2).await;
         let orders: Vec<_> = engines.iter().flat_map(StandInEngine::orders).collect();
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn the_engine_whose_missing_version_was_named_first_is_next() {
+fn engines_load_in_the_order_in_which_their_missing_versions_were_named() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         let gateway = Gateway::new(
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn among_engines_that_lack_the_same_version_the_idlest_is_next() {
+fn among_engines_that_lack_the_same_version_the_least_busy_is_next() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         let gateway = Gateway::new(
@@ -246,7 +246,7 @@
     loads_at_once = 1\nreport_after_ms = 300\n";
 
 #[test]
-fn a_version_that_is_named_during_a_load_waits_for_its_turn() {
+fn a_version_named_during_a_load_is_scheduled_after_other_engines() {
     smol::block_on(async {
         let engines = engines(2).await;
         let all: Vec<&StandInEngine> = engines.iter().collect();
@@ -276,11 +276,11 @@
 }
 
 #[test]
-fn an_order_without_an_answer_is_not_given_twice_when_it_was_taken() {
+fn an_accepted_order_without_an_answer_is_not_repeated() {
     smol::block_on(async {
         let engines = engines(1).await;
         engines[0].answer_orders(false);
-        let fixture = Fixture::with(&[&engines[0]], configuration(1), BRISK_LOADS).await;
+        let fixture = Fixture::with(&[&engines[0]], configuration(1), FAST_LOADS).await;
         fixture.store.put("Weights", "m", json!({"version": 2}));
         wait_for_weights(&engines, 2).await;
         let known = || fixture.gateway.beliefs().engines.newest_weights("m");
@@ -302,13 +302,13 @@
 }
 
 #[test]
-fn a_holder_whose_token_was_overtaken_gives_no_more_orders_with_it() {
+fn a_holder_with_a_refused_token_sends_no_more_orders_with_it() {
     smol::block_on(async {
         let engines = engines(1).await;
         let [first, second, third] = first_tokens("node");
         // Two orders of later holders have reached the engine.
         engines[0].see_token(third);
-        let fixture = Fixture::with(&[&engines[0]], configuration(1), BRISK_LOADS).await;
+        let fixture = Fixture::with(&[&engines[0]], configuration(1), FAST_LOADS).await;
         fixture.store.put("Weights", "m", json!({"version": 2}));
         while engines[0].weights() < 2 && engines[0].refused_tokens().len() < 3 {
             ploverlift_gateway::time::sleep(2).await;
@@ -318,11 +318,11 @@
 }
 
 #[test]
-fn a_lost_answer_of_the_store_does_not_end_the_lease() {
+fn a_lost_store_answer_does_not_end_the_lease() {
     smol::block_on(async {
         let engines = engines(2).await;
         let all: Vec<&StandInEngine> = engines.iter().collect();
-        let fixture = Fixture::with(&all, configuration(1), BRISK_LOADS).await;
+        let fixture = Fixture::with(&all, configuration(1), FAST_LOADS).await;
         fixture.store.set_fault(StoreFault::LosesWriteAnswers);
         fixture.store.put("Weights", "m", json!({"version": 2}));
         wait_for_weights(&engines, 2).await;
@@ -332,14 +332,14 @@
 }
 
 #[test]
-fn another_node_goes_on_when_the_holder_is_gone() {
+fn another_node_takes_over_when_the_holder_fails() {
     smol::block_on(async {
         let engines = engines(2).await;
         let all: Vec<&StandInEngine> = engines.iter().collect();
-        let mut fixture = Fixture::with(&all, configuration(1), BRISK_LOADS).await;
+        let mut fixture = Fixture::with(&all, configuration(1), FAST_LOADS).await;
         fixture.store.put("Weights", "m", json!({"version": 2}));
         wait_for_weights(&engines, 2).await;
-        let second = support::start_node(&fixture.store, "second", BRISK_LOADS);
+        let second = support::start_node(&fixture.store, "second", FAST_LOADS);
         while caller::get_status(second.readiness).await != 200 {}
         // The holder ends without a word: its tasks are dropped.
         drop(fixture.running.take());
@@ -354,12 +354,12 @@
 }
 
 #[test]
-fn no_request_begins_on_weights_that_are_too_old() {
+fn no_request_begins_on_weights_older_than_the_bound() {
     smol::block_on(async {
         let engines = engines(1).await;
         // The engine never loads: every order is refused as unknown.
         engines[0].set_weights(1);
-        let settings = format!("{BRISK_LOADS}weights_total_ms = 600\n");
+        let settings = format!("{FAST_LOADS}weights_total_ms = 600\n");
         let fixture = Fixture::with(&[&engines[0]], configuration(1), &settings).await;
         engines[0].answer_orders(false);
         assert_eq!(
@@ -382,23 +382,23 @@
 
 /// A node that gives no orders, before an engine that holds requests in its queue; the
 /// callers of `queue.test` would wait for ten minutes.
-async fn with_a_queue(engine: &StandInEngine) -> Fixture {
+async fn fixture_with_queue(engine: &StandInEngine) -> Fixture {
     engine.set_weights(1);
     engine.set(Behaviour::Silent);
     let mut configuration = configuration(1);
     let patient = support::route("queue.test", "stream", "llm", 600_000);
     let routes = configuration["routes"].as_array_mut().expect("routes");
     routes.push(patient);
-    let fixture = Fixture::with(&[engine], configuration, BRISK_LOADS).await;
+    let fixture = Fixture::with(&[engine], configuration, FAST_LOADS).await;
     fixture.gateway.begin_stop();
     fixture
 }
 
 #[test]
-fn a_request_that_waits_is_taken_back_though_the_version_is_named_after_it_was_sent() {
+fn a_queued_request_is_withdrawn_if_a_version_is_named_after_it_was_sent() {
     smol::block_on(async {
         let engines = engines(1).await;
-        let fixture = with_a_queue(&engines[0]).await;
+        let fixture = fixture_with_queue(&engines[0]).await;
         let request = prompt("queue.test", "r");
         let waiting = fixture.send(&request);
         let naming = async {
@@ -417,10 +417,10 @@
 }
 
 #[test]
-fn a_request_that_waits_at_outdated_weights_is_taken_back_before_the_bound() {
+fn a_request_queued_on_outdated_weights_is_withdrawn_before_the_bound() {
     smol::block_on(async {
         let engines = engines(1).await;
-        let fixture = with_a_queue(&engines[0]).await;
+        let fixture = fixture_with_queue(&engines[0]).await;
         fixture.store.put("Weights", "m", json!({"version": 2}));
         while fixture.gateway.beliefs().weights.newest("m").is_none() {
             caller::get_status(fixture.running().readiness).await;
--- a/crates/gateway/tests/store_call_pacing.rs
+++ b/crates/gateway/tests/store_call_pacing.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn calls_of_all_nodes_fit_however_many_there_are() {
+fn concurrent_calls_stay_within_the_limit_for_any_fleet_size() {
     // Nodes, zones and regions of fleets from the smallest to the largest.
     for (nodes, zones, regions) in [(8, 2, 1), (61, 6, 3), (81, 4, 1), (295, 6, 1), (780, 13, 6)] {
         let relays = if nodes > 20 { 2 * zones } else { 0 };
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn relays_alone_call_where_a_region_has_too_many_nodes() {
+fn only_relays_call_if_a_region_has_too_many_nodes() {
     assert!(!call_pacing(61, 0, 12).are_relays_alone);
     assert!(call_pacing(295, 0, 12).are_relays_alone);
     // Without relays there is nobody who tells.
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn refused_calls_come_back_later_and_later_and_not_together() {
+fn refused_calls_back_off_exponentially_with_jitter() {
     let call_pacing = call_pacing(61, 0, 12);
     let pause = |refused| call_pacing.pause_after(refused, 0.5);
     assert_eq!(pause(0), call_pacing.pause);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_store_that_does_not_tell_its_limit_is_not_asked_all_the_time() {
+fn a_store_without_a_configured_limit_is_not_called_continuously() {
     let callers = Callers {
         near: 60,
         far_relays: 0,
--- a/crates/gateway/tests/store_restored/fleets.rs
+++ b/crates/gateway/tests/store_restored/fleets.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// Time between two looks at what is waited for, in milliseconds.
-const LOOK_MS: u64 = 5;
+const POLL_PERIOD_MS: u64 = 5;
 /// Time within which all nodes know the era.
 const KNOWN_WITHIN: Duration = Duration::from_millis(1_000);
 /// Reading calls that a deployment of this size may make in a second.
@@ -19,7 +19,7 @@
 /// lease, and some that met the old era.
 const CALLS_PER_READER: usize = USUAL_CALLS_PER_READER + 20;
 /// Time within which the nodes of a deployment have begun.
-const BEGUN_WITHIN: Duration = Duration::from_secs(20);
+const STARTED_WITHIN: Duration = Duration::from_secs(20);
 
 /// Calls that read, so far.
 fn reads(store: &StandInStore) -> usize {
@@ -28,7 +28,7 @@
 }
 
 /// Waits until the nodes of a deployment have begun: those that are told read no more.
-async fn wait_until_usual(deployment: &Deployment, usual: usize) {
+async fn wait_until_steady(deployment: &Deployment, usual: usize) {
     let began = Instant::now();
     loop {
         let before = reads(&deployment.store);
@@ -36,7 +36,7 @@
         if reads(&deployment.store) - before <= usual {
             return;
         }
-        assert!(began.elapsed() < BEGUN_WITHIN, "nodes go on reading");
+        assert!(began.elapsed() < STARTED_WITHIN, "nodes go on reading");
     }
 }
 
@@ -45,13 +45,13 @@
     let copy = deployment.store.copy();
     deployment.store.restore(&copy);
     let (began, before) = (Instant::now(), reads(&deployment.store));
-    let knows_all = || {
+    let all_know = || {
         let mut nodes = deployment.nodes.iter();
         nodes.all(|node| node.gateway.store_era.get() == Some(StoreEra(2)))
     };
-    while !knows_all() {
+    while !all_know() {
         assert!(began.elapsed() < KNOWN_WITHIN, "a node does not know");
-        sleep(LOOK_MS).await;
+        sleep(POLL_PERIOD_MS).await;
     }
     let known = began.elapsed();
     sleep(1_000 - known.as_millis() as u64).await;
@@ -59,12 +59,12 @@
 }
 
 #[test]
-fn seven_nodes_know_soon_and_read_the_store_once() {
+fn seven_nodes_detect_a_restoration_soon_and_read_the_store_once() {
     smol::block_on(async {
         let mut deployment = Deployment::new(4).await;
         deployment.store.tell_era();
         deployment.start_nodes(7).await;
-        wait_until_usual(&deployment, 7 * USUAL_CALLS_PER_READER).await;
+        wait_until_steady(&deployment, 7 * USUAL_CALLS_PER_READER).await;
         let (known, calls) = restore(&deployment).await;
         println!("7 nodes: all know after {known:?}, {calls} reads in a second");
         assert!(calls <= 7 * CALLS_PER_READER, "{calls}");
--- a/crates/gateway/tests/store_restored/knowledge.rs
+++ b/crates/gateway/tests/store_restored/knowledge.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// Time between two looks at what is waited for, in milliseconds.
-const LOOK_MS: u64 = 5;
+const POLL_PERIOD_MS: u64 = 5;
 /// Time within which a node knows what the store has.
 const SOON: Duration = Duration::from_millis(4_000);
 /// Time for which engines that must get nothing are observed: longer than records are kept
@@ -34,7 +34,7 @@
     let began = Instant::now();
     while !holds() {
         assert!(began.elapsed() < SOON, "{what}");
-        sleep(LOOK_MS).await;
+        sleep(POLL_PERIOD_MS).await;
     }
 }
 
@@ -67,7 +67,7 @@
         let answer = fixture.send(&request("safe.test", "r")).await;
         assert_eq!(answer.status(), 200);
         assert_eq!(engine.arrivals(), before, "{:?}", began.elapsed());
-        sleep(LOOK_MS).await;
+        sleep(POLL_PERIOD_MS).await;
     }
 }
 
@@ -94,7 +94,7 @@
 
 /// A copy of the store had an engine as ready that had said since that it leaves.
 #[test]
-fn an_engine_that_leaves_is_left_alone_where_the_copy_has_it_as_ready() {
+fn a_leaving_engine_gets_no_requests_if_the_copy_has_it_as_ready() {
     smol::block_on(async {
         let (fixture, _stays, leaves) = two_engines().await;
         let copy = fixture.store.copy();
@@ -110,7 +110,7 @@
 
 /// A copy of the store had an engine that was gone since.
 #[test]
-fn an_engine_that_is_gone_is_left_alone_where_the_copy_has_it() {
+fn a_removed_engine_gets_no_requests_if_the_copy_still_has_it() {
     smol::block_on(async {
         let (fixture, _stays, leaves) = two_engines().await;
         let copy = fixture.store.copy();
@@ -129,7 +129,7 @@
 
 /// Records that were written since the copy are missing until their engines write again.
 #[test]
-fn engines_that_the_copy_lacks_serve_on_until_they_write_again() {
+fn engines_missing_in_the_copy_serve_until_they_write_again() {
     smol::block_on(async {
         let fixture = fixture(&[]).await;
         let copy = fixture.store.copy();
@@ -144,7 +144,7 @@
         while began.elapsed() < Duration::from_millis(1_000) {
             let answer = fixture.send(&request("safe.test", "r")).await;
             assert_eq!(answer.status(), 200, "{:?}", began.elapsed());
-            sleep(LOOK_MS).await;
+            sleep(POLL_PERIOD_MS).await;
         }
         let revision = fixture
             .store
@@ -155,15 +155,15 @@
             number: revision,
         }
         .packed();
-        let is_news = || known_revision(&fixture, "app-1") == Some(written);
-        expect_soon("what it writes again is taken in", is_news).await;
+        let is_applied = || known_revision(&fixture, "app-1") == Some(written);
+        expect_soon("what it writes again is taken in", is_applied).await;
     });
 }
 
 /// Revisions go back with a copy, so what is written after it seemed older than what was
 /// known.
 #[test]
-fn what_is_written_after_the_store_came_back_is_news_whatever_its_revision() {
+fn writes_after_a_restoration_are_applied_whatever_their_revision() {
     smol::block_on(async {
         let (fixture, _stays, leaves) = two_engines().await;
         let copy = fixture.store.copy();
@@ -189,7 +189,7 @@
 
 /// A key that was taken away worked again where the copy still had it.
 #[test]
-fn a_node_never_falls_back_to_the_configuration_of_the_copy() {
+fn a_node_never_downgrades_to_the_configuration_of_the_copy() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let fixture = fixture(&[&app]).await;
@@ -203,14 +203,14 @@
         let began = Instant::now();
         while began.elapsed() < OBSERVED {
             assert_ne!(fixture.send(&request("safe.test", "r")).await.status(), 200);
-            sleep(LOOK_MS).await;
+            sleep(POLL_PERIOD_MS).await;
         }
     });
 }
 
 /// A write on a revision of the copy's future held on another object's revision.
 #[test]
-fn nothing_is_written_on_a_revision_of_an_earlier_era() {
+fn writes_conditional_on_a_revision_of_an_earlier_era_are_rejected() {
     smol::block_on(async {
         let fixture = fixture(&[]).await;
         let mut client = StoreClient::new(&fixture.gateway);
@@ -234,14 +234,14 @@
 }
 
 #[test]
-fn a_node_that_starts_after_the_store_came_back_serves() {
+fn a_node_started_after_a_restoration_serves() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let fixture = fixture(&[&app]).await;
         fixture.store.restore(&fixture.store.copy());
         let late = start_node(&fixture.store, "late", "");
         while caller::get_status(late.readiness).await != 200 {
-            sleep(LOOK_MS).await;
+            sleep(POLL_PERIOD_MS).await;
         }
         assert_eq!(late.gateway.store_era.get(), Some(StoreEra(2)));
         let answer = caller::send(late.callers, &request("safe.test", "r")).await;
--- a/crates/gateway/tests/store_restored/oracle.rs
+++ b/crates/gateway/tests/store_restored/oracle.rs
@@ -33,30 +33,30 @@
 
 /// What orders broke.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Breaches {
+pub struct Violations {
     /// Pairs of orders in a row under one token of two nodes.
     pub shared_tokens: usize,
     /// Orders under a lower token than the one before.
-    pub fallen_tokens: usize,
+    pub decreased_tokens: usize,
     /// Turns of two nodes within the lease.
-    pub hasty_turns: usize,
+    pub early_handovers: usize,
 }
 
 /// Judges orders in the order in which engines got them.
-pub fn breaches(orders: &[GivenOrder]) -> Breaches {
-    let mut breaches = Breaches::default();
+pub fn violations(orders: &[GivenOrder]) -> Violations {
+    let mut violations = Violations::default();
     for (index, order) in orders.iter().enumerate() {
         let shares =
             |earlier: &&GivenOrder| earlier.token == order.token && earlier.holder != order.holder;
-        breaches.shared_tokens +=
+        violations.shared_tokens +=
             usize::from(orders[..index].iter().any(|earlier| shares(&earlier)));
         let Some(before) = index.checked_sub(1).map(|before| &orders[before]) else {
             continue;
         };
-        breaches.fallen_tokens += usize::from(order.token < before.token);
-        let is_turn = order.holder != before.holder;
-        let is_hasty = is_turn && order.at.duration_since(before.at) < LEASE;
-        breaches.hasty_turns += usize::from(is_hasty);
+        violations.decreased_tokens += usize::from(order.token < before.token);
+        let is_handover = order.holder != before.holder;
+        let is_early = is_handover && order.at.duration_since(before.at) < LEASE;
+        violations.early_handovers += usize::from(is_early);
     }
-    breaches
+    violations
 }
--- a/crates/gateway/tests/store_restored/orders.rs
+++ b/crates/gateway/tests/store_restored/orders.rs
@@ -1,6 +1,6 @@
 //! Orders to engines while the store comes back from copies.
 
-use super::oracle::{breaches, given_orders, Breaches};
+use super::oracle::{given_orders, violations, Violations};
 use super::support::deployment::Deployment;
 use super::support::fleet::start_known_nodes_with;
 use ploverlift_gateway::time::sleep;
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// Time between two looks at what is waited for, in milliseconds.
-const LOOK_MS: u64 = 10;
+const POLL_PERIOD_MS: u64 = 10;
 /// Time within which all engines must have new weights.
 const LOADED_WITHIN: Duration = Duration::from_millis(8_000);
 /// Time that one load takes.
@@ -45,19 +45,19 @@
 /// Waits until all engines have this version; tells how long that took.
 async fn wait_until_loaded(deployment: &Deployment, version: u64) -> Duration {
     let began = Instant::now();
-    let has_all = || {
+    let have_all_loaded = || {
         let mut engines = deployment.engines.iter();
         engines.all(|engine| engine.weights() >= version)
     };
-    while !has_all() {
+    while !have_all_loaded() {
         assert!(began.elapsed() < LOADED_WITHIN, "version {version} is late");
-        sleep(LOOK_MS).await;
+        sleep(POLL_PERIOD_MS).await;
     }
     began.elapsed()
 }
 
 /// Names new weights; the store comes back from a copy from before while engines load them.
-async fn restore_within_a_load(deployment: &Deployment) {
+async fn restore_during_loads(deployment: &Deployment) {
     let copy = deployment.store.copy();
     name_weights(deployment, 2);
     let loaded = || {
@@ -65,7 +65,7 @@
         engines.filter(|engine| engine.weights() == 2).count()
     };
     while loaded() < LOADED_BEFORE {
-        sleep(LOOK_MS).await;
+        sleep(POLL_PERIOD_MS).await;
     }
     deployment.store.restore(&copy);
     name_weights(deployment, 2);
@@ -73,24 +73,24 @@
 
 /// Two nodes gave engines orders under one fencing token after the store had lost the lease.
 #[test]
-fn no_two_nodes_share_a_fencing_token_where_the_store_loses_the_lease() {
+fn no_two_nodes_share_a_fencing_token_if_the_store_loses_the_lease() {
     smol::block_on(async {
         let deployment = deployment(3, true).await;
-        restore_within_a_load(&deployment).await;
+        restore_during_loads(&deployment).await;
         wait_until_loaded(&deployment, 2).await;
         let orders = given_orders(&deployment.engines);
-        assert_eq!(breaches(&orders), Breaches::default(), "{orders:#?}");
+        assert_eq!(violations(&orders), Violations::default(), "{orders:#?}");
     });
 }
 
 /// The same where nothing tells that the store has come back from a copy.
 #[test]
-fn no_two_nodes_share_a_fencing_token_where_the_store_forgets_in_silence() {
+fn no_two_nodes_share_a_fencing_token_if_the_store_loses_the_lease_without_an_era() {
     smol::block_on(async {
         let deployment = deployment(3, false).await;
-        restore_within_a_load(&deployment).await;
+        restore_during_loads(&deployment).await;
         wait_until_loaded(&deployment, 2).await;
         let orders = given_orders(&deployment.engines);
-        assert_eq!(breaches(&orders), Breaches::default(), "{orders:#?}");
+        assert_eq!(violations(&orders), Violations::default(), "{orders:#?}");
     });
 }
--- a/crates/gateway/tests/store_trouble.rs
+++ b/crates/gateway/tests/store_trouble.rs
@@ -18,7 +18,7 @@
 use support::{configuration, settings, site, start_node, Fixture};
 
 /// Keys stop soon, so that a test need not wait long.
-const BRIEF_KEYS: &str = "[bounds]\nkey_revocation_ms = 600\n";
+const SHORT_KEY_REVOCATION: &str = "[bounds]\nkey_revocation_ms = 600\n";
 
 async fn client() -> (StandInStore, StoreClient) {
     let store = StandInStore::start().await;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn each_call_tells_done_not_done_or_unknown() {
+fn each_call_is_reported_as_executed_not_executed_or_unknown() {
     smol::block_on(async {
         let (store, mut client) = client().await;
         let kind = StoreKind::Leases;
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_wait_for_an_answer_follows_the_answers_that_came() {
+fn the_time_out_follows_the_response_times() {
     let mut timeout = AnswerTimeout::new(450);
     assert_eq!(timeout.timeout_ms(), 450);
     for _ in 0..20 {
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_configuration_is_in_force_by_its_watch_and_never_goes_back() {
+fn a_watched_configuration_takes_effect_and_is_never_downgraded() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let fixture = Fixture::new(&[&app]).await;
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn after_its_history_is_gone_a_copy_is_read_anew() {
+fn a_copy_is_listed_again_after_the_history_is_compacted() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let fixture = Fixture::new(&[&app]).await;
@@ -147,10 +147,10 @@
 }
 
 #[test]
-fn keys_stop_when_the_store_is_silent_and_work_again_when_it_is_back() {
+fn keys_are_rejected_while_the_store_is_silent_and_accepted_after_recovery() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
-        let fixture = Fixture::with(&[&app], configuration(1), BRIEF_KEYS).await;
+        let fixture = Fixture::with(&[&app], configuration(1), SHORT_KEY_REVOCATION).await;
         assert_eq!(fixture.send(&request("safe.test", "r")).await.status(), 200);
         fixture.store.set_fault(StoreFault::Silent);
         let refused = loop {
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_key_that_was_taken_away_stops_to_work() {
+fn a_revoked_key_is_rejected() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let fixture = Fixture::new(&[&app]).await;
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_node_that_starts_while_the_store_refuses_serves_when_it_is_back() {
+fn a_node_started_during_an_outage_serves_after_recovery() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let store = StandInStore::start().await;
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_document_that_does_not_fit_leaves_the_one_in_force() {
+fn an_invalid_configuration_leaves_the_active_one_unchanged() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let fixture = Fixture::new(&[&app]).await;
@@ -223,7 +223,7 @@
 }
 
 /// A site whose store is back after a failure, and has lost the entry of an engine.
-async fn after_an_entry_lapsed(app: &StandInEngine) -> Fixture {
+async fn fixture_with_expired_record(app: &StandInEngine) -> Fixture {
     let fixture = Fixture::new(&[app]).await;
     let is_lost = || {
         let outage = fixture.gateway.beliefs().store_outage;
@@ -247,10 +247,10 @@
 }
 
 #[test]
-fn an_engine_whose_entry_lapsed_while_the_store_was_away_serves_until_it_is_back() {
+fn an_engine_whose_record_expired_in_an_outage_serves_until_it_writes_again() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
-        let fixture = after_an_entry_lapsed(&app).await;
+        let fixture = fixture_with_expired_record(&app).await;
         let revision = fixture.store.put("Engines", "app-1", app.record());
         let known = || {
             let beliefs = fixture.gateway.beliefs();
@@ -268,10 +268,10 @@
 }
 
 #[test]
-fn an_engine_that_does_not_come_back_after_the_store_did_is_gone() {
+fn an_engine_that_does_not_write_again_after_an_outage_is_removed() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
-        let fixture = after_an_entry_lapsed(&app).await;
+        let fixture = fixture_with_expired_record(&app).await;
         while !fixture.gateway.beliefs().engines.is_empty() {
             fixture.send(&request("nowhere.test", "r")).await;
         }
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn lapsed_engines_have_their_time_before_the_return_was_seen_and_from_it_on() {
+fn the_grace_period_applies_before_recovery_and_counts_from_it() {
     assert_eq!(StoreOutage::default().remaining_grace_ms(Millis(500)), 0);
     let mut outage = outage_at_one_second();
     assert_eq!(outage.remaining_grace_ms(Millis(1_400)), 2_000);
@@ -301,14 +301,14 @@
 }
 
 #[test]
-fn a_failure_that_no_later_call_followed_is_forgotten() {
+fn a_failure_without_later_calls_expires() {
     let outage = outage_at_one_second();
     assert_eq!(outage.remaining_grace_ms(Millis(3_900)), 2_000);
     assert_eq!(outage.remaining_grace_ms(Millis(4_100)), 0);
 }
 
 #[test]
-fn an_answer_that_a_condition_failed_is_no_outage() {
+fn rejected_and_throttled_calls_are_no_outage() {
     let mut outage = StoreOutage::default();
     for error in [StoreError::NotFound, StoreError::Throttled] {
         let answer: Result<(), StoreError> = Err(error);
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn an_engine_stays_when_the_feed_that_is_told_of_its_end_missed_the_outage() {
+fn an_engine_is_kept_if_the_feed_that_reports_its_removal_missed_the_outage() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let fixture = Fixture::new(&[&app]).await;
@@ -346,7 +346,7 @@
 }
 
 /// Engines write every 1.2 s; knowledge of them may be 1.3 s old.
-fn outage_where_engines_write() -> StoreOutage {
+fn outage_with_heartbeats() -> StoreOutage {
     let text = "[node]\nname = \"n\"\nzone = \"z\"\n\
                 [listen]\ncallers = \"127.0.0.1:0\"\nreadiness = \"127.0.0.1:0\"\n\
                 [store]\naddress = \"127.0.0.1:1\"\nengine_heartbeat_ms = 1200\n";
@@ -355,11 +355,11 @@
 }
 
 #[test]
-fn a_call_that_failed_between_answers_shows_no_outage_in_which_records_lapse() {
+fn a_single_failed_call_is_no_outage_in_which_records_expire() {
     let failed: Result<(), StoreError> = Err(StoreError::Unreachable {
         reason: "timed out".to_owned(),
     });
-    let mut outage = outage_where_engines_write();
+    let mut outage = outage_with_heartbeats();
     // A follower asks after a long time in which it was told, and its first call fails.
     outage.note_call_began(Millis(60_000));
     outage.note_call_ended(&failed, Millis(61_000));
@@ -375,9 +375,9 @@
 }
 
 #[test]
-fn records_that_may_have_lapsed_are_kept_no_longer_than_knowledge_may_be_old() {
+fn expired_records_are_kept_no_longer_than_the_maximum_age_of_engines() {
     let failed: Result<(), StoreError> = Err(StoreError::Refused { status: 503 });
-    let mut outage = outage_where_engines_write();
+    let mut outage = outage_with_heartbeats();
     outage.note_call_began(Millis(1_000));
     outage.note_call_ended(&failed, Millis(1_100));
     let ended = outage.note_call_ended(&Ok(()), Millis(3_400));
@@ -397,7 +397,7 @@
 
 /// Another writer may spoil an entry. It names no engine to use, and the others hold.
 #[test]
-fn a_record_that_cannot_be_read_takes_no_engine_away_and_hides_no_other() {
+fn an_invalid_record_removes_no_engine_and_hides_no_other() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let fixture = Fixture::new(&[&app]).await;
--- a/crates/gateway/tests/suspended.rs
+++ b/crates/gateway/tests/suspended.rs
@@ -24,9 +24,9 @@
 use support::{configuration, settings};
 
 /// Sleeps of the machine, in milliseconds, shorter and longer than each bound below.
-const SLEEPS_MS: [u64; 3] = [4_000, 10_000, 30_000];
+const SUSPENSIONS_MS: [u64; 3] = [4_000, 10_000, 30_000];
 /// Time between two looks at what a test waits for, in milliseconds.
-const LOOK_MS: u64 = 2;
+const POLL_PERIOD_MS: u64 = 2;
 /// Bounds of the site: each is over after any of the sleeps.
 const BOUNDS: &str = "engine_heartbeat_ms = 400\n[bounds]\nkey_revocation_ms = 3000\n\
     revoke_when_cut = true\nleaving_engine_ms = 2000\nweights_ms = 3000\nlease_ms = 1000\n";
@@ -51,7 +51,7 @@
         let site = Arc::new(StandInSite);
         let node = start_with_clock(settings, site, silent_logger(), clock).expect("start");
         while caller::get_status(node.readiness).await != 200 {
-            sleep(LOOK_MS).await;
+            sleep(POLL_PERIOD_MS).await;
         }
         Self {
             store,
@@ -61,7 +61,7 @@
     }
 
     /// Nothing is learned any more, and the machine sleeps.
-    async fn sleep_without_the_store(&self, sleep_ms: u64) {
+    async fn suspend_without_store(&self, sleep_ms: u64) {
         self.store.set_fault(StoreFault::Silent);
         // Calls that were on their way are over.
         sleep(60).await;
@@ -70,9 +70,9 @@
 }
 
 #[test]
-fn keys_are_not_accepted_by_a_proof_from_before_the_sleep() {
+fn keys_are_not_accepted_by_a_proof_from_before_the_suspension() {
     smol::block_on(async {
-        for sleep_ms in SLEEPS_MS {
+        for sleep_ms in SUSPENSIONS_MS {
             let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
             let machine = Machine::start(&[&app], BOUNDS).await;
             let call = request("unsafe.test", "r1");
@@ -80,7 +80,7 @@
                 caller::send(machine.node.callers, &call).await.status(),
                 200
             );
-            machine.sleep_without_the_store(sleep_ms).await;
+            machine.suspend_without_store(sleep_ms).await;
             let call = request("unsafe.test", "r2");
             assert_eq!(
                 caller::send(machine.node.callers, &call).await.status(),
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_key_that_was_taken_away_is_not_accepted_by_a_request_that_waited_through_the_sleep() {
+fn a_revoked_key_is_not_accepted_for_a_request_that_waited_through_the_suspension() {
     smol::block_on(async {
         let mut app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let bounds = format!("{BOUNDS}[attempts]\nconnect_timeout_ms = 2000\n");
@@ -101,7 +101,7 @@
         let waiting = request("patient.test", "r1");
         let mut connection = caller::open(machine.node.callers, &waiting).await;
         sleep(50).await;
-        machine.sleep_without_the_store(10_000).await;
+        machine.suspend_without_store(10_000).await;
         app.regain_power();
         let answer = caller::read(&mut connection).await.expect("an answer");
         assert_eq!(answer.status(), 503);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_request_whose_deadline_passed_in_the_sleep_is_sent_to_no_engine() {
+fn a_request_whose_deadline_passed_in_the_suspension_is_sent_to_no_engine() {
     smol::block_on(async {
         let mut app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let machine = Machine::start(&[&app], "[attempts]\nconnect_timeout_ms = 2000\n").await;
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn an_engine_that_left_during_the_sleep_gets_no_request() {
+fn an_engine_that_left_during_the_suspension_gets_no_request() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let other = StandInEngine::start("app-2", "app", Behaviour::Answer).await;
@@ -147,18 +147,18 @@
         while other.arrivals() == 0 {
             let call = request("unsafe.test", "later");
             caller::send(machine.node.callers, &call).await;
-            sleep(LOOK_MS).await;
+            sleep(POLL_PERIOD_MS).await;
         }
         assert_eq!(app.arrivals(), 0);
     });
 }
 
 #[test]
-fn an_answer_that_lay_unread_through_the_sleep_proves_what_held_when_it_was_asked_for() {
+fn an_answer_read_after_a_suspension_proves_the_state_at_its_request() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let machine = Machine::start(&[&app], BOUNDS).await;
-        machine.sleep_without_the_store(10_000).await;
+        machine.suspend_without_store(10_000).await;
         let gateway = &machine.node.gateway;
         let now = gateway.clock.now();
         let before = Millis(now.0 - 10_200);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn no_prompt_begins_on_weights_that_were_proven_before_the_sleep() {
+fn no_prompt_begins_on_weights_proven_before_the_suspension() {
     smol::block_on(async {
         let llm = StandInEngine::start("llm-1", "llm", Behaviour::Answer).await;
         let bounds = BOUNDS.replace("revoke_when_cut = true\n", "revoke_when_cut = false\n");
@@ -180,7 +180,7 @@
             caller::send(machine.node.callers, &call).await.status(),
             200
         );
-        machine.sleep_without_the_store(10_000).await;
+        machine.suspend_without_store(10_000).await;
         let call = prompt("stream.test", "r2");
         assert_eq!(
             caller::send(machine.node.callers, &call).await.status(),
@@ -191,12 +191,12 @@
 }
 
 #[test]
-fn a_lease_does_not_outlast_the_sleep() {
+fn a_lease_expires_during_a_suspension() {
     smol::block_on(async {
         let machine = Machine::start(&[], BOUNDS).await;
         let lease = LeaseHolder::new(&machine.node.gateway, LeaseName::Weights);
         while !lease.renew_or_acquire().await {
-            sleep(LOOK_MS).await;
+            sleep(POLL_PERIOD_MS).await;
         }
         assert!(lease.token().is_some());
         machine.suspension.sleep(4_000);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_time_to_back_off_and_the_word_that_an_engine_leaves_count_through_the_sleep() {
+fn backoff_and_leaving_of_an_engine_count_through_a_suspension() {
     smol::block_on(async {
         let refusing = StandInEngine::start("app-1", "app", Behaviour::Refuse).await;
         let bounds = "[bounds]\nrevoke_when_cut = false\n";
@@ -222,11 +222,11 @@
         refusing.set(Behaviour::Answer);
         // What else is known grows old as well.
         machine.suspension.sleep(4_000);
-        sleep(LOOK_MS).await;
+        sleep(POLL_PERIOD_MS).await;
         assert_eq!((send("r2").await, refusing.arrivals()), (503, 1));
         machine.suspension.sleep(10_000);
         while send("r3").await != 200 {
-            sleep(LOOK_MS).await;
+            sleep(POLL_PERIOD_MS).await;
         }
         refusing.name_leaving(Some("1"));
         assert_eq!(send("r4").await, 200);
