--- a/crates/gateway/tests/cache_followers.rs
+++ b/crates/gateway/tests/cache_followers.rs
@@ -1,10 +1,9 @@
-//! Which engines' caches a node follows while it hears of no other node.
+//! Which engine caches a node follows while it receives no reports of other nodes.
 //!
-//! Seen: a rolling restart of 69 nodes lost 42 answers. Nodes whose relays were silent
-//! for a moment took that for the absence of all other nodes, began to follow the caches
-//! of 20 to 42 engines within a second, and what those keep filled the nodes' links
-//! before the answers under way.
-//! Proof: the same restart lost 3 answers on a trial in which such nodes began no feed.
+//! Guards against lost answers in a rolling restart: nodes whose relays were briefly silent
+//! assumed that all other nodes were gone and began to follow the caches of 20 to 42 engines
+//! within a second. The cache contents saturated the nodes' links and delayed running answers.
+//! A restart of 69 nodes lost 42 answers; it lost 3 when such nodes began no feeds.
 
 mod support;
 
@@ -26,15 +25,16 @@
 use support::fleet::{empty_relay_report, list_silent_nodes, role_of, start_peer, wait_until};
 use support::store::StandInStore;
 
-/// Engines of the node's zone, and of another one.
+/// Number of engines in the node's zone, and in another one.
 const ENGINES: usize = 40;
-/// Nodes of the zone: with four followers an engine each follows about five engines.
+/// Number of nodes in the zone: with four followers per engine, each node follows about
+/// five engines.
 const NODES: u16 = 30;
-/// Time after the last word of a relay that is looked at, in milliseconds: a restart of
-/// both relays of a zone is over by then.
+/// Observed time after the last report of a relay, in milliseconds: a restart of both relays
+/// of a zone is over by then.
 const SILENCE_MS: u64 = 5_000;
-/// First answers of engines that may be under way together: each may carry all that an
-/// engine keeps, and callers' answers pass the same link.
+/// Maximum number of concurrent first answers of engines: each may contain an engine's whole
+/// cache contents and shares the link with the answers to callers.
 const MAX_FIRST_ANSWERS: usize = 4;
 
 fn address(port: u16) -> SocketAddr {
@@ -45,7 +45,7 @@
     ZoneTag::of(&ZoneName(name.to_owned()))
 }
 
-/// A configuration whose engines take calls for events.
+/// A configuration whose engines accept event calls.
 fn followed_configuration() -> Value {
     let mut content = configuration(1);
     content["event_calls"] = json!(64);
@@ -60,7 +60,7 @@
     }
 }
 
-/// Engines that read calls and say nothing; counts the calls.
+/// Engines that accept calls and never answer; counts the calls.
 async fn silent_engines() -> (SocketAddr, Arc<AtomicUsize>, smol::Task<()>) {
     let listener: TcpListener = bind(address(0)).expect("bind");
     let own = listener.local_addr().expect("address");
@@ -76,10 +76,10 @@
     (own, calls, task)
 }
 
-/// A follower of relays in a zone of many nodes, which knows all engines.
+/// A follower of relays in a zone with many nodes, once it knows all engines.
 async fn follower(store: &StandInStore) -> RunningGateway {
     store.put("Configuration", "main", followed_configuration());
-    // Nobody listens there: no feed has an answer.
+    // No process listens at this address, so no feed gets an answer.
     for name in ["z", "elsewhere"] {
         put_engines(store, name, address(9));
     }
@@ -103,7 +103,7 @@
     format!("large-{index}")
 }
 
-/// A relay names the nodes of the zone and the zones that have any.
+/// Delivers a relay report with the nodes of the zone and the zones that have nodes.
 fn receive_relay_report(node: &RunningGateway, sequence: u64, members: std::ops::Range<u16>) {
     let mut report = empty_relay_report();
     report.loads.sequence = sequence;
@@ -161,7 +161,8 @@
         let before = followed(&node, now);
         assert!(!before.is_empty());
         node.gateway.begin_stop();
-        // The zone loses all its other nodes but one: their engines fall to this one.
+        // All other nodes of the zone but one are gone, so their engines would be assigned to
+        // this node.
         receive_relay_report(&node, 2, 0..1);
         let present = followed(&node, now);
         assert!(present.is_subset(&before), "{present:?}, before {before:?}");
@@ -177,10 +178,10 @@
         store.put("Configuration", "main", followed_configuration());
         let (engines, calls, _task) = silent_engines().await;
         put_engines(&store, "z", engines);
-        // Alone in its site, it follows all engines.
+        // As the only node, it follows all engines.
         let node = start_peer(&store, "alone", 0.1);
         wait_until(&node, |_| calls.load(Ordering::SeqCst) > 0).await;
-        // Less than the time after which a call that is not answered is given up.
+        // Less than the time-out of an event call.
         sleep(500).await;
         let calls = calls.load(Ordering::SeqCst);
         assert!(calls <= MAX_FIRST_ANSWERS, "{calls} calls at once");
--- a/crates/gateway/tests/deaf_watches.rs
+++ b/crates/gateway/tests/deaf_watches.rs
@@ -1,5 +1,5 @@
-//! Watches of the store that hear nothing: what was stored meanwhile is known within
-//! the bound that counts on it, however long the watch would have waited.
+//! Watches to which the store delivers no events: changes are known within their bounds,
+//! however long the watch would have waited.
 
 mod support;
 
@@ -16,20 +16,20 @@
 use support::store::{StandInStore, StoreFault};
 use support::{configuration, settings};
 
-/// Longer than any bound.
+/// Wait of watches, in milliseconds, longer than any bound.
 const LONG_WATCH_MS: u64 = 20_000;
-/// The bound on leaving engines, with room for a busy machine.
+/// Bound on leaving engines, in milliseconds, with a margin for a busy machine.
 const LEAVING_MS: u64 = 3_000;
-/// The bound on a bad version.
+/// Bound on the roll-back of a bad version, in milliseconds.
 const ROLL_BACK_MS: u64 = 5_000;
-/// Bounds within which no watch ends by itself.
+/// Bounds so long that no watch ends on its own during a test.
 const LONG_BOUNDS: &str = "[bounds]\nleaving_engine_ms = 60000\nroll_back_ms = 60000\n";
-/// Watches of a node: configuration, engines, weights, orders.
+/// Number of watches of a node: configuration, engines, weights, orders.
 const WATCHES: u64 = 4;
-/// Leases that a node looks for when it starts.
+/// Number of leases that a node reads when it starts.
 const LEASES: u64 = 2;
 
-/// A node, ready, whose watches all hear nothing.
+/// A ready node whose watches receive no events.
 async fn start_deaf(store: &StandInStore, fault_at_start: StoreFault) -> RunningGateway {
     store.set_fault(fault_at_start);
     let bounds =
@@ -41,7 +41,7 @@
     node
 }
 
-/// Waits until a node has come to something; it fails after a bound.
+/// Waits until a condition holds for a node; fails after a bound.
 async fn assert_within(
     node: &RunningGateway,
     bound_ms: u64,
@@ -54,7 +54,7 @@
             began.elapsed() < Duration::from_millis(bound_ms),
             "{what}: not after {bound_ms} ms"
         );
-        // Asking the node lets its tasks run.
+        // Calling the node lets its tasks run.
         caller::get_status(node.readiness).await;
     }
 }
@@ -75,7 +75,7 @@
     json!({"service": "app", "to": target, "ms": 30_000})
 }
 
-/// A store with engines of two versions that serve without an order.
+/// A store with engines of two software versions that serve without a rollout order.
 async fn two_versions() -> (StandInStore, StandInEngine, StandInEngine) {
     let store = StandInStore::start().await;
     store.put("Configuration", "main", configuration(1));
@@ -121,7 +121,7 @@
         let node = start_deaf(&store, StoreFault::DeafWatches).await;
         let mut sent = 0;
         while new.arrivals() == 0 {
-            // Without an order it serves.
+            // Without an order, the new version serves requests.
             caller::send(node.callers, &request("safe.test", &format!("a{sent}"))).await;
             sent += 1;
         }
@@ -135,7 +135,7 @@
     smol::block_on(async {
         let (store, _old, _new) = two_versions().await;
         let node = start_deaf(&store, StoreFault::LacksOrders).await;
-        // Until no engine calls for orders, so that it is the time that does.
+        // Wait until no engine causes a list of the orders, so that only the period does.
         assert_within(&node, ROLL_BACK_MS, "engines are placed", |node| {
             let beliefs = node.gateway.beliefs();
             !beliefs.rollouts.lacks_orders(&beliefs.engines)
@@ -173,7 +173,7 @@
         settings.store.other_watch_ms = LONG_WATCH_MS;
         let node = start(settings, Arc::new(StandInSite), silent_logger()).expect("start");
         while caller::get_status(node.readiness).await != 200 {}
-        // The store has neither lease, which counts as a failed call each.
+        // The store has neither lease; each read of a missing lease counts as a failed call.
         assert_within(&node, LEAVING_MS, "both leases are looked for", |node| {
             node.gateway.metrics.store_failures.get() >= LEASES
         })
--- a/crates/gateway/tests/outdated_weights.rs
+++ b/crates/gateway/tests/outdated_weights.rs
@@ -1,17 +1,12 @@
-//! Work ran on outdated weights: a request began on version 1 of a model 13.7 s after
-//! version 2 was acknowledged, where 8 s are allowed, while the store was well.
+//! No request may begin on outdated weights after the bound.
 //!
-//! The store's history was compacted and all watches were reset. A node that opened its
-//! watch of the named weights again in that moment had a watch that heard nothing until
-//! it ended by itself, 20 s later. Nothing else told the node: the others knew version 2
-//! after 0.3 s and did not say so. The node went on counting from the last version that it
-//! had heard of, and the same clock began anew with any trouble of its own with the store
-//! and with its restart.
-//!
-//! Cause: a bound that others set was counted from what this node happened to hear.
-//! Proof: the logs of such a node show `history gone` and `weights named` 20.0 s after
-//! the other nodes' lines; with watches of 2 s in place of 20 s, and nothing else
-//! changed, the same schedules stay within the bound.
+//! Guards against a watch of the named weights that is reopened while the store compacts its
+//! history and then receives no events until it ends after 20 s. A request began on version 1
+//! of a model 13.7 s after version 2 was acknowledged, where 8 s are allowed: the other nodes
+//! knew version 2 after 0.3 s but did not report it, and the node counted the bound from the
+//! last version that it knew. The count also restarted with each store failure and each
+//! restart of the node. The logs of such a node show `history gone`, and `weights named` 20 s
+//! after the other nodes; with watches of 2 s the same schedules stay within the bound.
 
 mod support;
 
@@ -34,14 +29,14 @@
 use support::store::{StandInStore, StoreFault};
 use support::{configuration, settings};
 
-/// Time in which new weights must be in use, in milliseconds, where a test awaits it.
+/// Bound on outdated weights, in milliseconds, in tests that wait for it.
 const SHORT_BOUND_MS: u64 = 600;
-/// No engine loads: orders are given long after the bound.
+/// Settings with which no engine loads: orders are due long after the bound.
 const NO_LOADS: &str = "[weights]\nfinish_ms = 60000\nmargin_ms = 200\nloads_at_once = 1\n";
 /// Time for which a node is observed beyond the bound, in milliseconds.
 const OBSERVED_MS: u64 = 1_500;
 
-/// A store with a configuration, version 1 of the weights, and an engine that has it.
+/// A store with a configuration, version 1 of the weights, and an engine with that version.
 async fn site() -> (StandInStore, StandInEngine) {
     let store = StandInStore::start().await;
     let engine = StandInEngine::start("llm-1", "llm", Behaviour::Answer).await;
@@ -52,7 +47,7 @@
     (store, engine)
 }
 
-/// A node whose watches last longer than a test. It gives no orders: it stops.
+/// A node whose watches last longer than a test. It is stopping, so it sends no orders.
 async fn start_node(store: &StandInStore, name: &str, bound_ms: u64) -> RunningGateway {
     let bounds = format!(
         "{NO_LOADS}[bounds]\nweights_ms = {bound_ms}\nweights_total_ms = 600000\n\
@@ -67,9 +62,8 @@
     node
 }
 
-/// Sends requests to the engine, which has version 1, for as long as the bound and
-/// longer; tells when the last one that was answered was sent, in milliseconds after
-/// `named_at`.
+/// Sends requests to the engine, which has version 1, until after the bound. Returns when
+/// the last answered request was sent, in milliseconds after `named_at`.
 async fn last_answered_ms(node: &RunningGateway, named_at: Instant) -> u64 {
     let mut last_ms = 0;
     loop {
@@ -94,7 +88,7 @@
         let named_at = Instant::now();
         store.put("Weights", "m", json!({"version": 2}));
         let last_ms = last_answered_ms(&node, named_at).await;
-        assert!(last_ms > 0, "version 1 may be used at first");
+        assert!(last_ms > 0, "version 1 must be served before the bound");
         assert!(last_ms <= SHORT_BOUND_MS, "begun {last_ms} ms after");
     });
 }
@@ -124,7 +118,7 @@
 fn a_node_with_a_deaf_watch_learns_of_new_weights_from_a_peer() {
     smol::block_on(async {
         let (store, _engine) = site().await;
-        // Nothing but a report tells so soon.
+        // Only a report of the other node can provide the version this soon.
         let well = start_node(&store, "well", 600_000).await;
         store.set_fault(StoreFault::DeafWatches);
         let deaf = start_node(&store, "deaf", 600_000).await;
@@ -143,12 +137,12 @@
             false
         };
         let is_reported = futures_lite::future::or(reporting, too_long).await;
-        assert!(is_reported, "no other node told of version 2");
-        // Its watch is abandoned, long before it would end.
+        assert!(is_reported, "no other node reported version 2");
+        // The deaf watch is abandoned long before it would end.
         let lists = store.calls("list Weights");
         let listing = wait_until(&deaf, |_| store.calls("list Weights") > lists);
         let is_reopened = ploverlift_gateway::time::within(5_000, listing).await;
-        assert!(is_reopened.is_some(), "the deaf watch is relied on");
+        assert!(is_reopened.is_some(), "the deaf watch was not abandoned");
     });
 }
 
@@ -171,10 +165,10 @@
         let (store, _engine) = site().await;
         store.set_fault(StoreFault::DeafWatches);
         let node = start_node(&store, "node", SHORT_BOUND_MS).await;
-        // Lists take long from now on, and tell what stood there when they came.
+        // From now on, lists are slow and contain the state at the arrival of the call.
         store.set_fault(StoreFault::SlowLists { ms: 350 });
         ploverlift_gateway::time::sleep(400).await;
-        // Named right after a list was asked for.
+        // The version is named just after a list was requested.
         let lists = store.calls("list Weights");
         wait_until(&node, |_| store.calls("list Weights") > lists).await;
         let named_at = Instant::now();
@@ -209,9 +203,12 @@
         ploverlift_gateway::time::sleep(60).await;
         let is_proven = || gateway.beliefs().weights.is_proven();
         take_weights_report(&gateway, &report(gateway.life - 1, sequence), from);
-        assert!(!is_proven(), "an answer to an earlier life");
+        assert!(
+            !is_proven(),
+            "acknowledges a report of an earlier incarnation"
+        );
         take_weights_report(&gateway, &report(gateway.life, sequence + 1), from);
-        assert!(!is_proven(), "an answer to a report that was not sent");
+        assert!(!is_proven(), "acknowledges a report that was not sent");
         take_weights_report(&gateway, &report(gateway.life, sequence), from);
         let now = gateway.clock.now();
         let age_ms = gateway.beliefs().weights.proof_age_ms(now);
@@ -227,7 +224,7 @@
         let bounds = "[bounds]\nweights_ms = 8000\n";
         let mut nodes = Vec::new();
         for name in ["a", "b", "c", "d", "e", "f", "g"] {
-            // One after the other: each finds the records of those before it.
+            // Nodes start one after another, so each finds the records of the earlier ones.
             let node = start_peer_with(&store, name, 1.0, bounds);
             let others = nodes.len();
             wait_until(&node, |node| {
--- a/crates/gateway/tests/planned_work.rs
+++ b/crates/gateway/tests/planned_work.rs
@@ -1,4 +1,4 @@
-//! Planned stops, reloads, engines that leave, and the loading of weights.
+//! Planned stops, reloads of settings, leaving engines, and the loading of weights.
 
 mod support;
 
@@ -22,7 +22,7 @@
 use support::store::{StandInStore, StoreFault};
 use support::{configuration, settings, site, Fixture};
 
-/// Weights are loaded at once, and old ones avoided soon.
+/// Settings with which weights are loaded at once and outdated ones are soon avoided.
 const FAST_LOADS: &str = "[weights]\nfinish_ms = 1\nload_ms = 20\nreport_after_ms = 1\n\
     order_timeout_ms = 50\nmargin_ms = 200\n[bounds]\nweights_ms = 600\nlease_ms = 300\n";
 
@@ -38,7 +38,7 @@
         app.happened.recv().await.expect("the request arrived");
         let stopping = smol::spawn(running.stop());
         while caller::get_status(readiness).await != 503 {}
-        // A request that comes while callers still are sent here is served.
+        // A request that arrives while callers are still routed to this node is served.
         app.set(Behaviour::Answer);
         let late = caller::send(callers, &request("unsafe.test", "r2")).await;
         assert_eq!(late.status(), 200);
@@ -240,8 +240,8 @@
     });
 }
 
-/// One engine loads at a time, and the first report after an order comes late
-/// enough for news to arrive before it.
+/// Settings with which one engine loads at a time, and the first report after an order is
+/// late enough for a new version to arrive before it.
 const ONE_LOAD_AT_A_TIME: &str = "[weights]\nfinish_ms = 1000\nload_ms = 400\n\
     loads_at_once = 1\nreport_after_ms = 300\n";
 
@@ -268,7 +268,7 @@
         while engines[second].orders().is_empty() {
             fixture.send(&request("nowhere.test", "r")).await;
         }
-        // The engine that lacks the older version goes before the one that has it.
+        // The engine that lacks the older version loads before the one that has it.
         assert_eq!(engines[first].orders().len(), 1);
         wait_for_weights(&engines, 3).await;
         assert_eq!(engines[second].orders().len(), 1);
@@ -291,7 +291,7 @@
     });
 }
 
-/// The first tokens that a node takes where the store tells no era.
+/// The first fencing tokens of a node if the store reports no era.
 fn first_tokens(name: &str) -> [u64; 3] {
     let number = NodeNumber::of(&NodeName::from(name));
     let mut last = FencingToken::default();
@@ -306,7 +306,7 @@
     smol::block_on(async {
         let engines = engines(1).await;
         let [first, second, third] = first_tokens("node");
-        // Two orders of later holders have reached the engine.
+        // The engine has received two orders of later holders.
         engines[0].see_token(third);
         let fixture = Fixture::with(&[&engines[0]], configuration(1), FAST_LOADS).await;
         fixture.store.put("Weights", "m", json!({"version": 2}));
@@ -341,7 +341,7 @@
         wait_for_weights(&engines, 2).await;
         let second = support::start_node(&fixture.store, "second", FAST_LOADS);
         while caller::get_status(second.readiness).await != 200 {}
-        // The holder ends without a word: its tasks are dropped.
+        // The holder crashes: its tasks are dropped.
         drop(fixture.running.take());
         fixture.store.put("Weights", "m", json!({"version": 3}));
         wait_for_weights(&engines, 3).await;
@@ -357,7 +357,7 @@
 fn no_request_begins_on_weights_older_than_the_bound() {
     smol::block_on(async {
         let engines = engines(1).await;
-        // The engine never loads: every order is refused as unknown.
+        // The engine stays on version 1, because it never gets an order.
         engines[0].set_weights(1);
         let settings = format!("{FAST_LOADS}weights_total_ms = 600\n");
         let fixture = Fixture::with(&[&engines[0]], configuration(1), &settings).await;
@@ -366,7 +366,7 @@
             fixture.send(&prompt("stream.test", "r")).await.status(),
             200
         );
-        // No node may give orders: the store takes no lease.
+        // The stopping node sends no orders.
         fixture.gateway.begin_stop();
         fixture.store.put("Weights", "m", json!({"version": 2}));
         let refused = loop {
@@ -380,8 +380,8 @@
     });
 }
 
-/// A node that gives no orders, before an engine that holds requests in its queue; the
-/// callers of `queue.test` would wait for ten minutes.
+/// A node that sends no orders, with an engine that holds requests in its queue; the
+/// deadline of the callers of `queue.test` is ten minutes.
 async fn fixture_with_queue(engine: &StandInEngine) -> Fixture {
     engine.set_weights(1);
     engine.set(Behaviour::Silent);
--- a/crates/gateway/tests/store_call_pacing.rs
+++ b/crates/gateway/tests/store_call_pacing.rs
@@ -1,12 +1,12 @@
-//! The calls for events of all nodes fit those that a store holds at once.
+//! The event calls of all nodes stay within the concurrent calls that a cache store accepts.
 
 use ploverlift_gateway::cache_feeds::call_pacing::{CallPacing, Callers, HOLD_TIME};
 use std::time::Duration;
 
-/// Calls that a store holds at once.
+/// Concurrent calls that a store accepts.
 const CALLS: u32 = 12;
 
-/// Calls under way at once, if each is held to its end.
+/// Number of concurrent calls if each is held for the whole time.
 fn under_way(callers: usize, call_pacing: &CallPacing) -> f64 {
     let held = HOLD_TIME.as_secs_f64();
     callers as f64 * held / (held + call_pacing.pause.as_secs_f64())
@@ -23,7 +23,7 @@
 
 #[test]
 fn concurrent_calls_stay_within_the_limit_for_any_fleet_size() {
-    // Nodes, zones and regions of fleets from the smallest to the largest.
+    // Numbers of nodes, zones and regions of fleets from the smallest to the largest.
     for (nodes, zones, regions) in [(8, 2, 1), (61, 6, 3), (81, 4, 1), (295, 6, 1), (780, 13, 6)] {
         let relays = if nodes > 20 { 2 * zones } else { 0 };
         let near = nodes / regions;
@@ -45,7 +45,7 @@
 fn only_relays_call_if_a_region_has_too_many_nodes() {
     assert!(!call_pacing(61, 0, 12).are_relays_alone);
     assert!(call_pacing(295, 0, 12).are_relays_alone);
-    // Without relays there is nobody who tells.
+    // Without relays, no node could report the contents to the others.
     assert!(!call_pacing(295, 0, 0).are_relays_alone);
 }
 
@@ -68,7 +68,7 @@
     };
     let unlimited = CallPacing::of(callers, None);
     assert!(unlimited.pause > Duration::from_millis(500));
-    // No call at all is a wrong figure, and costs no more than one.
+    // A limit of zero calls is invalid and treated as a limit of one.
     let none = CallPacing::of(callers, Some(0));
     assert_eq!(none.pause, CallPacing::of(callers, Some(1)).pause);
 }
--- a/crates/gateway/tests/store_restored/fleets.rs
+++ b/crates/gateway/tests/store_restored/fleets.rs
@@ -1,4 +1,5 @@
-//! How soon a fleet knows that the store came back, and what that costs the store.
+//! How soon a fleet detects that the store was restored from a copy, and the resulting load
+//! on the store.
 
 use super::support::deployment::Deployment;
 use super::support::store::StandInStore;
@@ -6,28 +7,29 @@
 use ploverlift_policy::ids::StoreEra;
 use std::time::{Duration, Instant};
 
-/// Time between two looks at what is waited for, in milliseconds.
+/// Polling period of conditions, in milliseconds.
 const POLL_PERIOD_MS: u64 = 5;
-/// Time within which all nodes know the era.
+/// Time within which all nodes must know the new era.
 const KNOWN_WITHIN: Duration = Duration::from_millis(1_000);
-/// Reading calls that a deployment of this size may make in a second.
+/// Maximum number of read calls per second of a deployment of this size.
 const READS_PER_SECOND: usize = 2_000;
-/// Usual calls of a node that reads the store in a second: most are watches of the
-/// configuration, which tests keep short.
+/// Usual number of calls per second of a node that reads the store: most are watches of the
+/// configuration, which have a short wait in tests.
 const USUAL_CALLS_PER_READER: usize = 50;
-/// The same in the second after the store came back: a list of each kind, a look at each
-/// lease, and some that met the old era.
+/// The same in the second after the restoration: a list of each kind, a read of each lease,
+/// and some calls from the old era.
 const CALLS_PER_READER: usize = USUAL_CALLS_PER_READER + 20;
-/// Time within which the nodes of a deployment have begun.
+/// Time within which the nodes of a deployment must have started.
 const STARTED_WITHIN: Duration = Duration::from_secs(20);
 
-/// Calls that read, so far.
+/// Number of read calls so far.
 fn reads(store: &StandInStore) -> usize {
     let calls = store.all_calls();
     calls.iter().filter(|call| !call.starts_with("put")).count()
 }
 
-/// Waits until the nodes of a deployment have begun: those that are told read no more.
+/// Waits until the nodes of a deployment have started and followers have stopped reading the
+/// store.
 async fn wait_until_steady(deployment: &Deployment, usual: usize) {
     let began = Instant::now();
     loop {
@@ -36,11 +38,15 @@
         if reads(&deployment.store) - before <= usual {
             return;
         }
-        assert!(began.elapsed() < STARTED_WITHIN, "nodes go on reading");
+        assert!(
+            began.elapsed() < STARTED_WITHIN,
+            "nodes have not stopped reading the store"
+        );
     }
 }
 
-/// The store comes back; tells when all nodes know, and the reads of the next second.
+/// Restores the store from a copy. Returns the time after which all nodes know the new era,
+/// and the number of reads in the first second.
 async fn restore(deployment: &Deployment) -> (Duration, usize) {
     let copy = deployment.store.copy();
     deployment.store.restore(&copy);
@@ -50,7 +56,10 @@
         nodes.all(|node| node.gateway.store_era.get() == Some(StoreEra(2)))
     };
     while !all_know() {
-        assert!(began.elapsed() < KNOWN_WITHIN, "a node does not know");
+        assert!(
+            began.elapsed() < KNOWN_WITHIN,
+            "a node does not know the new era"
+        );
         sleep(POLL_PERIOD_MS).await;
     }
     let known = began.elapsed();
--- a/crates/gateway/tests/store_restored/knowledge.rs
+++ b/crates/gateway/tests/store_restored/knowledge.rs
@@ -1,4 +1,4 @@
-//! What nodes know while the store comes back from copies.
+//! State of nodes after the store was restored from a copy.
 
 use super::support::caller::request;
 use super::support::engine::{Behaviour, StandInEngine};
@@ -12,15 +12,15 @@
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-/// Time between two looks at what is waited for, in milliseconds.
+/// Polling period of conditions, in milliseconds.
 const POLL_PERIOD_MS: u64 = 5;
-/// Time within which a node knows what the store has.
+/// Time within which a node must know the contents of the store.
 const SOON: Duration = Duration::from_millis(4_000);
-/// Time for which engines that must get nothing are observed: longer than records are kept
-/// that the store may have lost.
+/// Time for which engines that must not get requests are observed: longer than the grace
+/// period of records that the store may have lost.
 const OBSERVED: Duration = Duration::from_millis(2_500);
 
-/// An engine's record with a heartbeat.
+/// An engine record with a heartbeat.
 fn record(engine: &StandInEngine, sequence: u64, is_leaving: bool) -> Value {
     let mut record = engine.record();
     record["born"] = json!(1_000);
@@ -29,7 +29,7 @@
     record
 }
 
-/// Waits until something holds; it must within a bound.
+/// Waits until a condition holds; fails after a bound.
 async fn expect_soon(what: &str, holds: impl Fn() -> bool) {
     let began = Instant::now();
     while !holds() {
@@ -60,7 +60,7 @@
     fixture.gateway.beliefs().engines.get(&instance).is_some()
 }
 
-/// Sends requests for as long as is observed; none may reach this engine.
+/// Sends requests during the observed time, none of which may reach this engine.
 async fn expect_no_arrival(fixture: &Fixture, engine: &StandInEngine) {
     let (began, before) = (Instant::now(), engine.arrivals());
     while began.elapsed() < OBSERVED {
@@ -71,7 +71,7 @@
     }
 }
 
-/// A node that knows these engines, before a store that tells its era.
+/// A node that knows these engines, with a store that reports its era.
 async fn fixture(engines: &[&StandInEngine]) -> Fixture {
     let fixture = Fixture::new(engines).await;
     fixture.store.tell_era();
@@ -92,7 +92,7 @@
     (fixture, stays, leaves)
 }
 
-/// A copy of the store had an engine as ready that had said since that it leaves.
+/// The copy contains an engine as ready that has since announced that it leaves.
 #[test]
 fn a_leaving_engine_gets_no_requests_if_the_copy_has_it_as_ready() {
     smol::block_on(async {
@@ -101,33 +101,33 @@
         fixture
             .store
             .put("Engines", "app-2", record(&leaves, 2, true));
-        expect_soon("it leaves", || is_leaving(&fixture, "app-2")).await;
+        expect_soon("the engine is leaving", || is_leaving(&fixture, "app-2")).await;
         fixture.store.restore(&copy);
         expect_era(&fixture, 2).await;
         expect_no_arrival(&fixture, &leaves).await;
     });
 }
 
-/// A copy of the store had an engine that was gone since.
+/// The copy contains an engine that has since been removed.
 #[test]
 fn a_removed_engine_gets_no_requests_if_the_copy_still_has_it() {
     smol::block_on(async {
         let (fixture, _stays, leaves) = two_engines().await;
         let copy = fixture.store.copy();
         fixture.store.remove("Engines", "app-2");
-        expect_soon("it is gone", || !knows(&fixture, "app-2")).await;
+        expect_soon("the engine is removed", || !knows(&fixture, "app-2")).await;
         fixture.store.restore(&copy);
         expect_era(&fixture, 2).await;
         expect_no_arrival(&fixture, &leaves).await;
-        // It lives after all, and writes again.
+        // The engine is running after all and writes its record again.
         fixture
             .store
             .put("Engines", "app-2", record(&leaves, 2, false));
-        expect_soon("it is back", || knows(&fixture, "app-2")).await;
+        expect_soon("the engine is known again", || knows(&fixture, "app-2")).await;
     });
 }
 
-/// Records that were written since the copy are missing until their engines write again.
+/// Records written after the copy are missing until their engines write them again.
 #[test]
 fn engines_missing_in_the_copy_serve_until_they_write_again() {
     smol::block_on(async {
@@ -156,12 +156,12 @@
         }
         .packed();
         let is_applied = || known_revision(&fixture, "app-1") == Some(written);
-        expect_soon("what it writes again is taken in", is_applied).await;
+        expect_soon("the rewritten record is applied", is_applied).await;
     });
 }
 
-/// Revisions go back with a copy, so what is written after it seemed older than what was
-/// known.
+/// Revisions go back with a restoration, so later writes could seem older than the known
+/// state.
 #[test]
 fn writes_after_a_restoration_are_applied_whatever_their_revision() {
     smol::block_on(async {
@@ -187,7 +187,7 @@
     });
 }
 
-/// A key that was taken away worked again where the copy still had it.
+/// Guards against accepting a revoked key that the copy still contains.
 #[test]
 fn a_node_never_downgrades_to_the_configuration_of_the_copy() {
     smol::block_on(async {
@@ -208,7 +208,8 @@
     });
 }
 
-/// A write on a revision of the copy's future held on another object's revision.
+/// Guards against a conditional write with a revision from before the restoration that
+/// succeeds because the store assigned the same revision to another write.
 #[test]
 fn writes_conditional_on_a_revision_of_an_earlier_era_are_rejected() {
     smol::block_on(async {
@@ -219,7 +220,7 @@
         let made = client.compare_and_set(kind, "r", 0, json!(1)).await;
         let made = made.expect("made");
         fixture.store.restore(&copy);
-        // The revision is given out again.
+        // The store assigns the same revision again.
         fixture.store.put("RefusedRequests", "r", json!(2));
         expect_era(&fixture, 2).await;
         let written = client
--- a/crates/gateway/tests/store_restored/main.rs
+++ b/crates/gateway/tests/store_restored/main.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from a copy and has lost what was written since.
+//! A store that is restored from a copy and has lost later writes.
 
 #[path = "../support/mod.rs"]
 mod support;
--- a/crates/gateway/tests/store_restored/oracle.rs
+++ b/crates/gateway/tests/store_restored/oracle.rs
@@ -1,12 +1,12 @@
-//! What must hold of all orders, as engines got them.
+//! Invariants of all load orders, as received by engines.
 
 use crate::support::engine::StandInEngine;
 use std::time::{Duration, Instant};
 
-/// Two nodes never give orders within this time.
+/// Minimum time between orders of two different nodes.
 pub const LEASE: Duration = Duration::from_millis(3_000);
 
-/// An order as its engine got it.
+/// An order as received by an engine.
 #[derive(Clone, Debug)]
 pub struct GivenOrder {
     pub at: Instant,
@@ -14,7 +14,7 @@
     pub token: u64,
 }
 
-/// All orders that engines have got, the first one first.
+/// All orders received by engines, in the order of their arrival.
 pub fn given_orders(engines: &[StandInEngine]) -> Vec<GivenOrder> {
     let mut given: Vec<GivenOrder> = engines.iter().flat_map(orders_of).collect();
     given.sort_by_key(|order| order.at);
@@ -31,18 +31,18 @@
     given.collect()
 }
 
-/// What orders broke.
+/// Numbers of violations of the invariants.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Violations {
-    /// Pairs of orders in a row under one token of two nodes.
+    /// Orders with the token of an earlier order of another node.
     pub shared_tokens: usize,
-    /// Orders under a lower token than the one before.
+    /// Orders with a lower token than the preceding order.
     pub decreased_tokens: usize,
-    /// Turns of two nodes within the lease.
+    /// Changes of the holder within the lease time.
     pub early_handovers: usize,
 }
 
-/// Judges orders in the order in which engines got them.
+/// Counts the violations in orders that are sorted by their arrival.
 pub fn violations(orders: &[GivenOrder]) -> Violations {
     let mut violations = Violations::default();
     for (index, order) in orders.iter().enumerate() {
--- a/crates/gateway/tests/store_restored/orders.rs
+++ b/crates/gateway/tests/store_restored/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines while the store comes back from copies.
+//! Load orders to engines while the store is restored from a copy.
 
 use super::oracle::{given_orders, violations, Violations};
 use super::support::deployment::Deployment;
@@ -7,22 +7,22 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Time between two looks at what is waited for, in milliseconds.
+/// Polling period of conditions, in milliseconds.
 const POLL_PERIOD_MS: u64 = 10;
 /// Time within which all engines must have new weights.
 const LOADED_WITHIN: Duration = Duration::from_millis(8_000);
-/// Time that one load takes.
+/// Duration of one load.
 const LOAD_TIME: Duration = Duration::from_millis(300);
-/// Model engines of a deployment.
+/// Number of model engines of a deployment.
 const ENGINES: usize = 12;
-/// Engines that have new weights when the store is lost.
+/// Number of engines that have new weights when the store is restored.
 const LOADED_BEFORE: usize = 3;
 
-/// Engines load two by two.
+/// Settings with which two engines load at a time.
 const TWO_LOADS_AT_ONCE: &str = "[weights]\nloads_at_once = 2\nloads_share = 0.0\nload_ms = 300\n\
                                  finish_ms = 60000\nreport_after_ms = 100\n";
 
-/// Nodes before engines that have version 1 of the weights.
+/// A deployment whose engines have version 1 of the weights.
 async fn deployment(nodes: usize, tells_era: bool) -> Deployment {
     let mut deployment = Deployment::new(ENGINES).await;
     if tells_era {
@@ -42,7 +42,7 @@
         .put("Weights", "m", json!({"version": version}));
 }
 
-/// Waits until all engines have this version; tells how long that took.
+/// Waits until all engines have this version and returns the elapsed time.
 async fn wait_until_loaded(deployment: &Deployment, version: u64) -> Duration {
     let began = Instant::now();
     let have_all_loaded = || {
@@ -50,13 +50,16 @@
         engines.all(|engine| engine.weights() >= version)
     };
     while !have_all_loaded() {
-        assert!(began.elapsed() < LOADED_WITHIN, "version {version} is late");
+        assert!(
+            began.elapsed() < LOADED_WITHIN,
+            "version {version} was not loaded in time"
+        );
         sleep(POLL_PERIOD_MS).await;
     }
     began.elapsed()
 }
 
-/// Names new weights; the store comes back from a copy from before while engines load them.
+/// Names new weights, and restores the store from an earlier copy while engines load them.
 async fn restore_during_loads(deployment: &Deployment) {
     let copy = deployment.store.copy();
     name_weights(deployment, 2);
@@ -71,7 +74,8 @@
     name_weights(deployment, 2);
 }
 
-/// Two nodes gave engines orders under one fencing token after the store had lost the lease.
+/// Guards against two nodes that send orders with the same fencing token after the store has
+/// lost the lease.
 #[test]
 fn no_two_nodes_share_a_fencing_token_if_the_store_loses_the_lease() {
     smol::block_on(async {
@@ -83,7 +87,7 @@
     });
 }
 
-/// The same where nothing tells that the store has come back from a copy.
+/// The same if the store does not report an era, so that no node can detect the restoration.
 #[test]
 fn no_two_nodes_share_a_fencing_token_if_the_store_loses_the_lease_without_an_era() {
     smol::block_on(async {
--- a/crates/gateway/tests/store_trouble.rs
+++ b/crates/gateway/tests/store_trouble.rs
@@ -1,5 +1,5 @@
-//! The store refuses, throttles, is silent, loses answers or forgets its
-//! history: what a client of it learns, and what a node does meanwhile.
+//! Behaviour of the store client and of a node while the store refuses or throttles calls,
+//! does not answer, loses answers or compacts its history.
 
 mod support;
 
@@ -17,7 +17,7 @@
 use support::store::{StandInStore, StoreFault};
 use support::{configuration, settings, site, start_node, Fixture};
 
-/// Keys stop soon, so that a test need not wait long.
+/// A short bound on the revocation of keys, which keeps the tests short.
 const SHORT_KEY_REVOCATION: &str = "[bounds]\nkey_revocation_ms = 600\n";
 
 async fn client() -> (StandInStore, StoreClient) {
@@ -101,7 +101,7 @@
     smol::block_on(async {
         let (store, mut client) = client().await;
         drop(store);
-        // The stand-in's listener ends with its task, which is dropped with it.
+        // Dropping the stand-in also drops the task with its listener.
         let read = client.get(StoreKind::Leases, "l").await;
         assert!(matches!(
             read,
@@ -164,7 +164,7 @@
         assert_eq!(refused.head.headers.get("connection"), Some("close"));
         let readiness = fixture.running().readiness;
         assert_eq!(caller::get_status(readiness).await, 503);
-        // An unknown route may be one that was added meanwhile.
+        // An unknown route may have been added during the outage.
         let unknown = fixture.send(&request("nowhere.test", "r")).await;
         assert_eq!(unknown.status(), 503);
         fixture.store.set_fault(StoreFault::None);
@@ -222,7 +222,7 @@
     });
 }
 
-/// A site whose store is back after a failure, and has lost the entry of an engine.
+/// A fixture whose store is available again after an outage and has lost an engine record.
 async fn fixture_with_expired_record(app: &StandInEngine) -> Fixture {
     let fixture = Fixture::new(&[app]).await;
     let is_lost = || {
@@ -230,7 +230,7 @@
         outage.returned_at().is_none()
     };
     fixture.store.set_fault(StoreFault::Status(503));
-    // A watch that waits ends within the time that tests give it; the next fails.
+    // The pending watch ends within the short wait used in tests; the next one fails.
     let is_away = || {
         let outage = fixture.gateway.beliefs().store_outage;
         outage.failing_since().is_some()
@@ -279,7 +279,7 @@
     });
 }
 
-/// A store that failed a call at 1 s.
+/// Outage state after a failed call at 1 s.
 fn outage_at_one_second() -> StoreOutage {
     let mut outage = StoreOutage::default();
     let failed: Result<(), StoreError> = Err(StoreError::Refused { status: 503 });
@@ -295,7 +295,7 @@
     outage.note_call_ended(&Ok(()), Millis(1_500));
     assert_eq!(outage.remaining_grace_ms(Millis(1_500)), 2_000);
     assert_eq!(outage.remaining_grace_ms(Millis(2_500)), 1_000);
-    // Calls that go well later do not begin the time anew.
+    // Later successful calls do not restart the grace period.
     outage.note_call_ended(&Ok(()), Millis(3_000));
     assert_eq!(outage.remaining_grace_ms(Millis(3_600)), 0);
 }
@@ -323,7 +323,7 @@
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let fixture = Fixture::new(&[&app]).await;
         let now = fixture.gateway.clock.now();
-        // The configuration's feed has seen the outage, and not yet the return.
+        // The feed of the configuration has observed the outage, but not yet its end.
         let failed: Result<(), StoreError> = Err(StoreError::Refused { status: 503 });
         fixture
             .gateway
@@ -345,7 +345,7 @@
     });
 }
 
-/// Engines write every 1.2 s; knowledge of them may be 1.3 s old.
+/// Outage state with engine heartbeats every 1.2 s and a maximum age of engines of 1.3 s.
 fn outage_with_heartbeats() -> StoreOutage {
     let text = "[node]\nname = \"n\"\nzone = \"z\"\n\
                 [listen]\ncallers = \"127.0.0.1:0\"\nreadiness = \"127.0.0.1:0\"\n\
@@ -360,13 +360,13 @@
         reason: "timed out".to_owned(),
     });
     let mut outage = outage_with_heartbeats();
-    // A follower asks after a long time in which it was told, and its first call fails.
+    // A follower that relied on reports for a long time makes its first call, which fails.
     outage.note_call_began(Millis(60_000));
     outage.note_call_ended(&failed, Millis(61_000));
     assert_eq!(outage.remaining_grace_ms(Millis(61_001)), 0);
     outage.note_call_ended(&Ok(()), Millis(61_200));
     assert_eq!(outage.remaining_grace_ms(Millis(61_200)), 0);
-    // Two heartbeats that the store did not take leave a record that may lapse.
+    // Records can expire only after two missed heartbeats (2.4 s); this outage is shorter.
     outage.note_call_began(Millis(61_200));
     outage.note_call_ended(&failed, Millis(62_000));
     outage.note_call_began(Millis(62_500));
@@ -387,7 +387,7 @@
     };
     assert_eq!(ended, Some(expected));
     assert_eq!(outage.remaining_grace_ms(Millis(3_400)), 1_300);
-    // Another failure in that time, of this node's own, neither ends nor renews it.
+    // Another, local failure during the grace period neither ends nor restarts it.
     outage.note_call_began(Millis(3_450));
     outage.note_call_ended(&failed, Millis(3_500));
     outage.note_call_ended(&Ok(()), Millis(3_600));
@@ -395,7 +395,8 @@
     assert_eq!(outage.remaining_grace_ms(Millis(4_700)), 0);
 }
 
-/// Another writer may spoil an entry. It names no engine to use, and the others hold.
+/// Another writer may damage a record. The invalid record neither adds nor removes an engine,
+/// and the other records stay valid.
 #[test]
 fn an_invalid_record_removes_no_engine_and_hides_no_other() {
     smol::block_on(async {
@@ -407,7 +408,7 @@
         fixture
             .store
             .put("Engines", "app-0", json!({"spoilt": true}));
-        // A list follows, and then the word of another engine.
+        // The compacted history causes a list, in which another engine is added.
         fixture.store.forget_history();
         fixture.store.put("Engines", "app-2", app.record());
         let knows = |name: &str| {
--- a/crates/gateway/tests/suspended.rs
+++ b/crates/gateway/tests/suspended.rs
@@ -1,9 +1,10 @@
-//! A machine that slept: what its node knew is as old as the sleep, though no timer ran.
+//! After a suspension of the machine, the age of a node's state includes the suspension,
+//! although no timer ran.
 //!
-//! A suspended machine's steady clock stands still. A node that counted by it took a proof
-//! from before ten seconds of sleep for two seconds old: it accepted keys that had been
-//! taken away, sent to engines that had left, gave orders under a lease that another node
-//! held, and honoured deadlines that were over. Here the clock is moved on and no timer is.
+//! The monotonic clock of a suspended machine stops. A node that used it treated a proof from
+//! before ten seconds of suspension as two seconds old: it accepted revoked keys, sent
+//! requests to engines that had left, sent orders under a lease that another node held, and
+//! served requests after their deadlines. These tests advance the clock without the timers.
 
 mod support;
 
@@ -23,11 +24,11 @@
 use support::store::{StandInStore, StoreFault};
 use support::{configuration, settings};
 
-/// Sleeps of the machine, in milliseconds, shorter and longer than each bound below.
+/// Durations of suspensions, in milliseconds, shorter and longer than each bound below.
 const SUSPENSIONS_MS: [u64; 3] = [4_000, 10_000, 30_000];
-/// Time between two looks at what a test waits for, in milliseconds.
+/// Polling period of conditions that a test waits for, in milliseconds.
 const POLL_PERIOD_MS: u64 = 2;
-/// Bounds of the site: each is over after any of the sleeps.
+/// Bounds of the site: each is exceeded after any of the suspensions.
 const BOUNDS: &str = "engine_heartbeat_ms = 400\n[bounds]\nkey_revocation_ms = 3000\n\
     revoke_when_cut = true\nleaving_engine_ms = 2000\nweights_ms = 3000\nlease_ms = 1000\n";
 
@@ -60,10 +61,10 @@
         }
     }
 
-    /// Nothing is learned any more, and the machine sleeps.
+    /// Suspends the machine while the store does not answer.
     async fn suspend_without_store(&self, sleep_ms: u64) {
         self.store.set_fault(StoreFault::Silent);
-        // Calls that were on their way are over.
+        // Wait until running calls have ended.
         sleep(60).await;
         self.suspension.sleep(sleep_ms);
     }
@@ -133,7 +134,7 @@
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let other = StandInEngine::start("app-2", "app", Behaviour::Answer).await;
         let machine = Machine::start(&[&app, &other], BOUNDS).await;
-        // The watch that is open hears nothing of what happens while the machine sleeps.
+        // The open watch receives no events of changes during the suspension.
         machine.store.set_fault(StoreFault::DeafWatches);
         sleep(600).await;
         machine.store.remove("Engines", "app-1");
@@ -143,7 +144,7 @@
             let call = request("unsafe.test", &format!("r{number}"));
             caller::send(machine.node.callers, &call).await;
         }
-        // Until the proof of the keys is renewed they were refused; then they are served.
+        // Requests are refused until the proof of the keys is renewed, then they are served.
         while other.arrivals() == 0 {
             let call = request("unsafe.test", "later");
             caller::send(machine.node.callers, &call).await;
@@ -220,7 +221,7 @@
         refusing.name_backoff(Some("10000"));
         assert_eq!((send("r1").await, refusing.arrivals()), (503, 1));
         refusing.set(Behaviour::Answer);
-        // What else is known grows old as well.
+        // The rest of the node's state ages too.
         machine.suspension.sleep(4_000);
         sleep(POLL_PERIOD_MS).await;
         assert_eq!((send("r2").await, refusing.arrivals()), (503, 1));
