--- a/crates/gateway/src/store/answer_timeout.rs
+++ b/crates/gateway/src/store/answer_timeout.rs
@@ -17,7 +17,7 @@
 pub struct AnswerTimeout {
     max_ms: u64,
     smoothed_ms: Option<f64>,
-    timeout_ms: u64,
+    current_ms: u64,
 }
 
 impl AnswerTimeout {
@@ -26,13 +26,13 @@
         Self {
             max_ms,
             smoothed_ms: None,
-            timeout_ms: max_ms,
+            current_ms: max_ms,
         }
     }
 
     /// The time-out of the next call, in milliseconds.
-    pub fn timeout_ms(&self) -> u64 {
-        self.timeout_ms
+    pub fn current_ms(&self) -> u64 {
+        self.current_ms
     }
 
     /// Records an answer that arrived after `elapsed_ms`.
@@ -41,12 +41,12 @@
         let smoothed = self.smoothed_ms.unwrap_or(newest);
         let smoothed = smoothed + NEWEST_WEIGHT * (newest - smoothed);
         self.smoothed_ms = Some(smoothed);
-        let timeout_ms = ((smoothed * TIMEOUT_MULTIPLE) as u64).max(MIN_TIMEOUT_MS);
-        self.timeout_ms = timeout_ms.min(self.max_ms);
+        let current_ms = ((smoothed * TIMEOUT_MULTIPLE) as u64).max(MIN_TIMEOUT_MS);
+        self.current_ms = current_ms.min(self.max_ms);
     }
 
     /// Records that no answer arrived within the time-out.
     pub fn on_timeout(&mut self) {
-        self.timeout_ms = (self.timeout_ms * 2).min(self.max_ms);
+        self.current_ms = (self.current_ms * 2).min(self.max_ms);
     }
 }
--- a/crates/gateway/src/store/client.rs
+++ b/crates/gateway/src/store/client.rs
@@ -64,7 +64,7 @@
         let configured_ms = self.gateway.settings().store.timeout_ms;
         let answer_timeout_ms = self
             .answer_timeout
-            .map_or(configured_ms, |timeout| timeout.timeout_ms());
+            .map_or(configured_ms, |timeout| timeout.current_ms());
         let timeout_ms = answer_timeout_ms + wait_ms;
         let began = self.gateway.clock.now();
         self.gateway.beliefs().store_outage.note_call_began(began);
--- a/crates/gateway/tests/store_trouble.rs
+++ b/crates/gateway/tests/store_trouble.rs
@@ -79,21 +79,21 @@
 #[test]
 fn the_time_out_follows_the_response_times() {
     let mut timeout = AnswerTimeout::new(450);
-    assert_eq!(timeout.timeout_ms(), 450);
+    assert_eq!(timeout.current_ms(), 450);
     for _ in 0..20 {
         timeout.on_answer(4);
     }
-    assert_eq!(timeout.timeout_ms(), 100);
+    assert_eq!(timeout.current_ms(), 100);
     timeout.on_timeout();
-    assert_eq!(timeout.timeout_ms(), 200);
+    assert_eq!(timeout.current_ms(), 200);
     for _ in 0..3 {
         timeout.on_timeout();
     }
-    assert_eq!(timeout.timeout_ms(), 450);
+    assert_eq!(timeout.current_ms(), 450);
     for _ in 0..20 {
         timeout.on_answer(60);
     }
-    assert!((330..=370).contains(&timeout.timeout_ms()));
+    assert!((330..=370).contains(&timeout.current_ms()));
 }
 
 #[test]
