--- a/crates/gateway/src/cache_feeds/store.rs
+++ b/crates/gateway/src/cache_feeds/store.rs
@@ -183,11 +183,11 @@
     let call_pacing = call_pacing(gateway, store);
     let mut beliefs = gateway.beliefs();
     let contents = beliefs.cache_stores.of_mut(store.address).contents_mut();
-    let is_anew = contents.epoch() != Some(batch.epoch) || batch.has_gap;
+    let is_reset = contents.epoch() != Some(batch.epoch) || batch.has_gap;
     contents.apply(batch);
     if call_pacing.are_relays_alone || is_far(gateway, store) {
         let changes = &mut beliefs.relaying.store_changes;
-        changes.follow(store.address, &batch.events, is_anew);
+        changes.follow(store.address, &batch.events, is_reset);
     }
 }
 
--- a/crates/gateway/src/store/outage.rs
+++ b/crates/gateway/src/store/outage.rs
@@ -97,15 +97,15 @@
         outcome: &Result<T, StoreError>,
         now: Millis,
     ) -> Option<OutageChange> {
-        let was_away = self.is_away();
+        let was_unavailable = self.is_unavailable();
         let silence_ms = self.unanswered_since.map(|at| now.since(at));
         if is_failure(outcome) {
             self.failed_at = Some(now);
-            return (!was_away).then_some(OutageChange::Began { silence_ms });
+            return (!was_unavailable).then_some(OutageChange::Began { silence_ms });
         }
-        let may_have_lapsed = was_away && self.is_long_silence(now);
+        let may_have_lapsed = was_unavailable && self.is_long_silence(now);
         self.unanswered_since = None;
-        if !was_away {
+        if !was_unavailable {
             return None;
         }
         // Any answer shows that the store is available.
@@ -131,10 +131,10 @@
 
     /// When a call last failed, if none has succeeded since.
     pub fn failing_since(&self) -> Option<Millis> {
-        self.failed_at.filter(|_| self.is_away())
+        self.failed_at.filter(|_| self.is_unavailable())
     }
 
-    fn is_away(&self) -> bool {
+    fn is_unavailable(&self) -> bool {
         self.failed_at.is_some() && self.failed_at >= self.returned_at
     }
 
@@ -151,7 +151,7 @@
         let has_recent_failure = self
             .failed_at
             .is_some_and(|at| now.since(at) < FAILURE_RELEVANT_MS);
-        if self.is_away() && has_recent_failure && self.is_long_silence(now) {
+        if self.is_unavailable() && has_recent_failure && self.is_long_silence(now) {
             return self.grace_ms;
         }
         let ended_at = self.lapses_ended_at;
--- a/crates/gateway/src/weights/plan.rs
+++ b/crates/gateway/src/weights/plan.rs
@@ -32,8 +32,8 @@
     let mut outdated = Vec::new();
     for engine in beliefs.engines.iter() {
         let record = &engine.record;
-        let stays = !beliefs.engines.is_leaving(engine) && !engine.is_misdirected(now);
-        if !stays || !engine.health.may_be_chosen(now) {
+        let is_usable = !beliefs.engines.is_leaving(engine) && !engine.is_misdirected(now);
+        if !is_usable || !engine.health.may_be_chosen(now) {
             continue;
         }
         for (model, version) in &record.weights {
