--- a/crates/gateway/src/store/lapsed.rs
+++ b/crates/gateway/src/store/lapsed.rs
@@ -61,7 +61,7 @@
     }
     slog::info!(gateway.log, "engine lapsed";
         "engine" => &instance.0, "revision" => revision, "wait_ms" => wait_ms);
-    // Other nodes learn from the proof how old this node's engine list is.
+    // The age that this node reports for its engines then counts from this removal.
     gateway.beliefs().engines_proof.keep(instance.clone(), now);
     let gateway = Arc::clone(gateway);
     smol::spawn(async move {
