--- a/crates/gateway/src/peers/incoming.rs
+++ b/crates/gateway/src/peers/incoming.rs
@@ -20,7 +20,7 @@
         return;
     }
     let now = gateway.clock.now();
-    gateway.hear_store_era(report.store_era);
+    gateway.note_peer_era(report.store_era);
     gateway.address_book().note_contact(from, sender, now);
     let fleet = gateway.address_book().listed_nodes();
     let mut beliefs = gateway.beliefs();
@@ -62,7 +62,7 @@
 /// Applies the sums of another zone from one of its relays.
 pub fn handle_zone_report(gateway: &Gateway, report: &PeerReport, from: SocketAddr) {
     let now = gateway.clock.now();
-    gateway.hear_store_era(report.store_era);
+    gateway.note_peer_era(report.store_era);
     gateway
         .address_book()
         .note_contact(from, report.loads.sender, now);
@@ -107,7 +107,7 @@
         beliefs
             .leases
             .of_mut(LeaseName::Rollouts)
-            .hear(renewal, now);
+            .note_announced(renewal, now);
     }
 }
 
@@ -146,6 +146,9 @@
         }
     }
     if let Some(renewal) = report.lease {
-        beliefs.leases.of_mut(LeaseName::Weights).hear(renewal, now);
+        beliefs
+            .leases
+            .of_mut(LeaseName::Weights)
+            .note_announced(renewal, now);
     }
 }
--- a/crates/gateway/src/peers/snapshot.rs
+++ b/crates/gateway/src/peers/snapshot.rs
@@ -17,7 +17,7 @@
 use crate::rollouts::feed::publish_order_updates;
 use crate::rollouts::{rollout_settings, OrderUpdate};
 use crate::state::Gateway;
-use crate::store::take_configuration;
+use crate::store::apply_configuration;
 use crate::time::{sleep, within};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use ploverlift_balancing::peer_loads::PeerId;
@@ -200,7 +200,7 @@
     mut snapshot: peers::Snapshot,
 ) {
     let reported_era = read_era(snapshot.store_era_plus_one);
-    gateway.hear_store_era(reported_era);
+    gateway.note_peer_era(reported_era);
     if reported_era.is_none() {
         assume_era(gateway, &mut snapshot);
     }
@@ -215,7 +215,7 @@
                     content,
                     status: None,
                 };
-                take_configuration(gateway, &object);
+                apply_configuration(gateway, &object);
             }
             Err(error) => {
                 slog::warn!(gateway.log, "configuration from a relay is invalid";
--- a/crates/gateway/src/peers/weights_reports.rs
+++ b/crates/gateway/src/peers/weights_reports.rs
@@ -12,7 +12,7 @@
 use super::weights_messages::{WeightsReport, MAX_REPORTED_VERSIONS};
 use crate::state::Gateway;
 use crate::time::{sleep, within};
-use crate::weights::knowledge::{hear_weights, NewsOrigin};
+use crate::weights::knowledge::{apply_weights_report, VersionSource};
 use ploverlift_policy::ids::Millis;
 use smol::net::UdpSocket;
 use std::net::SocketAddr;
@@ -96,5 +96,5 @@
         // One of the two nodes has just started: the answer gives it what the others know.
         gateway.weights_report_due.notify(usize::MAX);
     }
-    hear_weights(gateway, &report.news, sent_at, NewsOrigin::Node);
+    apply_weights_report(gateway, &report.news, sent_at, VersionSource::Node);
 }
--- a/crates/gateway/src/store/client.rs
+++ b/crates/gateway/src/store/client.rs
@@ -1,8 +1,8 @@
-//! Calls of the object store. Each has a deadline, and its error says whether
-//! it was done, was not done, or may still be done.
+//! Client of the object store. Each call has a deadline, and its error distinguishes calls
+//! that were not executed from those with an unknown outcome, which may still be executed.
 
-use super::answer_time::AnswerTime;
-use super::era::{EraNews, EraSource};
+use super::answer_timeout::AnswerTimeout;
+use super::era::{EraChange, EraSource};
 use super::outage::OutageChange;
 use crate::http_call::{CallConnection, CallError};
 use crate::ports::{StoreCall, StoreError, StoreKind, StoreObject, StoreReply};
@@ -13,41 +13,41 @@
 use serde_json::Value;
 use std::sync::Arc;
 
-/// A client with one connection; calls go one after another.
+/// A client with one connection, on which calls are made one after another.
 pub struct StoreClient {
     gateway: Arc<Gateway>,
     connection: CallConnection,
-    answer_time: Option<AnswerTime>,
+    answer_timeout: Option<AnswerTimeout>,
     answered_era: StoreEra,
 }
 
 impl StoreClient {
-    /// A client of the store in the settings.
+    /// A client of the configured store.
     pub fn new(gateway: &Arc<Gateway>) -> Self {
         let address = gateway.settings().store.address;
         Self {
             gateway: Arc::clone(gateway),
             connection: CallConnection::new(address),
-            answer_time: None,
+            answer_timeout: None,
             answered_era: StoreEra::default(),
         }
     }
 
-    /// A client whose calls take at most so long, in milliseconds, and less
-    /// while the store answers sooner.
+    /// A client whose calls time out after at most `timeout_ms`, and sooner while the
+    /// store answers faster.
     pub fn with_timeout(gateway: &Arc<Gateway>, timeout_ms: u64) -> Self {
         Self {
-            answer_time: Some(AnswerTime::new(timeout_ms)),
+            answer_timeout: Some(AnswerTimeout::new(timeout_ms)),
             ..Self::new(gateway)
         }
     }
 
-    /// Gives up the connection; a new one finds the store where it is now.
+    /// Drops the connection; the next call opens a new one to the store's current location.
     pub fn reset(&mut self) {
         self.connection.reset();
     }
 
-    /// The era of the store that gave the last answer; 0 where it tells none.
+    /// The store era of the last answer; 0 if the store reports none.
     pub fn answered_era(&self) -> StoreEra {
         self.answered_era
     }
@@ -55,45 +55,52 @@
     /// Makes one call.
     ///
     /// # Errors
-    /// When it was not done or its outcome is not known.
+    /// When the call was not executed or its outcome is unknown.
     pub async fn call(&mut self, call: &StoreCall) -> Result<StoreReply, StoreError> {
         let wait_ms = match call {
             StoreCall::Watch { wait_ms, .. } => *wait_ms,
             _ => 0,
         };
-        let usual_ms = self.gateway.settings().store.timeout_ms;
-        let answer_timeout_ms = self.answer_time.map_or(usual_ms, |time| time.wait_ms());
+        let configured_ms = self.gateway.settings().store.timeout_ms;
+        let answer_timeout_ms = self
+            .answer_timeout
+            .map_or(configured_ms, |timeout| timeout.current_ms());
         let timeout_ms = answer_timeout_ms + wait_ms;
         let began = self.gateway.clock.now();
-        self.gateway.beliefs().store_outage.note_asked(began);
-        let (call, resting_on) = self.in_present_era(call)?;
+        self.gateway.beliefs().store_outage.note_call_began(began);
+        let (call, required_era) = self.resolve_revision(call)?;
         let call = &call;
         let (head, body) = self.gateway.site.store_message(call);
         self.gateway.metrics.count_store_call(call);
         let answered = self.connection.call(head, &body, timeout_ms).await;
-        if let Some(answer_time) = &mut self.answer_time {
+        if let Some(answer_timeout) = &mut self.answer_timeout {
             match &answered {
-                Ok(_) => answer_time.on_answer(self.gateway.clock.now().since(began)),
-                Err(_) => answer_time.on_silence(),
+                Ok(_) => answer_timeout.on_answer(self.gateway.clock.now().since(began)),
+                Err(_) => answer_timeout.on_timeout(),
             }
         }
         let result = match answered {
-            Ok((head, body)) => self.read_answer(call, resting_on, &head, &body),
+            Ok((head, body)) => self.read_answer(call, required_era, &head, &body),
             Err(CallError::Unreachable { reason, .. }) => Err(StoreError::Unreachable { reason }),
             Err(CallError::NoAnswer { reason }) => Err(StoreError::Unknown { reason }),
         };
         let now = self.gateway.clock.now();
-        let news = self.gateway.beliefs().store_outage.note(&result, now);
-        self.log_outage(call, news, result.as_ref().err());
+        let change = self
+            .gateway
+            .beliefs()
+            .store_outage
+            .note_call_ended(&result, now);
+        self.log_outage(call, change, result.as_ref().err());
         if result.is_err() {
             self.gateway.metrics.store_failures.inc();
         }
         result
     }
 
-    /// The call as the store reads it, and the era that it rests on. Nothing holds of a
-    /// revision of an earlier era: the store may have given it out again.
-    fn in_present_era(
+    /// The call with the revision number as the store expects it, and the era that the call
+    /// depends on. Calls with a revision of an earlier era are rejected, because the store
+    /// may have assigned the same revision again.
+    fn resolve_revision(
         &self,
         call: &StoreCall,
     ) -> Result<(StoreCall, Option<StoreEra>), StoreError> {
@@ -113,28 +120,29 @@
         })
     }
 
-    /// Reads an answer. One from before the store came back from a copy tells what is no
-    /// longer stored, and changes since a revision of an earlier era lack others.
+    /// Reads an answer. Answers from before the store was restored from a copy are rejected,
+    /// because they contain what is no longer stored; so are changes since a revision of an
+    /// earlier era, because they are incomplete.
     fn read_answer(
         &mut self,
         call: &StoreCall,
-        resting_on: Option<StoreEra>,
+        required_era: Option<StoreEra>,
         head: &ResponseHead,
         body: &[u8],
     ) -> Result<StoreReply, StoreError> {
         let known = self.gateway.store_era.get();
         let era = self.gateway.site.store_era(head).or(known);
         if let Some(era) = era {
-            if self.gateway.note_store_era(era, EraSource::Store) == EraNews::Outdated {
+            if self.gateway.note_store_era(era, EraSource::Store) == EraChange::Outdated {
                 return Err(StoreError::Unknown {
-                    reason: "the answer is of an earlier era of the store".to_owned(),
+                    reason: "response is from an earlier era of the store".to_owned(),
                 });
             }
             self.answered_era = era;
         }
         let era = self.answered_era;
         let is_watch = matches!(call, StoreCall::Watch { .. });
-        if is_watch && resting_on.is_some_and(|rested| rested != era) {
+        if is_watch && required_era.is_some_and(|required| required != era) {
             return Err(StoreError::HistoryGone);
         }
         let reply = self.gateway.site.read_store_answer(call, head, body);
@@ -147,9 +155,14 @@
         }
     }
 
-    /// Whose call began an outage as this node sees it, or ended it.
-    fn log_outage(&self, call: &StoreCall, news: Option<OutageChange>, error: Option<&StoreError>) {
-        match news {
+    /// Logs the call that began or ended an outage as observed by this node.
+    fn log_outage(
+        &self,
+        call: &StoreCall,
+        change: Option<OutageChange>,
+        error: Option<&StoreError>,
+    ) {
+        match change {
             None => {}
             Some(OutageChange::Began { silence_ms }) => {
                 slog::warn!(self.gateway.log, "store call failed";
@@ -167,8 +180,8 @@
         }
     }
 
-    /// Reads all objects of a kind, with the store's revision before the first
-    /// page: changes during the reading are seen again by a watch from there.
+    /// Reads all objects of a kind, with the store's revision before the first page. A watch
+    /// from that revision reports changes made during the list again.
     ///
     /// # Errors
     /// When a page cannot be read.
@@ -176,7 +189,7 @@
         self.list_pages(kind, false).await
     }
 
-    /// Reads all objects of a kind as they were some seconds ago, or later.
+    /// Reads all objects of a kind; the result may be stale by some seconds.
     ///
     /// # Errors
     /// When a page cannot be read.
@@ -207,21 +220,21 @@
                 revision,
             } = reply
             else {
-                return Err(unexpected());
+                return Err(unexpected_reply());
             };
-            let from = *first_revision.get_or_insert(revision);
+            let list_revision = *first_revision.get_or_insert(revision);
             if *first_era.get_or_insert(self.answered_era) != self.answered_era {
                 return Err(StoreError::HistoryGone);
             }
             after = objects.last().map(|object| object.name.clone());
             all.append(&mut objects);
             if !has_more || after.is_none() {
-                return Ok((all, from));
+                return Ok((all, list_revision));
             }
         }
     }
 
-    /// Reads one object; nothing when it is not there.
+    /// Reads one object; `None` when it does not exist.
     ///
     /// # Errors
     /// When the store does not answer properly.
@@ -233,17 +246,17 @@
         let name = name.to_owned();
         match self.call(&StoreCall::Get { kind, name }).await {
             Ok(StoreReply::Object(object)) => Ok(Some(object)),
-            Ok(_) => Err(unexpected()),
+            Ok(_) => Err(unexpected_reply()),
             Err(StoreError::NotFound) => Ok(None),
             Err(error) => Err(error),
         }
     }
 
-    /// Stores an object if its revision is still `revision`; 0 makes it.
+    /// Stores an object if its revision is still `revision`; with 0, creates it.
     ///
     /// # Errors
-    /// [`StoreError::Conflict`] when it is not; [`StoreError::Unknown`] when the
-    /// change may have been made, or may still be made.
+    /// [`StoreError::Conflict`] when the revision differs; [`StoreError::Unknown`] when the
+    /// change may have been made or may still be made.
     pub async fn compare_and_set(
         &mut self,
         kind: StoreKind,
@@ -267,11 +280,11 @@
         };
         match self.call(&call).await? {
             StoreReply::Object(object) => Ok(object),
-            _ => Err(unexpected()),
+            _ => Err(unexpected_reply()),
         }
     }
 
-    /// Removes an object; one that is not there is as good as removed.
+    /// Deletes an object; succeeds if it does not exist.
     ///
     /// # Errors
     /// When the store does not answer properly.
@@ -283,7 +296,7 @@
         }
     }
 
-    /// Records the status of an object if its revision is still `revision`.
+    /// Stores the status of an object if its revision is still `revision`.
     ///
     /// # Errors
     /// As [`StoreClient::compare_and_set`].
@@ -302,13 +315,13 @@
         };
         match self.call(&call).await? {
             StoreReply::Object(object) => Ok(object),
-            _ => Err(unexpected()),
+            _ => Err(unexpected_reply()),
         }
     }
 }
 
-fn unexpected() -> StoreError {
+fn unexpected_reply() -> StoreError {
     StoreError::Unknown {
-        reason: "the answer is not one to this call".to_owned(),
+        reason: "response does not match the call".to_owned(),
     }
 }
--- a/crates/gateway/src/weights/engine_load.rs
+++ b/crates/gateway/src/weights/engine_load.rs
@@ -1,4 +1,4 @@
-//! Bringing one engine to the newest weights.
+//! Updating one engine to the newest weights.
 
 use super::{Loading, OutdatedEngine};
 use crate::engine_signals::{take_signals, AnswerOrigin};
@@ -12,23 +12,23 @@
 use ploverlift_policy::ids::Millis;
 use std::sync::Arc;
 
-/// Orders that one engine is given before the next look at all engines.
+/// Maximum number of orders to one engine before all engines are checked again.
 const MAX_ORDERS: u32 = 4;
-/// Reports that are asked for before the next look at all engines.
+/// Maximum number of reports requested from one engine before all engines are checked again.
 const MAX_REPORTS: u32 = 24;
-/// Time between two reports of a busy engine, in milliseconds.
+/// Time between two report requests to a busy engine, in milliseconds.
 const REPORT_PERIOD_MS: u64 = 120;
-/// Time that an engine counts as loading after an order, in milliseconds.
+/// Time for which an engine counts as loading after an order, in milliseconds.
 const LOADING_MS: u64 = 700;
 
-/// What to do next with the engine.
-enum Next {
+/// The next step with the engine.
+enum NextStep {
     Report { after_ms: u64 },
     Loaded { after_ms: Option<u64> },
     Finished,
 }
 
-/// One engine that is being brought up to date.
+/// The update of one engine.
 struct EngineLoad<'a> {
     gateway: &'a Arc<Gateway>,
     holder: &'a LeaseHolder,
@@ -40,9 +40,9 @@
     ordered: Option<u64>,
 }
 
-/// Gives orders and asks for reports until the engine has the newest weights,
-/// the lease is lost, or the engine does not answer. Tells the time from the
-/// order to the report that showed the load, in milliseconds.
+/// Sends orders and requests reports until the engine has the newest weights, the lease is
+/// lost, or the engine does not answer. Returns the time from the order to the report that
+/// showed the finished load, in milliseconds, if it is known.
 pub(super) async fn bring_up_to_date(
     gateway: &Arc<Gateway>,
     holder: &LeaseHolder,
@@ -62,16 +62,16 @@
     };
     for _ in 0..MAX_REPORTS {
         match load.step().await {
-            Next::Report { after_ms } => sleep(after_ms).await,
-            Next::Finished => return None,
-            Next::Loaded { after_ms } => return after_ms,
+            NextStep::Report { after_ms } => sleep(after_ms).await,
+            NextStep::Finished => return None,
+            NextStep::Loaded { after_ms } => return after_ms,
         }
     }
     None
 }
 
 impl EngineLoad<'_> {
-    async fn step(&mut self) -> Next {
+    async fn step(&mut self) -> NextStep {
         let Some(report) = self.report().await else {
             return self.unreachable();
         };
@@ -81,25 +81,26 @@
             .note_engine_life(instance, report.born_ms);
         let newest = self.gateway.beliefs().weights.newest(&self.engine.model);
         let Some((version, _)) = newest else {
-            return Next::Finished;
+            return NextStep::Finished;
         };
-        let held = report.weights.get(&self.engine.model).copied();
-        self.learn(held.unwrap_or(0));
-        // A version that was named meanwhile is loaded in its own turn: chasing it
-        // here would keep more engines loading than the schedule allows.
+        let current = report.weights.get(&self.engine.model).copied();
+        self.note_reported_version(current.unwrap_or(0));
+        // A version that was named in the meantime is scheduled like any other: loading it
+        // here at once would keep more engines loading than the schedule allows.
         let wanted = self.ordered.unwrap_or(version);
-        if held.is_some_and(|held| held >= wanted) && !report.is_busy {
-            let held = held.unwrap_or(version);
-            self.note_loaded(held);
-            return self.loaded(held);
+        if current.is_some_and(|current| current >= wanted) && !report.is_busy {
+            let current = current.unwrap_or(version);
+            self.note_loaded(current);
+            return self.loaded(current);
         }
         if report.is_busy {
             self.note_loading();
             let now = self.gateway.clock.now();
-            let usual_ms = self.gateway.settings().weights.load_ms;
-            self.loading.note_busy(&self.engine.instance, usual_ms, now);
+            let configured_ms = self.gateway.settings().weights.load_ms;
+            self.loading
+                .note_busy(&self.engine.instance, configured_ms, now);
             let after_ms = REPORT_PERIOD_MS;
-            return Next::Report { after_ms };
+            return NextStep::Report { after_ms };
         }
         self.order(version, report.orders_taken).await
     }
@@ -111,25 +112,25 @@
         self.gateway.site.read_report(&answer.0, &answer.1)
     }
 
-    fn loaded(&self, version: u64) -> Next {
+    fn loaded(&self, version: u64) -> NextStep {
         let now = self.gateway.clock.now();
         let after_ms = self.ordered_at.map(|ordered| now.since(ordered));
         slog::info!(self.gateway.log, "weights loaded";
             "engine" => &self.engine.instance.0, "model" => &self.engine.model,
             "version" => version, "orders" => self.orders,
             "after_ms" => after_ms);
-        // Several orders do not tell how long one load takes.
+        // After several orders the duration of a single load is unknown.
         let after_ms = after_ms.filter(|_| self.orders == 1);
-        Next::Loaded { after_ms }
+        NextStep::Loaded { after_ms }
     }
 
-    fn unreachable(&self) -> Next {
+    fn unreachable(&self) -> NextStep {
         self.gateway
             .note_outcome(&self.engine.instance, Outcome::Unreachable);
-        Next::Finished
+        NextStep::Finished
     }
 
-    fn learn(&self, version: u64) {
+    fn note_reported_version(&self, version: u64) {
         let engine = &self.engine;
         let engines = &mut self.gateway.beliefs().engines;
         engines.note_weights(&engine.instance, &engine.model, version);
@@ -150,21 +151,21 @@
         engines.note_loading(&self.engine.instance, until);
     }
 
-    async fn order(&mut self, version: u64, orders_taken: u64) -> Next {
+    async fn order(&mut self, version: u64, orders_taken: u64) -> NextStep {
         if self.orders >= MAX_ORDERS {
-            return Next::Finished;
+            return NextStep::Finished;
         }
         let timeout_ms = self.gateway.settings().weights.order_timeout_ms;
         if let Err(error) = self.connection.open(timeout_ms).await {
             slog::info!(self.gateway.log, "order not sent";
                 "engine" => &self.engine.instance.0, "error" => error.to_string());
-            return Next::Report {
+            return NextStep::Report {
                 after_ms: REPORT_PERIOD_MS,
             };
         }
-        // Asked when nothing is left to wait for: the right may end meanwhile.
+        // Read immediately before sending, because the lease may expire during any wait.
         let Some(fencing_token) = self.holder.token() else {
-            return Next::Finished;
+            return NextStep::Finished;
         };
         self.orders += 1;
         self.ordered = Some(version);
@@ -195,8 +196,8 @@
         self.after_order(answer, version)
     }
 
-    /// Reads the answer to an order. Orders name the engine that is meant: any other one
-    /// says that it is not that one.
+    /// Reads the answer to an order. Orders name their target engine; any other engine answers
+    /// that it is not the target.
     fn read_order_answer(&self, head: &ResponseHead, sent_at: Millis) -> OrderAnswer {
         let site = &self.gateway.site;
         let answer = site.read_order_answer(head);
@@ -210,18 +211,18 @@
         answer
     }
 
-    fn after_order(&self, answer: Option<OrderAnswer>, version: u64) -> Next {
+    fn after_order(&self, answer: Option<OrderAnswer>, version: u64) -> NextStep {
         let report_after_ms = self.gateway.settings().weights.report_after_ms;
         match answer {
-            Some(OrderAnswer::Accepted) => Next::Report {
+            Some(OrderAnswer::Accepted) => NextStep::Report {
                 after_ms: report_after_ms,
             },
             Some(OrderAnswer::AlreadyDone) => {
                 self.note_loaded(version);
-                Next::Finished
+                NextStep::Finished
             }
-            // Without an answer the order may be under way: a report tells.
-            Some(OrderAnswer::Conflict) | None => Next::Report {
+            // Without an answer the engine may be executing the order: a report shows it.
+            Some(OrderAnswer::Conflict) | None => NextStep::Report {
                 after_ms: REPORT_PERIOD_MS,
             },
             Some(OrderAnswer::OtherInstance) => {
@@ -229,9 +230,9 @@
                 let mut beliefs = self.gateway.beliefs();
                 let engines = &mut beliefs.engines;
                 engines.note_misdirected(&self.engine.instance, now);
-                Next::Finished
+                NextStep::Finished
             }
-            Some(OrderAnswer::FenceTooLow | OrderAnswer::Rejected) => Next::Finished,
+            Some(OrderAnswer::FenceTooLow | OrderAnswer::Rejected) => NextStep::Finished,
         }
     }
 }
--- a/crates/gateway/src/weights/mod.rs
+++ b/crates/gateway/src/weights/mod.rs
@@ -1,9 +1,9 @@
-//! Bringing engines to new weights, and knowing which are the newest ([`knowledge`]).
+//! Updating engines to new weights, and tracking the newest versions ([`knowledge`]).
 //!
-//! One node at a time gives orders: the holder of a lease in the object store.
-//! Its orders carry the lease's fencing token, the life of the engine that is
-//! meant and the number of orders that this life must have taken, so an order
-//! that is carried out late cannot undo a newer one.
+//! Only the holder of a lease in the object store sends load orders. Each order contains the
+//! lease's fencing token, the incarnation of the target engine and the number of orders that
+//! this incarnation must have accepted before, so an order that is executed late cannot undo
+//! a newer one.
 
 mod engine_load;
 pub mod knowledge;
@@ -13,7 +13,7 @@
 
 pub use plan::{outdated_engines, OutdatedEngine};
 
-use crate::leases::succession::{stands_for_leases, succession_ms, LAST_SUCCESSOR_MS};
+use crate::leases::succession::{is_lease_candidate, succession_delay_ms, LAST_SUCCESSOR_DELAY_MS};
 use crate::leases::{LeaseHolder, LeaseName};
 use crate::peers::roles::are_engines_relayed;
 use crate::state::Gateway;
@@ -23,77 +23,77 @@
 use pace::loads_at_once;
 use std::sync::Arc;
 
-/// Time between two looks while there is nothing to do, in milliseconds.
+/// Period of checks while there is nothing to do, in milliseconds.
 const IDLE_PERIOD_MS: u64 = 500;
-/// Time between two looks while weights are being loaded, in milliseconds.
+/// Period of checks while weights are being loaded, in milliseconds.
 const BUSY_PERIOD_MS: u64 = 50;
 
-/// Time between the decision on a load and its order, in milliseconds: the next
-/// report to the other nodes goes out before.
-const ANNOUNCED_BEFORE_MS: u64 = 60;
+/// Time between the decision on a load and its order, in milliseconds: the next report to
+/// the other nodes is sent in between.
+const ANNOUNCEMENT_LEAD_MS: u64 = 60;
 
-/// Takes part in the lease and gives orders, until the task is dropped.
-pub async fn roll_weights(gateway: Arc<Gateway>) {
+/// Competes for the lease and sends load orders, until the task is dropped.
+pub async fn update_engine_weights(gateway: Arc<Gateway>) {
     let holder = Arc::new(LeaseHolder::new(&gateway, LeaseName::Weights));
     let loading = Loading::default();
     loop {
         let named = gateway.weights_named.listen();
         if loading.count() == 0 && are_engines_relayed(&gateway) {
-            // The relays stand for the lease.
-            holder.rest();
+            // Only the relays compete for the lease.
+            holder.note_idle();
             within(IDLE_PERIOD_MS, named).await;
             continue;
         }
-        let outdated = waiting_engines(&gateway, &loading);
+        let outdated = pending_engines(&gateway, &loading);
         gateway.beliefs().loading = loading.instances();
         if outdated.is_empty() && loading.count() == 0 {
-            holder.rest();
-            if stands_for_leases(&gateway) {
-                holder.observe_unread().await;
+            holder.note_idle();
+            if is_lease_candidate(&gateway) {
+                holder.observe_if_unread().await;
             }
             within(IDLE_PERIOD_MS, named).await;
             continue;
         }
-        let waits_ms = match holder.is_own() {
+        let succession_wait_ms = match holder.is_own() {
             true => 0,
-            false => succession_ms(&gateway),
+            false => succession_delay_ms(&gateway),
         };
-        if waits_ms <= LAST_SUCCESSOR_MS {
+        if succession_wait_ms <= LAST_SUCCESSOR_DELAY_MS {
             holder.observe_once().await;
         }
-        let at_once = loads_at_once(&gateway, &loading, &outdated, waits_ms);
+        let at_once = loads_at_once(&gateway, &loading, &outdated, succession_wait_ms);
         let is_idle = loading.count() == 0;
-        // A node that stops gives no first order: it would lose the lease in between.
+        // A stopping node does not begin a first load: it would lose the lease in between.
         if is_idle && (at_once == 0 || gateway.is_stopping()) {
             within(BUSY_PERIOD_MS, named).await;
             continue;
         }
         let next = next_loads(&gateway, &loading, &outdated, at_once);
-        if holder.keep().await {
+        if holder.renew_or_acquire().await {
             begin_loads(&gateway, &holder, &loading, next, at_once);
         }
         sleep(BUSY_PERIOD_MS).await;
     }
 }
 
-/// Engines with outdated weights that are not being loaded.
-fn waiting_engines(gateway: &Gateway, loading: &Loading) -> Vec<OutdatedEngine> {
+/// Engines with outdated weights that are not yet loading.
+fn pending_engines(gateway: &Gateway, loading: &Loading) -> Vec<OutdatedEngine> {
     let outdated = outdated_engines(gateway, gateway.clock.now());
     let waiting = outdated.into_iter();
     waiting
-        .filter(|engine| !loading.has(&engine.instance))
+        .filter(|engine| !loading.contains(&engine.instance))
         .collect()
 }
 
-/// The engines that load next, as far as there is room.
+/// The engines to load next, limited by the number of spare load slots.
 fn next_loads(
     gateway: &Gateway,
     loading: &Loading,
     outdated: &[OutdatedEngine],
     at_once: usize,
 ) -> Vec<OutdatedEngine> {
-    let usual_ms = gateway.settings().weights.load_ms;
-    let busy = loading.count_busy(usual_ms, gateway.clock.now());
+    let configured_ms = gateway.settings().weights.load_ms;
+    let busy = loading.count_busy(configured_ms, gateway.clock.now());
     let free = at_once.saturating_sub(busy);
     outdated.iter().take(free).cloned().collect()
 }
@@ -112,8 +112,8 @@
         let (gateway, holder) = (Arc::clone(gateway), Arc::clone(holder));
         let loading = loading.clone();
         smol::spawn(async move {
-            // Other nodes hear of it first.
-            sleep(ANNOUNCED_BEFORE_MS).await;
+            // Other nodes receive the announcement first.
+            sleep(ANNOUNCEMENT_LEAD_MS).await;
             let instance = engine.instance.clone();
             let reported_ms = bring_up_to_date(&gateway, &holder, &loading, engine).await;
             loading.end(&instance, reported_ms);
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -214,7 +214,10 @@
         revision,
     };
     let mut beliefs = fixture.gateway.beliefs();
-    beliefs.leases.of_mut(LeaseName::Weights).hear(renewal, now);
+    beliefs
+        .leases
+        .of_mut(LeaseName::Weights)
+        .note_announced(renewal, now);
 }
 
 #[test]
@@ -224,7 +227,7 @@
         let holder = LeaseHolder::new(&fixture.gateway, LeaseName::Weights);
         let now = fixture.gateway.clock.now();
         note_lease_renewal(&fixture, revision, now);
-        assert!(!holder.keep().await);
+        assert!(!holder.renew_or_acquire().await);
         assert_eq!(fixture.store.calls("get Leases"), LEASES);
         assert_eq!(fixture.store.calls("put Leases"), 0);
     });
@@ -238,7 +241,7 @@
         let now = fixture.gateway.clock.now();
         let long_ago = Millis(now.0 - 10_000);
         note_lease_renewal(&fixture, revision, long_ago);
-        assert!(holder.keep().await);
+        assert!(holder.renew_or_acquire().await);
         let number = NodeNumber::of(&NodeName::from("node"));
         let next = FencingToken::next(FencingToken(7), StoreEra(0), number);
         assert_eq!(holder.token(), next);
@@ -254,7 +257,7 @@
         let long_ago = Millis(now.0 - 10_000);
         let earlier = revision - 1;
         note_lease_renewal(&fixture, earlier, long_ago);
-        assert!(!holder.keep().await);
+        assert!(!holder.renew_or_acquire().await);
         assert_eq!(fixture.store.calls("put Leases"), 0);
     });
 }
--- a/crates/gateway/tests/planned_work.rs
+++ b/crates/gateway/tests/planned_work.rs
@@ -1,4 +1,4 @@
-//! Planned stops, reloads, engines that leave, and the loading of weights.
+//! Planned stops, reloads of settings, leaving engines, and the loading of weights.
 
 mod support;
 
@@ -22,12 +22,12 @@
 use support::store::{StandInStore, StoreFault};
 use support::{configuration, settings, site, Fixture};
 
-/// Weights are loaded at once, and old ones avoided soon.
-const BRISK_LOADS: &str = "[weights]\nfinish_ms = 1\nload_ms = 20\nreport_after_ms = 1\n\
+/// Settings with which weights are loaded at once and outdated ones are soon avoided.
+const FAST_LOADS: &str = "[weights]\nfinish_ms = 1\nload_ms = 20\nreport_after_ms = 1\n\
     order_timeout_ms = 50\nmargin_ms = 200\n[bounds]\nweights_ms = 600\nlease_ms = 300\n";
 
 #[test]
-fn a_stop_takes_readiness_back_and_finishes_what_is_under_way() {
+fn a_stop_withdraws_readiness_and_finishes_running_requests() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Silent).await;
         let mut fixture =
@@ -38,7 +38,7 @@
         app.happened.recv().await.expect("the request arrived");
         let stopping = smol::spawn(running.stop());
         while caller::get_status(readiness).await != 503 {}
-        // A request that comes while callers still are sent here is served.
+        // A request that arrives while callers are still routed to this node is served.
         app.set(Behaviour::Answer);
         let late = caller::send(callers, &request("unsafe.test", "r2")).await;
         assert_eq!(late.status(), 200);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_kept_connection_carries_request_after_request() {
+fn a_kept_connection_carries_several_requests() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let fixture = Fixture::new(&[&app]).await;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn changed_settings_are_put_in_force_and_unusable_ones_are_not() {
+fn changed_settings_are_applied_and_invalid_ones_are_not() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         let node = start(
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_leaving_engine_gets_nothing_new() {
+fn a_leaving_engine_gets_no_new_requests() {
     smol::block_on(async {
         let first = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let second = StandInEngine::start("app-2", "app", Behaviour::Answer).await;
@@ -142,12 +142,12 @@
 }
 
 #[test]
-fn all_engines_are_brought_to_named_weights_by_one_holder() {
+fn all_engines_are_updated_to_named_weights_by_one_holder() {
     smol::block_on(async {
         let engines = engines(5).await;
         let all: Vec<&StandInEngine> = engines.iter().collect();
-        let fixture = Fixture::with(&all, configuration(1), BRISK_LOADS).await;
-        let second = support::start_node(&fixture.store, "second", BRISK_LOADS);
+        let fixture = Fixture::with(&all, configuration(1), FAST_LOADS).await;
+        let second = support::start_node(&fixture.store, "second", FAST_LOADS);
         fixture.store.put("Weights", "m", json!({"version": 2}));
         wait_for_weights(&engines, 2).await;
         let orders: Vec<_> = engines.iter().flat_map(StandInEngine::orders).collect();
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn the_engine_whose_missing_version_was_named_first_is_next() {
+fn engines_load_in_the_order_in_which_their_missing_versions_were_named() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         let gateway = Gateway::new(
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn among_engines_that_lack_the_same_version_the_idlest_is_next() {
+fn among_engines_that_lack_the_same_version_the_least_busy_is_next() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         let gateway = Gateway::new(
@@ -240,13 +240,13 @@
     });
 }
 
-/// One engine loads at a time, and the first report after an order comes late
-/// enough for news to arrive before it.
+/// Settings with which one engine loads at a time, and the first report after an order is
+/// late enough for a new version to arrive before it.
 const ONE_LOAD_AT_A_TIME: &str = "[weights]\nfinish_ms = 1000\nload_ms = 400\n\
     loads_at_once = 1\nreport_after_ms = 300\n";
 
 #[test]
-fn a_version_that_is_named_during_a_load_waits_for_its_turn() {
+fn a_version_named_during_a_load_is_scheduled_after_other_engines() {
     smol::block_on(async {
         let engines = engines(2).await;
         let all: Vec<&StandInEngine> = engines.iter().collect();
@@ -268,7 +268,7 @@
         while engines[second].orders().is_empty() {
             fixture.send(&request("nowhere.test", "r")).await;
         }
-        // The engine that lacks the older version goes before the one that has it.
+        // The engine that lacks the older version loads before the one that has it.
         assert_eq!(engines[first].orders().len(), 1);
         wait_for_weights(&engines, 3).await;
         assert_eq!(engines[second].orders().len(), 1);
@@ -276,11 +276,11 @@
 }
 
 #[test]
-fn an_order_without_an_answer_is_not_given_twice_when_it_was_taken() {
+fn an_accepted_order_without_an_answer_is_not_repeated() {
     smol::block_on(async {
         let engines = engines(1).await;
         engines[0].answer_orders(false);
-        let fixture = Fixture::with(&[&engines[0]], configuration(1), BRISK_LOADS).await;
+        let fixture = Fixture::with(&[&engines[0]], configuration(1), FAST_LOADS).await;
         fixture.store.put("Weights", "m", json!({"version": 2}));
         wait_for_weights(&engines, 2).await;
         let known = || fixture.gateway.beliefs().engines.newest_weights("m");
@@ -291,7 +291,7 @@
     });
 }
 
-/// The first tokens that a node takes where the store tells no era.
+/// The first fencing tokens of a node if the store reports no era.
 fn first_tokens(name: &str) -> [u64; 3] {
     let number = NodeNumber::of(&NodeName::from(name));
     let mut last = FencingToken::default();
@@ -302,13 +302,13 @@
 }
 
 #[test]
-fn a_holder_whose_token_was_overtaken_gives_no_more_orders_with_it() {
+fn a_holder_with_a_refused_token_sends_no_more_orders_with_it() {
     smol::block_on(async {
         let engines = engines(1).await;
         let [first, second, third] = first_tokens("node");
-        // Two orders of later holders have reached the engine.
+        // The engine has received two orders of later holders.
         engines[0].see_token(third);
-        let fixture = Fixture::with(&[&engines[0]], configuration(1), BRISK_LOADS).await;
+        let fixture = Fixture::with(&[&engines[0]], configuration(1), FAST_LOADS).await;
         fixture.store.put("Weights", "m", json!({"version": 2}));
         while engines[0].weights() < 2 && engines[0].refused_tokens().len() < 3 {
             ploverlift_gateway::time::sleep(2).await;
@@ -318,11 +318,11 @@
 }
 
 #[test]
-fn a_lost_answer_of_the_store_does_not_end_the_lease() {
+fn a_lost_store_answer_does_not_end_the_lease() {
     smol::block_on(async {
         let engines = engines(2).await;
         let all: Vec<&StandInEngine> = engines.iter().collect();
-        let fixture = Fixture::with(&all, configuration(1), BRISK_LOADS).await;
+        let fixture = Fixture::with(&all, configuration(1), FAST_LOADS).await;
         fixture.store.set_fault(StoreFault::LosesWriteAnswers);
         fixture.store.put("Weights", "m", json!({"version": 2}));
         wait_for_weights(&engines, 2).await;
@@ -332,16 +332,16 @@
 }
 
 #[test]
-fn another_node_goes_on_when_the_holder_is_gone() {
+fn another_node_takes_over_when_the_holder_fails() {
     smol::block_on(async {
         let engines = engines(2).await;
         let all: Vec<&StandInEngine> = engines.iter().collect();
-        let mut fixture = Fixture::with(&all, configuration(1), BRISK_LOADS).await;
+        let mut fixture = Fixture::with(&all, configuration(1), FAST_LOADS).await;
         fixture.store.put("Weights", "m", json!({"version": 2}));
         wait_for_weights(&engines, 2).await;
-        let second = support::start_node(&fixture.store, "second", BRISK_LOADS);
+        let second = support::start_node(&fixture.store, "second", FAST_LOADS);
         while caller::get_status(second.readiness).await != 200 {}
-        // The holder ends without a word: its tasks are dropped.
+        // The holder crashes: its tasks are dropped.
         drop(fixture.running.take());
         fixture.store.put("Weights", "m", json!({"version": 3}));
         wait_for_weights(&engines, 3).await;
@@ -354,19 +354,19 @@
 }
 
 #[test]
-fn no_request_begins_on_weights_that_are_too_old() {
+fn no_request_begins_on_weights_older_than_the_bound() {
     smol::block_on(async {
         let engines = engines(1).await;
-        // The engine never loads: every order is refused as unknown.
+        // The engine stays on version 1, because it never gets an order.
         engines[0].set_weights(1);
-        let settings = format!("{BRISK_LOADS}weights_total_ms = 600\n");
+        let settings = format!("{FAST_LOADS}weights_total_ms = 600\n");
         let fixture = Fixture::with(&[&engines[0]], configuration(1), &settings).await;
         engines[0].answer_orders(false);
         assert_eq!(
             fixture.send(&prompt("stream.test", "r")).await.status(),
             200
         );
-        // No node may give orders: the store takes no lease.
+        // The stopping node sends no orders.
         fixture.gateway.begin_stop();
         fixture.store.put("Weights", "m", json!({"version": 2}));
         let refused = loop {
@@ -380,25 +380,25 @@
     });
 }
 
-/// A node that gives no orders, before an engine that holds requests in its queue; the
-/// callers of `queue.test` would wait for ten minutes.
-async fn with_a_queue(engine: &StandInEngine) -> Fixture {
+/// A node that sends no orders, with an engine that holds requests in its queue; the
+/// deadline of the callers of `queue.test` is ten minutes.
+async fn fixture_with_queue(engine: &StandInEngine) -> Fixture {
     engine.set_weights(1);
     engine.set(Behaviour::Silent);
     let mut configuration = configuration(1);
     let patient = support::route("queue.test", "stream", "llm", 600_000);
     let routes = configuration["routes"].as_array_mut().expect("routes");
     routes.push(patient);
-    let fixture = Fixture::with(&[engine], configuration, BRISK_LOADS).await;
+    let fixture = Fixture::with(&[engine], configuration, FAST_LOADS).await;
     fixture.gateway.begin_stop();
     fixture
 }
 
 #[test]
-fn a_request_that_waits_is_taken_back_though_the_version_is_named_after_it_was_sent() {
+fn a_queued_request_is_withdrawn_if_a_version_is_named_after_it_was_sent() {
     smol::block_on(async {
         let engines = engines(1).await;
-        let fixture = with_a_queue(&engines[0]).await;
+        let fixture = fixture_with_queue(&engines[0]).await;
         let request = prompt("queue.test", "r");
         let waiting = fixture.send(&request);
         let naming = async {
@@ -417,10 +417,10 @@
 }
 
 #[test]
-fn a_request_that_waits_at_outdated_weights_is_taken_back_before_the_bound() {
+fn a_request_queued_on_outdated_weights_is_withdrawn_before_the_bound() {
     smol::block_on(async {
         let engines = engines(1).await;
-        let fixture = with_a_queue(&engines[0]).await;
+        let fixture = fixture_with_queue(&engines[0]).await;
         fixture.store.put("Weights", "m", json!({"version": 2}));
         while fixture.gateway.beliefs().weights.newest("m").is_none() {
             caller::get_status(fixture.running().readiness).await;
--- a/crates/gateway/tests/store_restored/fleets.rs
+++ b/crates/gateway/tests/store_restored/fleets.rs
@@ -1,4 +1,5 @@
-//! How soon a fleet knows that the store came back, and what that costs the store.
+//! How soon a fleet detects that the store was restored from a copy, and the resulting load
+//! on the store.
 
 use super::support::deployment::Deployment;
 use super::support::store::StandInStore;
@@ -6,29 +7,30 @@
 use ploverlift_policy::ids::StoreEra;
 use std::time::{Duration, Instant};
 
-/// Time between two looks at what is waited for, in milliseconds.
-const LOOK_MS: u64 = 5;
-/// Time within which all nodes know the era.
+/// Polling period of conditions, in milliseconds.
+const POLL_PERIOD_MS: u64 = 5;
+/// Time within which all nodes must know the new era.
 const KNOWN_WITHIN: Duration = Duration::from_millis(1_000);
-/// Reading calls that a deployment of this size may make in a second.
+/// Maximum number of read calls per second of a deployment of this size.
 const READS_PER_SECOND: usize = 2_000;
-/// Usual calls of a node that reads the store in a second: most are watches of the
-/// configuration, which tests keep short.
+/// Usual number of calls per second of a node that reads the store: most are watches of the
+/// configuration, which have a short wait in tests.
 const USUAL_CALLS_PER_READER: usize = 50;
-/// The same in the second after the store came back: a list of each kind, a look at each
-/// lease, and some that met the old era.
+/// The same in the second after the restoration: a list of each kind, a read of each lease,
+/// and some calls from the old era.
 const CALLS_PER_READER: usize = USUAL_CALLS_PER_READER + 20;
-/// Time within which the nodes of a deployment have begun.
-const BEGUN_WITHIN: Duration = Duration::from_secs(20);
+/// Time within which the nodes of a deployment must have started.
+const STARTED_WITHIN: Duration = Duration::from_secs(20);
 
-/// Calls that read, so far.
+/// Number of read calls so far.
 fn reads(store: &StandInStore) -> usize {
     let calls = store.all_calls();
     calls.iter().filter(|call| !call.starts_with("put")).count()
 }
 
-/// Waits until the nodes of a deployment have begun: those that are told read no more.
-async fn wait_until_usual(deployment: &Deployment, usual: usize) {
+/// Waits until the nodes of a deployment have started and followers have stopped reading the
+/// store.
+async fn wait_until_steady(deployment: &Deployment, usual: usize) {
     let began = Instant::now();
     loop {
         let before = reads(&deployment.store);
@@ -36,22 +38,29 @@
         if reads(&deployment.store) - before <= usual {
             return;
         }
-        assert!(began.elapsed() < BEGUN_WITHIN, "nodes go on reading");
+        assert!(
+            began.elapsed() < STARTED_WITHIN,
+            "nodes have not stopped reading the store"
+        );
     }
 }
 
-/// The store comes back; tells when all nodes know, and the reads of the next second.
+/// Restores the store from a copy. Returns the time after which all nodes know the new era,
+/// and the number of reads in the first second.
 async fn restore(deployment: &Deployment) -> (Duration, usize) {
     let copy = deployment.store.copy();
     deployment.store.restore(&copy);
     let (began, before) = (Instant::now(), reads(&deployment.store));
-    let knows_all = || {
+    let all_know = || {
         let mut nodes = deployment.nodes.iter();
         nodes.all(|node| node.gateway.store_era.get() == Some(StoreEra(2)))
     };
-    while !knows_all() {
-        assert!(began.elapsed() < KNOWN_WITHIN, "a node does not know");
-        sleep(LOOK_MS).await;
+    while !all_know() {
+        assert!(
+            began.elapsed() < KNOWN_WITHIN,
+            "a node does not know the new era"
+        );
+        sleep(POLL_PERIOD_MS).await;
     }
     let known = began.elapsed();
     sleep(1_000 - known.as_millis() as u64).await;
@@ -59,12 +68,12 @@
 }
 
 #[test]
-fn seven_nodes_know_soon_and_read_the_store_once() {
+fn seven_nodes_detect_a_restoration_soon_and_read_the_store_once() {
     smol::block_on(async {
         let mut deployment = Deployment::new(4).await;
         deployment.store.tell_era();
         deployment.start_nodes(7).await;
-        wait_until_usual(&deployment, 7 * USUAL_CALLS_PER_READER).await;
+        wait_until_steady(&deployment, 7 * USUAL_CALLS_PER_READER).await;
         let (known, calls) = restore(&deployment).await;
         println!("7 nodes: all know after {known:?}, {calls} reads in a second");
         assert!(calls <= 7 * CALLS_PER_READER, "{calls}");
--- a/crates/gateway/tests/store_restored/oracle.rs
+++ b/crates/gateway/tests/store_restored/oracle.rs
@@ -1,12 +1,12 @@
-//! What must hold of all orders, as engines got them.
+//! Invariants of all load orders, as received by engines.
 
 use crate::support::engine::StandInEngine;
 use std::time::{Duration, Instant};
 
-/// Two nodes never give orders within this time.
+/// Minimum time between orders of two different nodes.
 pub const LEASE: Duration = Duration::from_millis(3_000);
 
-/// An order as its engine got it.
+/// An order as received by an engine.
 #[derive(Clone, Debug)]
 pub struct GivenOrder {
     pub at: Instant,
@@ -14,7 +14,7 @@
     pub token: u64,
 }
 
-/// All orders that engines have got, the first one first.
+/// All orders received by engines, in the order of their arrival.
 pub fn given_orders(engines: &[StandInEngine]) -> Vec<GivenOrder> {
     let mut given: Vec<GivenOrder> = engines.iter().flat_map(orders_of).collect();
     given.sort_by_key(|order| order.at);
@@ -31,32 +31,32 @@
     given.collect()
 }
 
-/// What orders broke.
+/// Numbers of violations of the invariants.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Breaches {
-    /// Pairs of orders in a row under one token of two nodes.
+pub struct Violations {
+    /// Orders with the token of an earlier order of another node.
     pub shared_tokens: usize,
-    /// Orders under a lower token than the one before.
-    pub fallen_tokens: usize,
-    /// Turns of two nodes within the lease.
-    pub hasty_turns: usize,
+    /// Orders with a lower token than the preceding order.
+    pub decreased_tokens: usize,
+    /// Changes of the holder within the lease time.
+    pub early_handovers: usize,
 }
 
-/// Judges orders in the order in which engines got them.
-pub fn breaches(orders: &[GivenOrder]) -> Breaches {
-    let mut breaches = Breaches::default();
+/// Counts the violations in orders that are sorted by their arrival.
+pub fn violations(orders: &[GivenOrder]) -> Violations {
+    let mut violations = Violations::default();
     for (index, order) in orders.iter().enumerate() {
         let shares =
             |earlier: &&GivenOrder| earlier.token == order.token && earlier.holder != order.holder;
-        breaches.shared_tokens +=
+        violations.shared_tokens +=
             usize::from(orders[..index].iter().any(|earlier| shares(&earlier)));
         let Some(before) = index.checked_sub(1).map(|before| &orders[before]) else {
             continue;
         };
-        breaches.fallen_tokens += usize::from(order.token < before.token);
-        let is_turn = order.holder != before.holder;
-        let is_hasty = is_turn && order.at.duration_since(before.at) < LEASE;
-        breaches.hasty_turns += usize::from(is_hasty);
+        violations.decreased_tokens += usize::from(order.token < before.token);
+        let is_handover = order.holder != before.holder;
+        let is_early = is_handover && order.at.duration_since(before.at) < LEASE;
+        violations.early_handovers += usize::from(is_early);
     }
-    breaches
+    violations
 }
