--- a/crates/cluster/src/claim_group_plan.rs
+++ b/crates/cluster/src/claim_group_plan.rs
@@ -26,7 +26,7 @@
 }
 
 /// Whether this node has the duty, as far as it sees.
-pub fn has_duty(members: &Membership) -> bool {
+pub fn plans_claim_group(members: &Membership) -> bool {
     let live = members.live().map(|(key, _)| key);
     let first = rendezvous_first(GROUP_DUTY, live.chain([members.own_key()]));
     first == Some(members.own_key())
@@ -70,11 +70,11 @@
 }
 
 fn first_group(candidates: &[Candidate], item: u64, generation: u64) -> ClaimGroupSpec {
-    let chosen = choose(Vec::new(), candidates, item);
-    describe(generation, &chosen, Vec::new())
+    let chosen = choose_replicas(Vec::new(), candidates, item);
+    group_spec(generation, &chosen, Vec::new())
 }
 
-fn describe(generation: u64, chosen: &[Candidate], previous: Vec<NodeName>) -> ClaimGroupSpec {
+fn group_spec(generation: u64, chosen: &[Candidate], previous: Vec<NodeName>) -> ClaimGroupSpec {
     ClaimGroupSpec {
         generation,
         replicas: chosen
@@ -87,7 +87,11 @@
 }
 
 /// Fills up to [`REPLICAS`] from zones that have none first.
-fn choose(mut chosen: Vec<Candidate>, candidates: &[Candidate], item: u64) -> Vec<Candidate> {
+fn choose_replicas(
+    mut chosen: Vec<Candidate>,
+    candidates: &[Candidate],
+    item: u64,
+) -> Vec<Candidate> {
     let keys = candidates.iter().map(|candidate| candidate.key);
     let ranked = rendezvous_top(item, keys, candidates.len());
     let by_key: BTreeMap<NodeKey, &Candidate> = candidates
@@ -134,7 +138,7 @@
     if !enough {
         return None;
     }
-    let chosen = choose(kept, candidates, item);
+    let chosen = choose_replicas(kept, candidates, item);
     let unchanged = chosen.len() == present.replicas.len()
         && chosen
             .iter()
@@ -142,7 +146,7 @@
     if unchanged {
         return None;
     }
-    Some(describe(
+    Some(group_spec(
         present.generation + 1,
         &chosen,
         present.replicas.clone(),
--- a/crates/cluster/src/claim_proposer.rs
+++ b/crates/cluster/src/claim_proposer.rs
@@ -18,7 +18,7 @@
 /// Time after which a proposal without a majority is given up, in milliseconds.
 pub const PROPOSAL_TIMEOUT_MS: u64 = 1_000;
 /// Time to come back when replicas do not answer, in milliseconds.
-const NO_QUORUM_COME_BACK_MS: u64 = 2_000;
+const NO_QUORUM_RETRY_AFTER_MS: u64 = 2_000;
 
 /// Names a proposal to its driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -95,7 +95,7 @@
     }
 
     /// Asks every replica that has not voted.
-    pub fn ask(
+    pub fn request_votes(
         &mut self,
         now: Millis,
         address_of: impl Fn(NodeKey) -> Option<SocketAddr>,
@@ -156,10 +156,10 @@
                 self.not_voting.insert(voter, vote.voting_in_ms);
             }
             ClaimVerdict::WrongGeneration => {
-                self.not_voting.insert(voter, NO_QUORUM_COME_BACK_MS);
+                self.not_voting.insert(voter, NO_QUORUM_RETRY_AFTER_MS);
             }
         }
-        self.judge()
+        self.decide_outcome()
     }
 
     /// Notes a life of a replica; a grant of an earlier one no longer counts.
@@ -175,7 +175,7 @@
         }
     }
 
-    fn judge(&self) -> Option<ClaimOutcome> {
+    fn decide_outcome(&self) -> Option<ClaimOutcome> {
         let replicas = self.spec.replicas.len();
         let needed = majority(replicas);
         if self.grants.len() >= needed {
@@ -197,7 +197,7 @@
 
     fn unavailable(&self) -> ClaimOutcome {
         let voting_in = self.not_voting.values().min().copied();
-        let after = voting_in.unwrap_or(NO_QUORUM_COME_BACK_MS);
+        let after = voting_in.unwrap_or(NO_QUORUM_RETRY_AFTER_MS);
         ClaimOutcome::Unavailable(RetryAfter::clamped(after))
     }
 
@@ -219,7 +219,7 @@
             return Some(self.unavailable());
         }
         if now.since(self.sent_at) >= RESEND_MS {
-            self.ask(now, address_of, outbox);
+            self.request_votes(now, address_of, outbox);
         }
         None
     }
--- a/crates/cluster/src/claims.rs
+++ b/crates/cluster/src/claims.rs
@@ -186,8 +186,8 @@
         if !self.is_replica() || self.votes() {
             return;
         }
-        let outlived = now.since(self.started_at) >= self.retention_ms;
-        if outlived {
+        let retention_elapsed = now.since(self.started_at) >= self.retention_ms;
+        if retention_elapsed {
             self.complete_generation = self.generation();
             return;
         }
@@ -237,9 +237,9 @@
         let Some(key) = ClaimKey::from_message(request.key.as_ref()) else {
             return;
         };
-        let (verdict, answer) = self.judge(key, request, now);
+        let (verdict, answer) = self.decide_vote(key, request, now);
         let voting_in_ms = match verdict {
-            ClaimVerdict::NotVoting => self.voting_in(now),
+            ClaimVerdict::NotVoting => self.time_until_voting_ms(now),
             _ => 0,
         };
         let lives = self.lives.iter();
@@ -259,7 +259,7 @@
         outbox.send(from, Body::ClaimVote(vote));
     }
 
-    fn voting_in(&self, now: Millis) -> u64 {
+    fn time_until_voting_ms(&self, now: Millis) -> u64 {
         let up = now.since(self.started_at);
         if up < QUICK_RECOVERY_MS {
             return QUICK_RECOVERY_MS - up;
@@ -267,7 +267,7 @@
         self.retention_ms.saturating_sub(up)
     }
 
-    fn judge(
+    fn decide_vote(
         &mut self,
         key: ClaimKey,
         request: &ClaimRequest,
@@ -375,7 +375,7 @@
             self.recovery.before.insert(sender);
         }
         for held in state.claims {
-            absorb(&mut self.claims, held, now);
+            merge_claim(&mut self.claims, held, now);
         }
         self.finish_recovery();
     }
@@ -402,7 +402,7 @@
 /// Owner of a claim that two replicas told differently; no proposal has it.
 const CONTESTED: u64 = 0;
 
-fn absorb(claims: &mut HashMap<ClaimKey, Claim>, held: HeldClaim, now: Millis) {
+fn merge_claim(claims: &mut HashMap<ClaimKey, Claim>, held: HeldClaim, now: Millis) {
     let Some(key) = ClaimKey::from_message(held.key.as_ref()) else {
         return;
     };
--- a/crates/cluster/src/config_sync.rs
+++ b/crates/cluster/src/config_sync.rs
@@ -16,7 +16,7 @@
 /// Members to which news is pushed by every node that learns it.
 pub const PUSH_FANOUT: usize = 4;
 /// More records than this at once are not news but catching up, and not handed on.
-const MAX_NEWS: usize = 32;
+const MAX_PUSHED_CHANGES: usize = 32;
 /// A digest is compared only when the own store was quiet for so long, in
 /// milliseconds: before, the difference is most likely news under way.
 const QUIET_MS: u64 = 200;
@@ -30,17 +30,17 @@
     pub store: ConfigStore,
     changed_at: Millis,
     compared_at: Option<Millis>,
-    learned: Vec<Record>,
+    changed_records: Vec<Record>,
 }
 
 impl ConfigSync {
     /// Takes the records that changed since the last call.
-    pub fn take_learned(&mut self) -> Vec<Record> {
-        std::mem::take(&mut self.learned)
+    pub fn take_changed_records(&mut self) -> Vec<Record> {
+        std::mem::take(&mut self.changed_records)
     }
 
     /// Takes in records from the object API or an operator and pushes the news.
-    pub fn learn(
+    pub fn apply_records(
         &mut self,
         records: Vec<Record>,
         members: &Membership,
@@ -48,13 +48,13 @@
         random: &mut fastrand::Rng,
         outbox: &mut Outbox,
     ) {
-        let news = self.merge(records, now);
-        self.push_news(&news, 0, members, random, outbox);
+        let changes = self.merge(records, now);
+        self.push_changes(&changes, 0, members, random, outbox);
     }
 
     /// Takes in a complete list of one kind from the object API.
     #[allow(clippy::too_many_arguments)]
-    pub fn learn_list(
+    pub fn apply_list(
         &mut self,
         kind: Kind,
         objects: Vec<Object>,
@@ -64,41 +64,41 @@
         random: &mut fastrand::Rng,
         outbox: &mut Outbox,
     ) {
-        let news = self.store.merge_list(kind, objects, version);
-        if !news.is_empty() {
+        let changes = self.store.merge_list(kind, objects, version);
+        if !changes.is_empty() {
             self.changed_at = now;
         }
-        self.learned.extend(news.iter().cloned());
-        self.push_news(&news, 0, members, random, outbox);
+        self.changed_records.extend(changes.iter().cloned());
+        self.push_changes(&changes, 0, members, random, outbox);
     }
 
     fn merge(&mut self, records: Vec<Record>, now: Millis) -> Vec<Record> {
-        let mut news = Vec::new();
+        let mut changes = Vec::new();
         for record in records {
             if self.store.merge(record.clone()) {
-                news.push(record);
+                changes.push(record);
             }
         }
-        if !news.is_empty() {
+        if !changes.is_empty() {
             self.changed_at = now;
-            self.learned.extend(news.iter().cloned());
+            self.changed_records.extend(changes.iter().cloned());
         }
-        news
+        changes
     }
 
-    fn push_news(
+    fn push_changes(
         &self,
-        news: &[Record],
+        changes: &[Record],
         hops: u32,
         members: &Membership,
         random: &mut fastrand::Rng,
         outbox: &mut Outbox,
     ) {
-        if news.is_empty() || news.len() > MAX_NEWS {
+        if changes.is_empty() || changes.len() > MAX_PUSHED_CHANGES {
             return;
         }
         let push = ConfigPush {
-            records: news.iter().map(to_message).collect(),
+            records: changes.iter().map(to_message).collect(),
             hops: hops + 1,
         };
         for target in members.random_live(PUSH_FANOUT, None, random) {
@@ -116,8 +116,8 @@
         outbox: &mut Outbox,
     ) {
         let records = push.records.iter().filter_map(from_message).collect();
-        let news = self.merge(records, now);
-        self.push_news(&news, push.hops, members, random, outbox);
+        let changes = self.merge(records, now);
+        self.push_changes(&changes, push.hops, members, random, outbox);
     }
 
     /// Compares with a member whose digest came with a probe.
@@ -142,7 +142,7 @@
     }
 
     /// Compares with a random member.
-    pub fn compare_with_one(
+    pub fn compare_with_random_member(
         &self,
         members: &Membership,
         random: &mut fastrand::Rng,
--- a/crates/cluster/src/core/claiming.rs
+++ b/crates/cluster/src/core/claiming.rs
@@ -26,7 +26,7 @@
         let owner = self.random.u64(1..);
         let mut proposal = Proposal::new(CLAIM_GROUP, spec, key, owner, fingerprint, now);
         let members = &self.members;
-        proposal.ask(now, |node| address_of(members, node), &mut self.outbox);
+        proposal.request_votes(now, |node| address_of(members, node), &mut self.outbox);
         self.proposals.insert(ticket, proposal);
         Ok(ticket)
     }
--- a/crates/cluster/src/core/configuration.rs
+++ b/crates/cluster/src/core/configuration.rs
@@ -9,15 +9,15 @@
     }
 
     /// Takes in records from the object API or an operator.
-    pub fn learn(&mut self, records: Vec<Record>, now: Millis) {
+    pub fn apply_records(&mut self, records: Vec<Record>, now: Millis) {
         let (members, outbox) = (&self.members, &mut self.outbox);
         self.config
-            .learn(records, members, now, &mut self.random, outbox);
-        self.take_in_config(now);
+            .apply_records(records, members, now, &mut self.random, outbox);
+        self.apply_config_changes(now);
     }
 
     /// Takes in a complete list of one kind from the object API.
-    pub fn learn_list(
+    pub fn apply_list(
         &mut self,
         kind: Kind,
         objects: Vec<Object>,
@@ -25,7 +25,7 @@
         now: Millis,
     ) {
         let (members, outbox) = (&self.members, &mut self.outbox);
-        self.config.learn_list(
+        self.config.apply_list(
             kind,
             objects,
             version,
@@ -35,9 +35,9 @@
             outbox,
         );
         if kind == Kind::ClaimGroup {
-            self.group_seen_from_platform = true;
+            self.claim_group_observed = true;
         }
-        self.take_in_config(now);
+        self.apply_config_changes(now);
     }
 
     /// A node that has just started compares often: it must serve at once, and
@@ -49,7 +49,7 @@
         self.next_start_comparison = now.plus(START_COMPARISON_PERIOD_MS);
         let (members, outbox) = (&self.members, &mut self.outbox);
         self.config
-            .compare_with_one(members, &mut self.random, outbox);
+            .compare_with_random_member(members, &mut self.random, outbox);
     }
 
     pub(super) fn plan_claim_group(&mut self, now: Millis) {
@@ -57,7 +57,7 @@
             return;
         }
         self.next_group_plan = now.plus(GROUP_PLAN_PERIOD_MS);
-        if !self.group_seen_from_platform || !claim_group_plan::has_duty(&self.members) {
+        if !self.claim_group_observed || !claim_group_plan::plans_claim_group(&self.members) {
             return;
         }
         let stored = self.config.store.get(Kind::ClaimGroup, CLAIM_GROUP);
--- a/crates/cluster/src/core/engines.rs
+++ b/crates/cluster/src/core/engines.rs
@@ -26,35 +26,40 @@
         }
         self.next_silence_check = now.plus(SILENCE_CHECK_PERIOD_MS);
         let watch = &self.watch;
-        let heard = |node: &NodeKey| *node == own || watch.is_heard(*node, now);
-        let silent = |engine| !duties.observers_of(engine).iter().any(heard);
+        let active = |node: &NodeKey| *node == own || watch.is_observer_active(*node, now);
+        let silent = |engine| !duties.observers_of(engine).iter().any(active);
         self.router.note_unobserved(silent);
     }
 
     /// Takes in what this node observed of an engine by a look that began at
-    /// `looked_at`. What a paused node reads only after its pause is too old.
-    pub fn observed(&mut self, observation: EngineObservation, looked_at: Millis, now: Millis) {
-        if now.since(looked_at) > LOOK_TIMEOUT_MS {
+    /// `polled_at`. What a paused node reads only after its pause is too old.
+    pub fn record_observation(
+        &mut self,
+        observation: EngineObservation,
+        polled_at: Millis,
+        now: Millis,
+    ) {
+        if now.since(polled_at) > POLL_TIMEOUT_MS {
             return;
         }
-        let holds = self.watch.observed(observation);
-        self.router.observe(&holds, now);
+        let merged = self.watch.record_observation(observation);
+        self.router.observe(&merged, now);
     }
 
     /// Takes in that an engine did not answer a look.
-    pub fn look_failed(&mut self, engine: EngineKey, now: Millis) {
+    pub fn record_failed_poll(&mut self, engine: EngineKey, now: Millis) {
         let Some(index) = self.router.fleet.find(engine) else {
             return;
         };
         let known = self.router.fleet.get(index).clone();
-        if let Some(holds) = self.watch.look_failed(&known) {
-            self.router.observe(&holds, now);
+        if let Some(merged) = self.watch.record_failed_poll(&known) {
+            self.router.observe(&merged, now);
         }
     }
 
     /// Takes in what an engine said of itself when it refused a request that
     /// relied on another life or other weights.
-    pub fn corrected(
+    pub fn apply_engine_correction(
         &mut self,
         engine: EngineKey,
         incarnation: Incarnation,
@@ -75,16 +80,21 @@
         self.router.observe(&observation, now);
     }
 
-    pub(super) fn heard(&mut self, from: NodeKey, reports: &EngineReports, now: Millis) {
-        self.watch.heard_of(from, now);
+    pub(super) fn on_engine_reports(
+        &mut self,
+        from: NodeKey,
+        reports: &EngineReports,
+        now: Millis,
+    ) {
+        self.watch.record_heartbeat(from, now);
         for report in &reports.reports {
             let observation = engine_watch::from_message(report);
             let duties = self
                 .duties
                 .get_or_insert_with(|| ObserverDuties::assign(&self.router.fleet, &self.members));
             let observers = duties.observers_of(observation.key);
-            let holds = self.watch.heard(from, observation, observers);
-            self.router.observe(&holds, now);
+            let merged = self.watch.record_peer_report(from, observation, observers);
+            self.router.observe(&merged, now);
         }
     }
 }
--- a/crates/cluster/src/core/explaining.rs
+++ b/crates/cluster/src/core/explaining.rs
@@ -4,7 +4,7 @@
 
 impl NodeCore {
     /// Asks every live node for its decisions on a request.
-    pub fn ask_for_decisions(&mut self, request: &str) -> Ticket {
+    pub fn request_decisions(&mut self, request: &str) -> Ticket {
         let ticket = self.new_ticket();
         let message = ploverlift_wire::messages::ExplainRequest {
             ticket: ticket.0,
--- a/crates/cluster/src/core/mod.rs
+++ b/crates/cluster/src/core/mod.rs
@@ -14,7 +14,7 @@
 use crate::claims::{ClaimKey, ClaimReplica, DEFAULT_RETENTION_MS};
 use crate::config_store::Record;
 use crate::config_sync::ConfigSync;
-use crate::engine_watch::{self, EngineWatch, LOOK_TIMEOUT_MS};
+use crate::engine_watch::{self, EngineWatch, POLL_TIMEOUT_MS};
 use crate::membership::{Digests, Identity, MemberChange, Membership};
 use crate::node_key::{rendezvous_first, NodeKey};
 use crate::observer_duties::ObserverDuties;
@@ -47,7 +47,7 @@
 /// The one claim group of a site. More groups divide the claims of larger ones.
 pub const CLAIM_GROUP: &str = "claims-0";
 /// A node that did not tick for so long was paused, in milliseconds.
-const PAUSE_MS: u64 = 1_500;
+const PAUSE_THRESHOLD_MS: u64 = 1_500;
 /// Longest time for which a node that was paused holds new requests, in milliseconds.
 const CATCH_UP_MS: u64 = 100;
 /// Longest time for which a node that has just started holds new requests:
@@ -163,7 +163,7 @@
     next_silence_check: Millis,
     last_tick: Millis,
     catch_up_until: Millis,
-    group_seen_from_platform: bool,
+    claim_group_observed: bool,
     outbox: Outbox,
     events: Vec<CoreEvent>,
     random: fastrand::Rng,
@@ -195,7 +195,7 @@
             next_silence_check: Millis(0),
             last_tick: now,
             catch_up_until,
-            group_seen_from_platform: false,
+            claim_group_observed: false,
             outbox: Outbox::default(),
             events: Vec::new(),
             random,
@@ -229,17 +229,17 @@
 
     /// Does what is due at `now`.
     pub fn tick(&mut self, now: Millis) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         let digests = self.digests();
         self.members
             .tick(now, digests, &mut self.random, &mut self.outbox);
-        self.take_in_member_changes(now);
+        self.apply_member_changes(now);
         self.publish_engines(now);
         self.quota.tick(now, &self.members, &mut self.outbox);
         self.tick_claims(now);
         self.tick_completions(now);
         self.compare_after_start(now);
-        self.take_in_config(now);
+        self.apply_config_changes(now);
         self.plan_claim_group(now);
     }
 
@@ -261,21 +261,21 @@
     }
 
     /// After a pause of its process a node asks others what it missed.
-    fn notice_pause(&mut self, now: Millis) {
-        let paused = now.since(self.last_tick) >= PAUSE_MS;
+    fn detect_pause(&mut self, now: Millis) {
+        let paused = now.since(self.last_tick) >= PAUSE_THRESHOLD_MS;
         self.last_tick = now;
         if !paused {
             return;
         }
         self.catch_up_until = now.plus(CATCH_UP_MS);
         self.members
-            .ask_some(CATCH_UP_MEMBERS, &mut self.random, &mut self.outbox);
+            .request_members(CATCH_UP_MEMBERS, &mut self.random, &mut self.outbox);
     }
 
     /// Whether the node was paused, or has just started, and has not heard yet
     /// what it missed. New requests wait for it, shortly.
     pub fn is_catching_up(&self, now: Millis) -> bool {
-        now.since(self.last_tick) >= PAUSE_MS || now < self.catch_up_until
+        now.since(self.last_tick) >= PAUSE_THRESHOLD_MS || now < self.catch_up_until
     }
 
     /// Takes in a message.
@@ -285,8 +285,8 @@
         if let Some(body) = envelope.body {
             self.handle_body(from, sender, life, body, now);
         }
-        self.take_in_member_changes(now);
-        self.take_in_config(now);
+        self.apply_member_changes(now);
+        self.apply_config_changes(now);
     }
 
     fn handle_body(
@@ -342,7 +342,7 @@
             Body::ConfigBuckets(buckets) => self.config.on_buckets(from, &buckets, outbox),
             Body::ConfigVersions(versions) => self.config.on_versions(from, &versions, outbox),
             Body::ConfigPull(pull) => self.config.on_pull(from, &pull, outbox),
-            Body::EngineReports(reports) => self.heard(sender, &reports, now),
+            Body::EngineReports(reports) => self.on_engine_reports(sender, &reports, now),
             Body::CatchUp(_) => self.catch_up_until = now,
             Body::DirectoryRecord(record) => self.on_directory_record(&record, now),
             Body::DirectoryLookup(lookup) => self.on_directory_lookup(from, &lookup, now),
@@ -366,33 +366,33 @@
         }
     }
 
-    fn take_in_member_changes(&mut self, now: Millis) {
+    fn apply_member_changes(&mut self, now: Millis) {
         let changes = self.members.take_changes();
         if changes.is_empty() {
             return;
         }
         for change in changes {
             if let MemberChange::Gone(node) = change {
-                for observation in self.watch.observer_gone(node) {
+                for observation in self.watch.remove_observer(node) {
                     self.router.observe(&observation, now);
                 }
             }
         }
         let duties = ObserverDuties::assign(&self.router.fleet, &self.members);
-        self.watch.keep_own(|engine| duties.is_own(engine));
+        self.watch.retain_own(|engine| duties.is_own(engine));
         self.duties = Some(duties);
     }
 
-    fn take_in_config(&mut self, now: Millis) {
-        let learned = self.config.take_learned();
-        if learned.is_empty() {
+    fn apply_config_changes(&mut self, now: Millis) {
+        let changed = self.config.take_changed_records();
+        if changed.is_empty() {
             return;
         }
-        for record in &learned {
-            self.take_in_claim_group(record);
+        for record in &changed {
+            self.apply_claim_group(record);
         }
-        self.router.apply(&learned);
-        if learned
+        self.router.apply(&changed);
+        if changed
             .iter()
             .any(|record| record.key.kind == Kind::Machine)
         {
@@ -407,12 +407,15 @@
         let new = fleet.iter().map(|(_, engine)| engine);
         let new = new.filter(|engine| engine.incarnation == Incarnation(0));
         let keys: Vec<EngineKey> = new.map(|engine| engine.key).collect();
-        for observation in keys.into_iter().filter_map(|key| self.watch.holds(key)) {
+        for observation in keys
+            .into_iter()
+            .filter_map(|key| self.watch.merged_observation(key))
+        {
             self.router.observe(&observation, now);
         }
     }
 
-    fn take_in_claim_group(&mut self, record: &Record) {
+    fn apply_claim_group(&mut self, record: &Record) {
         let Some(object) = &record.content else {
             return;
         };
--- a/crates/cluster/src/engine_watch.rs
+++ b/crates/cluster/src/engine_watch.rs
@@ -18,11 +18,11 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Time between two looks at an engine, in milliseconds.
-pub const LOOK_PERIOD_MS: u64 = 300;
+pub const POLL_PERIOD_MS: u64 = 300;
 /// Longest wait for an engine's answer to a look, in milliseconds.
-pub const LOOK_TIMEOUT_MS: u64 = 500;
+pub const POLL_TIMEOUT_MS: u64 = 500;
 /// Looks without an answer after which an engine counts as dead.
-const FAILED_LOOKS_UNTIL_DEAD: u32 = 2;
+const FAILED_POLLS_UNTIL_DEAD: u32 = 2;
 /// Nodes that observe one engine.
 pub const OBSERVERS_PER_ENGINE: usize = 2;
 /// Time between two publications, in milliseconds.
@@ -34,7 +34,7 @@
 /// An observer that was not heard of for so long counts as silent, in
 /// milliseconds: within it and a tick, a leaving engine must be out of use even
 /// when both its observers are lost in the same moment.
-const OBSERVER_SILENT_MS: u64 = 2_400;
+const OBSERVER_TIMEOUT_MS: u64 = 2_400;
 /// Publications of one change of health, life or weights.
 const ELIGIBILITY_REPEATS: u32 = 3;
 /// Up to so many nodes, every node hears of every engine; in larger fleets a
@@ -50,7 +50,7 @@
 const REPORTS_PER_MESSAGE: usize = 24;
 
 #[derive(Clone, Debug)]
-struct Observed {
+struct OwnObservation {
     latest: EngineObservation,
     published: Option<EngineObservation>,
     repeats: u32,
@@ -61,7 +61,7 @@
 
 /// What another observer said last.
 #[derive(Clone, Debug)]
-struct Heard {
+struct PeerReport {
     observer: NodeKey,
     observation: EngineObservation,
     /// Order in which this node learned what it knows.
@@ -71,27 +71,27 @@
 /// One node's observations and what it has heard from other observers.
 #[derive(Debug, Default)]
 pub struct EngineWatch {
-    own: BTreeMap<EngineKey, Observed>,
-    failed_looks: BTreeMap<EngineKey, u32>,
-    heard: BTreeMap<EngineKey, Vec<Heard>>,
+    own: BTreeMap<EngineKey, OwnObservation>,
+    failed_polls: BTreeMap<EngineKey, u32>,
+    peer_reports: BTreeMap<EngineKey, Vec<PeerReport>>,
     /// Engines that are known to leave, each in its life.
     leaving: BTreeMap<EngineKey, Incarnation>,
     next_order: u64,
     next_publish: Millis,
     published_at: Millis,
     /// When each other node was last heard of as an observer.
-    observers_heard: BTreeMap<NodeKey, Millis>,
+    last_heartbeats: BTreeMap<NodeKey, Millis>,
 }
 
 impl EngineWatch {
     /// Takes in what this node observed. Returns what now holds of the engine.
-    pub fn observed(&mut self, observation: EngineObservation) -> EngineObservation {
+    pub fn record_observation(&mut self, observation: EngineObservation) -> EngineObservation {
         let key = observation.key;
         if observation.health != Health::Dead {
-            self.failed_looks.remove(&key);
+            self.failed_polls.remove(&key);
         }
         self.next_order += 1;
-        let known = self.own.entry(key).or_insert_with(|| Observed {
+        let known = self.own.entry(key).or_insert_with(|| OwnObservation {
             latest: observation.clone(),
             published: None,
             repeats: ELIGIBILITY_REPEATS,
@@ -103,19 +103,19 @@
         }
         known.latest = observation;
         known.order = self.next_order;
-        self.holds(key)
+        self.merged_observation(key)
             .unwrap_or_else(|| self.own[&key].latest.clone())
     }
 
     /// Takes in that an engine did not answer a look. Returns what now holds
     /// of the engine once it counts as dead.
-    pub fn look_failed(&mut self, engine: &Engine) -> Option<EngineObservation> {
-        let count = self.failed_looks.entry(engine.key).or_default();
+    pub fn record_failed_poll(&mut self, engine: &Engine) -> Option<EngineObservation> {
+        let count = self.failed_polls.entry(engine.key).or_default();
         *count += 1;
-        if *count < FAILED_LOOKS_UNTIL_DEAD {
+        if *count < FAILED_POLLS_UNTIL_DEAD {
             return None;
         }
-        Some(self.observed(EngineObservation {
+        Some(self.record_observation(EngineObservation {
             key: engine.key,
             incarnation: engine.incarnation,
             weights: engine.weights,
@@ -127,39 +127,39 @@
     /// Takes in what another node published. `observers` are the engine's
     /// present ones: what a former one said no longer counts, it may be long
     /// out of date. Returns what now holds.
-    pub fn heard(
+    pub fn record_peer_report(
         &mut self,
         from: NodeKey,
         observation: EngineObservation,
         observers: &[NodeKey],
     ) -> EngineObservation {
         self.next_order += 1;
-        let reports = self.heard.entry(observation.key).or_default();
-        reports.retain(|heard| heard.observer != from && observers.contains(&heard.observer));
-        reports.push(Heard {
+        let reports = self.peer_reports.entry(observation.key).or_default();
+        reports.retain(|report| report.observer != from && observers.contains(&report.observer));
+        reports.push(PeerReport {
             observer: from,
             observation: observation.clone(),
             order: self.next_order,
         });
-        self.hold(observation.key).unwrap_or(observation)
+        self.update_leaving(observation.key).unwrap_or(observation)
     }
 
     /// Notes that a node publishes reports.
-    pub fn heard_of(&mut self, observer: NodeKey, now: Millis) {
-        self.observers_heard.insert(observer, now);
+    pub fn record_heartbeat(&mut self, observer: NodeKey, now: Millis) {
+        self.last_heartbeats.insert(observer, now);
     }
 
     /// Whether a node was heard of as an observer lately.
-    pub fn is_heard(&self, observer: NodeKey, now: Millis) -> bool {
-        let heard = self.observers_heard.get(&observer);
-        heard.is_some_and(|at| now.since(*at) < OBSERVER_SILENT_MS)
+    pub fn is_observer_active(&self, observer: NodeKey, now: Millis) -> bool {
+        let last_heartbeat = self.last_heartbeats.get(&observer);
+        last_heartbeat.is_some_and(|at| now.since(*at) < OBSERVER_TIMEOUT_MS)
     }
 
     /// Forgets what a dead observer said. Returns what now holds of the engines it observed.
-    pub fn observer_gone(&mut self, observer: NodeKey) -> Vec<EngineObservation> {
-        self.observers_heard.remove(&observer);
+    pub fn remove_observer(&mut self, observer: NodeKey) -> Vec<EngineObservation> {
+        self.last_heartbeats.remove(&observer);
         let mut touched = Vec::new();
-        for (engine, reports) in &mut self.heard {
+        for (engine, reports) in &mut self.peer_reports {
             let before = reports.len();
             reports.retain(|known| known.observer != observer);
             if reports.len() != before {
@@ -168,36 +168,36 @@
         }
         touched
             .into_iter()
-            .filter_map(|engine| self.holds(engine))
+            .filter_map(|engine| self.merged_observation(engine))
             .collect()
     }
 
     /// Forgets own observations of engines that others observe now.
-    pub fn keep_own(&mut self, observes: impl Fn(EngineKey) -> bool) {
+    pub fn retain_own(&mut self, observes: impl Fn(EngineKey) -> bool) {
         self.own.retain(|engine, _| observes(*engine));
-        self.failed_looks.retain(|engine, _| observes(*engine));
+        self.failed_polls.retain(|engine, _| observes(*engine));
     }
 
     /// Works out what holds of an engine and notes whether it leaves.
-    fn hold(&mut self, engine: EngineKey) -> Option<EngineObservation> {
-        let holds = self.holds(engine)?;
-        if holds.health == Health::Leaving {
-            self.leaving.insert(engine, holds.incarnation);
+    fn update_leaving(&mut self, engine: EngineKey) -> Option<EngineObservation> {
+        let merged = self.merged_observation(engine)?;
+        if merged.health == Health::Leaving {
+            self.leaving.insert(engine, merged.incarnation);
         } else {
             self.leaving.remove(&engine);
         }
-        Some(holds)
+        Some(merged)
     }
 
     /// Joins the observers' reports: only the latest life counts; an engine of
     /// which one says that it leaves is leaving; it is dead only when all say
     /// so; otherwise what was learned last holds.
-    pub fn holds(&self, engine: EngineKey) -> Option<EngineObservation> {
+    pub fn merged_observation(&self, engine: EngineKey) -> Option<EngineObservation> {
         let own = self.own.get(&engine);
         let own = own.map(|observed| (&observed.latest, observed.order));
-        let heard = self.heard.get(&engine).into_iter().flatten();
-        let heard = heard.map(|heard| (&heard.observation, heard.order));
-        let reports = own.into_iter().chain(heard);
+        let peers = self.peer_reports.get(&engine).into_iter().flatten();
+        let peers = peers.map(|report| (&report.observation, report.order));
+        let reports = own.into_iter().chain(peers);
         let best = reports
             .max_by_key(|(report, order)| (report.incarnation, preference(report.health), *order));
         best.map(|(report, _)| report.clone())
@@ -206,11 +206,11 @@
     /// Everything that holds, for a node that has just joined.
     pub fn reports_for_joiner(&self, fleet: &Fleet) -> Vec<EngineReports> {
         let engines = fleet.iter().map(|(_, engine)| engine.key);
-        let held: Vec<EngineReport> = engines
-            .filter_map(|engine| self.holds(engine))
+        let merged: Vec<EngineReport> = engines
+            .filter_map(|engine| self.merged_observation(engine))
             .map(|observation| to_message(&observation))
             .collect();
-        let parts = held.chunks(REPORTS_PER_MESSAGE);
+        let parts = merged.chunks(REPORTS_PER_MESSAGE);
         parts
             .map(|part| EngineReports {
                 reports: part.to_vec(),
@@ -228,8 +228,12 @@
 
     /// Reports on the engines that are known to leave.
     pub fn leaving_reports(&self) -> Vec<EngineReports> {
-        let held = self.leaving.keys().filter_map(|engine| self.holds(*engine));
-        let reports: Vec<EngineReport> = held.map(|held| to_message(&held)).collect();
+        let merged = self
+            .leaving
+            .keys()
+            .filter_map(|engine| self.merged_observation(*engine));
+        let reports: Vec<EngineReport> =
+            merged.map(|observation| to_message(&observation)).collect();
         let parts = reports.chunks(REPORTS_PER_MESSAGE);
         parts
             .map(|part| EngineReports {
@@ -257,7 +261,7 @@
             return;
         }
         self.published_at = now;
-        let targets = audience(members);
+        let targets = report_targets(members);
         if reports.is_empty() {
             for target in &targets {
                 outbox.send(*target, Body::EngineReports(EngineReports::default()));
@@ -298,7 +302,7 @@
 }
 
 /// Nodes that this node's observations are for.
-fn audience(members: &Membership) -> Vec<SocketAddr> {
+fn report_targets(members: &Membership) -> Vec<SocketAddr> {
     let small = members.live_count() < SMALL_FLEET_NODES;
     let own_zone = &members.own().zone;
     let live = members.live();
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -38,7 +38,7 @@
 /// Time between two probes of a dead member, in milliseconds.
 pub const RECONNECT_PERIOD_MS: u64 = 2_000;
 /// Time after which a dead member is forgotten, in milliseconds.
-pub const FORGET_DEAD_MS: u64 = 3_600_000;
+pub const DEAD_RETENTION_MS: u64 = 3_600_000;
 /// Members are compared only when they did not change for so long, in milliseconds.
 const MEMBERS_QUIET_MS: u64 = 1_000;
 /// Shortest time between two comparisons of members, in milliseconds.
@@ -48,7 +48,7 @@
 /// Updates on one message.
 const UPDATES_PER_MESSAGE: usize = 6;
 /// An update is sent this many times the logarithm of the number of members.
-const SPREAD_FACTOR: u32 = 3;
+const GOSSIP_FACTOR: u32 = 3;
 /// One probe in this many goes to another zone.
 const OTHER_ZONE_EVERY: u64 = 4;
 
@@ -107,7 +107,7 @@
 
 /// A probe that was made for another node and whose answer goes back to it.
 #[derive(Clone, Copy, Debug)]
-struct Relayed {
+struct RelayedProbe {
     to: SocketAddr,
     sequence: u32,
     at: Millis,
@@ -135,7 +135,7 @@
     seeds: Vec<SocketAddr>,
     probe_order: Vec<NodeKey>,
     pending: Option<PendingProbe>,
-    relayed: HashMap<u32, Relayed>,
+    relayed: HashMap<u32, RelayedProbe>,
     next_sequence: u32,
     next_probe: Millis,
     next_join: Millis,
@@ -305,8 +305,8 @@
 
 /// Whether an update tells more than what is known.
 fn supersedes(update: &MemberUpdate, known: &Member) -> bool {
-    let told = (update.life, update.refutation);
+    let reported = (update.life, update.refutation);
     let present = (known.identity.life, known.refutation);
     let worse = severity(update.status()) > severity(known.status);
-    told > present || (told == present && worse)
+    reported > present || (reported == present && worse)
 }
--- a/crates/cluster/src/membership/probing.rs
+++ b/crates/cluster/src/membership/probing.rs
@@ -47,7 +47,7 @@
     }
 
     /// Asks a few members for all they know, as after a pause.
-    pub fn ask_some(&self, count: usize, random: &mut fastrand::Rng, outbox: &mut Outbox) {
+    pub fn request_members(&self, count: usize, random: &mut fastrand::Rng, outbox: &mut Outbox) {
         let join = Join {
             this: Some(self.own_update()),
         };
@@ -120,7 +120,7 @@
         member.status = MemberStatus::Suspect;
         member.since = now;
         self.suspicions += 1;
-        self.spread(target);
+        self.queue_gossip(target);
     }
 
     pub(super) fn expire_suspicions(&mut self, now: Millis) {
@@ -139,10 +139,10 @@
             self.live -= 1;
             self.changed_at = now;
             self.changes.push(MemberChange::Gone(key));
-            self.spread(key);
+            self.queue_gossip(key);
         }
         self.members
-            .retain(|_, member| member.is_live() || now.since(member.since) < FORGET_DEAD_MS);
+            .retain(|_, member| member.is_live() || now.since(member.since) < DEAD_RETENTION_MS);
     }
 
     pub(super) fn probe_next(
@@ -335,7 +335,7 @@
             return;
         };
         let sequence = self.new_sequence();
-        let relayed = Relayed {
+        let relayed = RelayedProbe {
             to: from,
             sequence: request.sequence,
             at: now,
--- a/crates/cluster/src/membership/updates.rs
+++ b/crates/cluster/src/membership/updates.rs
@@ -20,7 +20,7 @@
     pub fn on_join_answer(&mut self, answer: &JoinAnswer, now: Millis) {
         self.joined = true;
         for update in &answer.members {
-            self.merge_quietly(update, now);
+            self.merge_without_gossip(update, now);
         }
     }
 
@@ -32,16 +32,20 @@
 
     /// Takes in an update and hands it on when it is news.
     pub(super) fn merge(&mut self, update: &MemberUpdate, now: Millis) {
-        if let Some(key) = self.merge_quietly(update, now) {
-            self.spread(key);
+        if let Some(key) = self.merge_without_gossip(update, now) {
+            self.queue_gossip(key);
         }
     }
 
     /// Takes in an update; returns the node's key when it is news.
-    pub(super) fn merge_quietly(&mut self, update: &MemberUpdate, now: Millis) -> Option<NodeKey> {
+    pub(super) fn merge_without_gossip(
+        &mut self,
+        update: &MemberUpdate,
+        now: Millis,
+    ) -> Option<NodeKey> {
         let key = NodeKey::of(&NodeName(update.name.clone()));
         if key == self.own_key {
-            return self.defend(update);
+            return self.refute(update);
         }
         let address: SocketAddr = update.address.parse().ok()?;
         let status = update.status();
@@ -99,7 +103,7 @@
     }
 
     /// Refutes what is wrongly said of this node.
-    pub(super) fn defend(&mut self, update: &MemberUpdate) -> Option<NodeKey> {
+    pub(super) fn refute(&mut self, update: &MemberUpdate) -> Option<NodeKey> {
         let wrong = update.status() != MemberStatus::Alive && update.life == self.own.life;
         if wrong && !self.leaving && update.refutation >= self.own_refutation {
             self.own_refutation = update.refutation + 1;
@@ -108,14 +112,14 @@
         None
     }
 
-    pub(super) fn spread(&mut self, key: NodeKey) {
+    pub(super) fn queue_gossip(&mut self, key: NodeKey) {
         self.gossip.retain(|(queued, _)| *queued != key);
         self.gossip.push_front((key, 0));
     }
 
     pub(super) fn updates_to_send(&mut self) -> Vec<MemberUpdate> {
         let members = self.live as u32 + 2;
-        let limit = SPREAD_FACTOR * (u32::BITS - members.leading_zeros());
+        let limit = GOSSIP_FACTOR * (u32::BITS - members.leading_zeros());
         let mut updates = Vec::new();
         for _ in 0..UPDATES_PER_MESSAGE.min(self.gossip.len()) {
             let Some((key, sent)) = self.gossip.pop_front() else {
--- a/crates/cluster/src/quota.rs
+++ b/crates/cluster/src/quota.rs
@@ -39,16 +39,16 @@
 /// One node's part in quotas: as a user of leases and as the home of tenants.
 #[derive(Debug, Default)]
 pub struct Quota {
-    asked: HashMap<TenantKey, u64>,
+    request_counts: HashMap<TenantKey, u64>,
     leases: HashMap<TenantKey, Lease>,
-    home: HashMap<TenantKey, BTreeMap<NodeKey, Demand>>,
+    home_demands: HashMap<TenantKey, BTreeMap<NodeKey, Demand>>,
     next_report: Millis,
 }
 
 impl Quota {
     /// Counts a request of a tenant with a limit.
     pub fn count_request(&mut self, tenant: TenantKey) {
-        *self.asked.entry(tenant).or_default() += 1;
+        *self.request_counts.entry(tenant).or_default() += 1;
     }
 
     /// The rate that this node may use of a tenant's `limit`, in requests a second.
@@ -67,7 +67,7 @@
         self.next_report = now.plus(DEMAND_PERIOD_MS);
         self.leases.retain(|_, lease| lease.until > now);
         let mut by_home: BTreeMap<SocketAddr, QuotaDemand> = BTreeMap::new();
-        for (tenant, requests) in std::mem::take(&mut self.asked) {
+        for (tenant, requests) in std::mem::take(&mut self.request_counts) {
             let demand = TenantDemand {
                 tenant: tenant.0,
                 demand_milli: requests * 1_000 * 1_000 / DEMAND_PERIOD_MS,
@@ -96,26 +96,26 @@
             grants: Vec::new(),
             valid_ms: LEASE_MS,
         };
-        for asked in &demand.demands {
-            let tenant = TenantKey(asked.tenant);
+        for tenant_demand in &demand.demands {
+            let tenant = TenantKey(tenant_demand.tenant);
             let Some(limit) = limit_of(tenant) else {
                 continue;
             };
-            let demands = self.home.entry(tenant).or_default();
+            let demands = self.home_demands.entry(tenant).or_default();
             demands.retain(|_, known| known.until > now);
             let own = Demand {
-                rate: asked.demand_milli as f64 / 1_000.0,
+                rate: tenant_demand.demand_milli as f64 / 1_000.0,
                 until: now.plus(LEASE_MS),
             };
             demands.insert(sender, own);
             let total: f64 = demands.values().map(|known| known.rate).sum();
             let rate = leased_rate(limit, own.rate, total, nodes);
             grant.grants.push(TenantGrant {
-                tenant: asked.tenant,
+                tenant: tenant_demand.tenant,
                 rate_milli: (rate * 1_000.0) as u64,
             });
         }
-        self.home
+        self.home_demands
             .retain(|_, demands| demands.values().any(|known| known.until > now));
         grant
     }
@@ -133,7 +133,7 @@
 
     /// Tenants for which leases are held or given.
     pub fn len(&self) -> usize {
-        self.leases.len() + self.home.len()
+        self.leases.len() + self.home_demands.len()
     }
 
     /// Whether no lease is held or given.
--- a/crates/cluster/src/rollout.rs
+++ b/crates/cluster/src/rollout.rs
@@ -108,18 +108,18 @@
         if pool.spec.weights_version == 0 {
             return Vec::new();
         }
-        self.begin_under(fencing_token);
+        self.adopt_token(fencing_token);
         let engines = engines_of(pool, fleet);
         let unfenced = self.unfenced(&engines, fencing_token);
         if !unfenced.is_empty() {
             return unfenced;
         }
-        self.forget_done(&engines, now);
+        self.remove_completed(&engines, now);
         self.next_loads(pool, &engines, fencing_token, now)
     }
 
     /// Starts anew when the token is another one: this node has just become the holder.
-    fn begin_under(&mut self, fencing_token: u64) {
+    fn adopt_token(&mut self, fencing_token: u64) {
         if self.token != fencing_token {
             self.token = fencing_token;
             self.fenced.clear();
@@ -142,7 +142,7 @@
             .collect()
     }
 
-    fn forget_done(&mut self, engines: &[&Engine], now: Millis) {
+    fn remove_completed(&mut self, engines: &[&Engine], now: Millis) {
         self.ordered
             .retain(|_, ordered| now.since(ordered.at) < ORDER_TIMEOUT_MS);
         for engine in engines {
--- a/crates/cluster/src/router/mod.rs
+++ b/crates/cluster/src/router/mod.rs
@@ -26,7 +26,7 @@
 use crate::config_store::Record;
 
 /// Decisions that a node remembers for `explain`.
-pub const REMEMBERED_DECISIONS: usize = 4_096;
+pub const MAX_DECISION_RECORDS: usize = 4_096;
 
 /// Constants of a node's decisions.
 #[derive(Clone, Debug)]
@@ -90,13 +90,13 @@
     /// Takes in changed configuration. Only what depends on the changed kinds
     /// is worked out again.
     pub fn apply(&mut self, records: &[Record]) {
-        let mut candidates = false;
+        let mut candidates_affected = false;
         let mut gone = HashSet::new();
         for record in records {
             let object = record.content.as_deref();
             let (kind, name) = (record.key.kind, &record.key.name);
             self.builder.apply(kind, name, object, record.version);
-            candidates |= matches!(kind, Kind::Pool | Kind::Route | Kind::Machine);
+            candidates_affected |= matches!(kind, Kind::Pool | Kind::Route | Kind::Machine);
             if kind == Kind::Machine {
                 match object.and_then(engine_of) {
                     Some(engine) => {
@@ -113,7 +113,7 @@
         }
         self.snapshot = Arc::new(self.builder.build());
         self.generation += 1;
-        if candidates {
+        if candidates_affected {
             self.candidates_changed();
         }
     }
@@ -288,13 +288,13 @@
             chosen: None,
         };
         let Some(decision) = decision else {
-            self.remember(record);
+            self.store_decision(record);
             return None;
         };
-        let chosen = self.chosen(&decision, chains);
+        let chosen = self.chosen_engine(&decision, chains);
         record.scored = decision.scored;
         record.chosen = Some(chosen.name.clone());
-        self.remember(record);
+        self.store_decision(record);
         let uncached = chosen.prompt_tokens.saturating_sub(chosen.cached_tokens);
         self.fleet.record_sent(decision.engine, uncached, now);
         self.directory
@@ -340,7 +340,7 @@
         input.decide(random)
     }
 
-    fn chosen(&self, decision: &Decision, chains: &VersionedChains) -> ChosenEngine {
+    fn chosen_engine(&self, decision: &Decision, chains: &VersionedChains) -> ChosenEngine {
         let engine = self.fleet.get(decision.engine);
         let chain = chains
             .iter()
@@ -387,8 +387,8 @@
         })
     }
 
-    fn remember(&mut self, record: DecisionRecord) {
-        if self.decisions.len() >= REMEMBERED_DECISIONS {
+    fn store_decision(&mut self, record: DecisionRecord) {
+        if self.decisions.len() >= MAX_DECISION_RECORDS {
             self.decisions.pop_front();
         }
         self.decisions.push_back(record);
--- a/crates/node/src/callers/relay/mod.rs
+++ b/crates/node/src/callers/relay/mod.rs
@@ -289,7 +289,7 @@
         match failure.correction {
             Some(correction) => self.node.with_core(|core, now| {
                 let (incarnation, weights) = (correction.incarnation, correction.weights);
-                core.corrected(chosen.key, incarnation, weights, now);
+                core.apply_engine_correction(chosen.key, incarnation, weights, now);
             }),
             None => self.failed.push(chosen.key),
         }
--- a/crates/node/src/engines/orders.rs
+++ b/crates/node/src/engines/orders.rs
@@ -111,7 +111,7 @@
                 ..write.lease
             };
             lease.on_written(written, write.began, OBJECT_API_ERA, now);
-            node.with_core(|core, now| core.learn(vec![Record::stored(stored)], now));
+            node.with_core(|core, now| core.apply_records(vec![Record::stored(stored)], now));
         }
         Err(PlatformError::NoAnswer { .. }) => lease.on_write_failed(),
         Err(error) => {
--- a/crates/node/src/engines/poll.rs
+++ b/crates/node/src/engines/poll.rs
@@ -2,7 +2,7 @@
 
 use crate::state::Node;
 use futures_lite::{future, AsyncReadExt};
-use ploverlift_cluster::engine_watch::{LOOK_PERIOD_MS, LOOK_TIMEOUT_MS};
+use ploverlift_cluster::engine_watch::{POLL_PERIOD_MS, POLL_TIMEOUT_MS};
 use ploverlift_policy::fleet::{EngineKey, EngineObservation, Health, LoadReport};
 use ploverlift_policy::ids::{Incarnation, Millis, WeightsVersion};
 use smol::Timer;
@@ -51,7 +51,7 @@
             let (seen, looked_at, target) = task.await;
             record(&node, &target, seen, looked_at);
         }
-        Timer::after(Duration::from_millis(LOOK_PERIOD_MS)).await;
+        Timer::after(Duration::from_millis(POLL_PERIOD_MS)).await;
     }
 }
 
@@ -68,8 +68,8 @@
 
 fn record(node: &Node, target: &Target, seen: Option<EngineObservation>, looked_at: Millis) {
     node.with_core(|core, now| match seen {
-        Some(observation) => core.observed(observation, looked_at, now),
-        None => core.look_failed(target.key, now),
+        Some(observation) => core.record_observation(observation, looked_at, now),
+        None => core.record_failed_poll(target.key, now),
     });
 }
 
@@ -84,7 +84,7 @@
         Some(observation_of(target.key, &text))
     };
     let timeout = async {
-        Timer::after(Duration::from_millis(LOOK_TIMEOUT_MS)).await;
+        Timer::after(Duration::from_millis(POLL_TIMEOUT_MS)).await;
         None
     };
     future::or(read, timeout).await
--- a/crates/node/src/operators/handler.rs
+++ b/crates/node/src/operators/handler.rs
@@ -218,7 +218,7 @@
 
 async fn ask_other_nodes(node: &Node, request: &RequestId) -> Vec<DecisionRecord> {
     let (ticket, answer) = node.with_core(|core, _| {
-        let ticket = core.ask_for_decisions(request.as_str());
+        let ticket = core.request_decisions(request.as_str());
         (ticket, node.waiters.explanation(ticket))
     });
     let timeout = async {
@@ -280,7 +280,7 @@
     let platform = platform.ok_or_else(no_platform)?;
     let stored = put_and_verify(&platform, &object).await?;
     let record = Record::stored(stored.clone());
-    node.with_core(|core, now| core.learn(vec![record], now));
+    node.with_core(|core, now| core.apply_records(vec![record], now));
     slog::info!(node.log, "object applied";
         "kind" => object.kind.plural(),
         "name" => object.metadata.name.as_str(),
@@ -325,7 +325,7 @@
     let deleted = deleted.map_err(|error| platform_reply(&error))?;
     let version = deleted.metadata.resource_version;
     let record = Record::deleted(deleted.key(), version);
-    node.with_core(|core, now| core.learn(vec![record], now));
+    node.with_core(|core, now| core.apply_records(vec![record], now));
     Ok(deleted)
 }
 
--- a/crates/node/src/platform/config_feed.rs
+++ b/crates/node/src/platform/config_feed.rs
@@ -49,7 +49,7 @@
 ) -> Result<(), PlatformError> {
     let list = platform.list(kind).await?;
     let mut version = list.resource_version;
-    node.with_core(|core, now| core.learn_list(kind, list.items, version, now));
+    node.with_core(|core, now| core.apply_list(kind, list.items, version, now));
     let mut watch = platform.watch(kind, version).await?;
     while let Some(event) = watch.next().await? {
         version = version.max(event.object.metadata.resource_version);
@@ -57,7 +57,7 @@
             WatchType::Deleted => Record::deleted(event.object.key(), version),
             WatchType::Added | WatchType::Modified => Record::stored(event.object),
         };
-        node.with_core(|core, now| core.learn(vec![record], now));
+        node.with_core(|core, now| core.apply_records(vec![record], now));
     }
     Ok(())
 }
@@ -70,7 +70,7 @@
         match platform.put(&object).await {
             Ok(stored) => {
                 let record = Record::stored(stored);
-                node.with_core(|core, now| core.learn(vec![record], now));
+                node.with_core(|core, now| core.apply_records(vec![record], now));
             }
             // A conflict means that another node wrote; the watch brings it.
             Err(error) => slog::debug!(node.log, "claim group not stored";
--- a/crates/simulation/src/world/engine_side.rs
+++ b/crates/simulation/src/world/engine_side.rs
@@ -7,7 +7,7 @@
         if !self.is_life(node, life) {
             return;
         }
-        self.at(LOOK_PERIOD_MS, Happening::Look { node, life });
+        self.at(POLL_PERIOD_MS, Happening::Look { node, life });
         let looked_at = self.node_now(node);
         let Some(core) = &mut self.nodes[node].core else {
             return;
@@ -49,8 +49,8 @@
         seen: Option<EngineObservation>,
     ) {
         self.with_core(node, |core, now| match seen {
-            Some(observation) => core.observed(observation, looked_at, now),
-            None => core.look_failed(engine, now),
+            Some(observation) => core.record_observation(observation, looked_at, now),
+            None => core.record_failed_poll(engine, now),
         });
     }
 
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -32,7 +32,7 @@
 use ploverlift_cluster::claim_proposer::ClaimOutcome;
 use ploverlift_cluster::claims::ClaimKey;
 use ploverlift_cluster::core::{CoreEvent, CoreSettings, NodeCore, CLAIM_GROUP, TICK_MS};
-use ploverlift_cluster::engine_watch::LOOK_PERIOD_MS;
+use ploverlift_cluster::engine_watch::POLL_PERIOD_MS;
 use ploverlift_cluster::membership::Identity;
 use ploverlift_cluster::rollout::{LoadOrder, OrderAnswer, Rollout};
 use ploverlift_cluster::router::{chains_of, ChosenEngine, RoutedRequest};
--- a/crates/simulation/src/world/object_api.rs
+++ b/crates/simulation/src/world/object_api.rs
@@ -38,7 +38,7 @@
                 lease.on_read(None, OBJECT_API_ERA, now);
             }
             self.with_core(node, |core, now| {
-                core.learn_list(kind, objects, version, now)
+                core.apply_list(kind, objects, version, now)
             });
         }
         self.nodes[node].seen_platform = Some(lowest);
@@ -57,7 +57,7 @@
             .filter_map(|record| record.content.as_deref().cloned())
             .collect();
         self.note_leases(node, &stored);
-        self.with_core(node, |core, now| core.learn(records, now));
+        self.with_core(node, |core, now| core.apply_records(records, now));
     }
 
     pub(super) fn note_leases(&mut self, node: usize, objects: &[Object]) {
@@ -81,7 +81,7 @@
 
     pub(super) fn learn(&mut self, node: usize, object: Object) {
         let record = ploverlift_cluster::config_store::Record::stored(object);
-        self.with_core(node, |core, now| core.learn(vec![record], now));
+        self.with_core(node, |core, now| core.apply_records(vec![record], now));
     }
 
     /// Changes the route through a node, as an operator does.
--- a/crates/simulation/src/world/request_side.rs
+++ b/crates/simulation/src/world/request_side.rs
@@ -329,7 +329,12 @@
                     (Some((incarnation, weights)), Some(engine)) => {
                         self.with_core(node, |core, now| {
                             let weights = WeightsVersion(weights);
-                            core.corrected(engine, Incarnation(incarnation), weights, now);
+                            core.apply_engine_correction(
+                                engine,
+                                Incarnation(incarnation),
+                                weights,
+                                now,
+                            );
                         });
                     }
                     _ => request.failed.extend(engine),
