--- a/crates/cluster/src/claim_group_plan.rs
+++ b/crates/cluster/src/claim_group_plan.rs
@@ -1,5 +1,5 @@
-//! The duty to write a claim group's description: make it once, and replace a
-//! replica that has been dead for a while.
+//! Planning of a claim group's description: it is created once, and a replica
+//! that has been dead for [`REPLACE_AFTER_MS`] is replaced.
 
 use crate::membership::Membership;
 use crate::node_key::{rendezvous_first, rendezvous_top, NodeKey};
@@ -7,13 +7,14 @@
 use ploverlift_policy::objects::ClaimGroupSpec;
 use std::collections::BTreeMap;
 
-/// Replicas of a group, where there are as many nodes.
+/// Number of replicas of a group, if there are as many nodes.
 pub const REPLICAS: usize = 3;
-/// A replica that has been dead this long is replaced, in milliseconds.
+/// Time after which a dead replica is replaced, in milliseconds.
 pub const REPLACE_AFTER_MS: u64 = 10_000;
-/// A group is made or enlarged only after the node has been up this long, in milliseconds.
+/// Minimum uptime of a node before it creates or changes a group, in
+/// milliseconds.
 pub const SETTLE_MS: u64 = 3_000;
-/// Item of the rendezvous hash for the duty.
+/// Item of the rendezvous hash that selects the planning node.
 const GROUP_DUTY: u64 = 0x636c_6169_6d73;
 
 /// A node that could be a replica.
@@ -25,16 +26,17 @@
     life: u64,
 }
 
-/// Whether this node has the duty, as far as it sees.
+/// Whether this node plans the claim group, according to its own view of the
+/// members.
 pub fn plans_claim_group(members: &Membership) -> bool {
     let live = members.live().map(|(key, _)| key);
     let first = rendezvous_first(GROUP_DUTY, live.chain([members.own_key()]));
     first == Some(members.own_key())
 }
 
-/// The description that should replace `present`, or nothing when it should
+/// The description that should replace `present`, or `None` when it should
 /// stay. A new group begins at `first_generation`, which must be higher than
-/// that of any group before: an operator may have deleted one.
+/// that of any earlier group: an operator may have deleted one.
 pub fn plan(
     present: Option<&ClaimGroupSpec>,
     members: &Membership,
@@ -86,7 +88,7 @@
     }
 }
 
-/// Fills up to [`REPLICAS`] from zones that have none first.
+/// Adds replicas up to [`REPLICAS`], first from zones without a replica.
 fn choose_replicas(
     mut chosen: Vec<Candidate>,
     candidates: &[Candidate],
@@ -133,7 +135,8 @@
     if lost == 0 && !may_grow {
         return None;
     }
-    // Without the others' claims a new generation could never begin to vote.
+    // With fewer remaining replicas a new generation could not recover their
+    // claims and would never begin to vote.
     let enough = kept.len() >= crate::claims::recovery_quorum(present.replicas.len());
     if !enough {
         return None;
@@ -153,7 +156,7 @@
     ))
 }
 
-/// Whether a replica has been dead for long enough to be replaced.
+/// Whether a replica has been dead long enough to be replaced.
 fn is_lost(name: &NodeName, members: &Membership, now: Millis) -> bool {
     let key = NodeKey::of(name);
     if key == members.own_key() {
@@ -161,7 +164,7 @@
     }
     match members.member(key) {
         Some(member) => !member.is_live() && now.since(member.since) >= REPLACE_AFTER_MS,
-        // Never seen in this node's life.
+        // Never a member since this node started.
         None => now.0 >= REPLACE_AFTER_MS,
     }
 }
--- a/crates/cluster/src/claim_key.rs
+++ b/crates/cluster/src/claim_key.rs
@@ -29,13 +29,14 @@
     }
 }
 
-/// Complete replicas from which one that forgot its votes must recover, so
-/// that at least one of them is in every majority that it was part of.
+/// Number of complete replicas from which a replica that lost its votes must
+/// recover, so that at least one of them is in every majority that it was part
+/// of.
 pub fn recovery_quorum(replicas: usize) -> usize {
     replicas - majority(replicas).min(replicas) + 1
 }
 
-/// Votes that make a majority of `replicas`.
+/// Number of votes that form a majority of `replicas`.
 pub fn majority(replicas: usize) -> usize {
     replicas / 2 + 1
 }
--- a/crates/cluster/src/claim_messages.rs
+++ b/crates/cluster/src/claim_messages.rs
@@ -1,10 +1,10 @@
-//! The messages of a proposer of claims.
+//! Messages that a proposer sends to the replicas of a claim group.
 
 use crate::claims::ClaimKey;
 use ploverlift_wire::messages::envelope::Body;
 use ploverlift_wire::messages::{ClaimComplete, ClaimRelease, ClaimRequest};
 
-/// Asks for a vote.
+/// Requests a vote.
 pub fn request(group: &str, generation: u64, key: ClaimKey, owner: u64, fingerprint: u64) -> Body {
     Body::ClaimRequest(ClaimRequest {
         group: group.to_owned(),
@@ -15,7 +15,7 @@
     })
 }
 
-/// Gives a claim back.
+/// Releases a claim.
 pub fn release(group: &str, key: ClaimKey, owner: u64) -> Body {
     Body::ClaimRelease(ClaimRelease {
         group: group.to_owned(),
--- a/crates/cluster/src/claim_proposer.rs
+++ b/crates/cluster/src/claim_proposer.rs
@@ -1,5 +1,5 @@
-//! The proposer's side of claims: asks the replicas, counts their votes and
-//! says what came of it.
+//! The proposer's side of claims: requests votes from the replicas, counts them
+//! and decides the outcome.
 
 use crate::claim_messages as messages;
 use crate::claims::{majority, replica_keys, ClaimKey};
@@ -13,33 +13,35 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Time after which a request for a vote is repeated, in milliseconds.
+/// Time after which a vote request is sent again, in milliseconds.
 pub const RESEND_MS: u64 = 100;
-/// Time after which a proposal without a majority is given up, in milliseconds.
+/// Time after which a proposal without a majority is abandoned, in
+/// milliseconds.
 pub const PROPOSAL_TIMEOUT_MS: u64 = 1_000;
-/// Time to come back when replicas do not answer, in milliseconds.
+/// Retry-after time when replicas do not answer, in milliseconds.
 const NO_QUORUM_RETRY_AFTER_MS: u64 = 2_000;
 
-/// Names a proposal to its driver.
+/// Identifies an operation whose result the driver waits for: a claim proposal,
+/// a directory lookup or a request for decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// What came of a proposal.
+/// Outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
     /// This proposal holds the claim: its request may be sent once.
     Granted,
-    /// An earlier request holds it and its answer is recorded.
+    /// An earlier request holds the claim, and its answer is recorded.
     Answered(Vec<u8>),
-    /// An earlier request holds it.
+    /// An earlier request holds the claim, without a recorded answer.
     Held,
-    /// The key was used for another request.
+    /// The key was used with a different request.
     OtherRequest,
-    /// It cannot be known; the proposal's own grants were given back.
+    /// No majority was reached; the proposal's own grants were released.
     Unavailable(RetryAfter),
 }
 
-/// One proposal.
+/// One proposal for a claim.
 #[derive(Clone, Debug)]
 pub struct Proposal {
     group: String,
@@ -56,7 +58,7 @@
 }
 
 impl Proposal {
-    /// A proposal that was not sent yet.
+    /// A proposal that has not been sent.
     pub fn new(
         group: &str,
         spec: Arc<ClaimGroupSpec>,
@@ -85,7 +87,7 @@
         self.key
     }
 
-    /// The random number that marks this proposal's grants.
+    /// The random number that identifies this proposal's grants.
     pub fn owner(&self) -> u64 {
         self.owner
     }
@@ -94,7 +96,8 @@
         replica_keys(&self.spec.replicas)
     }
 
-    /// Asks every replica that has not voted.
+    /// Requests a vote from every replica that has neither granted the claim
+    /// nor reported another holder.
     pub fn request_votes(
         &mut self,
         now: Millis,
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Takes in a vote; returns the outcome once it is certain.
+    /// Processes a vote; returns the outcome once it is certain.
     pub fn on_vote(
         &mut self,
         vote: ClaimVote,
@@ -140,7 +143,7 @@
             .get(&voter)
             .is_some_and(|life| voter_life < *life)
         {
-            // The voter has restarted since and may have forgotten this vote.
+            // The voter has restarted since and may have lost this vote.
             return None;
         }
         match verdict {
@@ -162,7 +165,8 @@
         self.decide_outcome()
     }
 
-    /// Notes a life of a replica; a grant of an earlier one no longer counts.
+    /// Records an incarnation of a replica; a grant of an earlier incarnation
+    /// no longer counts.
     fn note_life(&mut self, replica: NodeKey, life: u64) {
         let known = self.lives.entry(replica).or_default();
         *known = (*known).max(life);
@@ -201,7 +205,9 @@
         ClaimOutcome::Unavailable(RetryAfter::clamped(after))
     }
 
-    /// Asks again when it is time; returns the outcome when time is over.
+    /// Requests missing votes again after [`RESEND_MS`]. Returns `Unavailable`
+    /// after [`PROPOSAL_TIMEOUT_MS`], or when no majority of replicas is
+    /// reachable.
     pub fn tick(
         &mut self,
         now: Millis,
@@ -224,7 +230,8 @@
         None
     }
 
-    /// Gives the grants back; only when the request did not run and never will.
+    /// Releases the grants; only valid when the request did not run and never
+    /// will.
     pub fn release(&self, address_of: impl Fn(NodeKey) -> Option<SocketAddr>, outbox: &mut Outbox) {
         for address in self.replicas().into_iter().filter_map(address_of) {
             outbox.send(
--- a/crates/cluster/src/claims.rs
+++ b/crates/cluster/src/claims.rs
@@ -1,22 +1,23 @@
-//! Claims of requests that may run at most once, held by a majority of
-//! replicas that lie in different zones.
+//! Claims of requests that may run at most once, held by a majority of replicas
+//! in different zones.
 //!
-//! Replicas keep claims in memory only, so a restarted replica has forgotten
-//! its votes. Three rules make up for that:
+//! Replicas keep claims in memory only, so a restarted replica has lost its
+//! votes. Three rules compensate for that:
 //!
 //! 1. A replica votes only while it is *complete*: it knows every claim that it
-//!    itself granted in an earlier life and that may still count. It was there
-//!    when the group was made, or it recovered from as many complete replicas
-//!    as every majority must meet, or it has been up for longer than any claim
-//!    is kept.
-//! 2. A vote carries the lives of the group's replicas as the voter knows them.
-//!    The proposer drops a grant that was given in an earlier life than any
-//!    vote knows of: that grant may be forgotten.
+//!    granted in an earlier incarnation and that may still count. It is
+//!    complete if it was a member when the group was created, if it recovered
+//!    from enough complete replicas to intersect every majority, or if it has
+//!    been running for longer than any claim is retained.
+//! 2. A vote carries the incarnations of the group's replicas as the voter
+//!    knows them. The proposer discards a grant from an earlier incarnation
+//!    than any vote reports, because the restarted replica may have lost that
+//!    grant.
 //! 3. A replica that was asked for its claims by a later generation of the
 //!    group no longer votes in the earlier one.
 //!
-//! Together: every majority of grants that a proposer counts meets every
-//! recovery in a replica that remembers the claim. docs/design/claims.md has
+//! Together: every majority of grants that a proposer counts intersects every
+//! recovery in a replica that still has the claim. docs/design/claims.md has
 //! the argument and the schedules that broke earlier versions.
 
 pub use crate::claim_key::{majority, recovery_quorum, ClaimKey};
@@ -33,17 +34,17 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Default time for which a claim is kept, in milliseconds.
+/// Default retention time of a claim, in milliseconds.
 pub const DEFAULT_RETENTION_MS: u64 = 600_000;
-/// Claims that one replica holds at most.
+/// Maximum number of claims that one replica holds.
 pub const MAX_CLAIMS: usize = 200_000;
 /// Largest answer that is recorded with a claim, in bytes.
 pub const MAX_RECORDED_ANSWER_BYTES: usize = 16 * 1024;
-/// Time between two requests for the claims of other replicas, in milliseconds.
+/// Interval between requests for the claims of other replicas, in milliseconds.
 const RECOVER_PERIOD_MS: u64 = 250;
-/// A recovery from a living majority takes less than this, in milliseconds.
+/// Upper bound of a recovery from a live majority, in milliseconds.
 const QUICK_RECOVERY_MS: u64 = 2_000;
-/// Claims that are dropped when their time is over, looked for at this period, in milliseconds.
+/// Interval between removals of expired claims, in milliseconds.
 const EXPIRY_PERIOD_MS: u64 = 1_000;
 
 #[derive(Clone, Debug)]
@@ -54,16 +55,16 @@
     answer: Option<Arc<Vec<u8>>>,
 }
 
-/// What a replica that recovers was told so far.
+/// The replicas whose claims a recovering replica has received so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Recovery {
-    /// Complete replicas of the present generation that told their claims.
+    /// Complete replicas of the present generation that sent their claims.
     present: BTreeSet<NodeKey>,
-    /// Replicas of the generation before that told their claims.
+    /// Replicas of the previous generation that sent their claims.
     before: BTreeSet<NodeKey>,
 }
 
-/// One node's part in one claim group.
+/// One node's replica of one claim group.
 #[derive(Debug)]
 pub struct ClaimReplica {
     own: NodeKey,
@@ -83,7 +84,7 @@
 }
 
 impl ClaimReplica {
-    /// A replica that knows no group yet. `started_at` is the node's start.
+    /// A replica without a group. `started_at` is the node's start.
     pub fn new(own: NodeKey, own_life: u64, started_at: Millis, retention_ms: u64) -> Self {
         Self {
             own,
@@ -111,7 +112,8 @@
         self.claims.is_empty()
     }
 
-    /// Whether this replica votes.
+    /// Whether this replica is complete in the present generation and votes in
+    /// it.
     pub fn votes(&self) -> bool {
         self.is_replica() && self.complete_generation == self.generation()
     }
@@ -131,7 +133,7 @@
             .position(|name| NodeKey::of(name) == self.own)
     }
 
-    /// Takes in the group's description; an earlier generation is ignored.
+    /// Sets the group's description; an earlier generation is ignored.
     pub fn set_group(&mut self, spec: Arc<ClaimGroupSpec>) {
         if spec.generation <= self.generation() {
             return;
@@ -152,8 +154,9 @@
         self.finish_recovery();
     }
 
-    /// Whether this node was in its present life when the generation was made,
-    /// so that it cannot have voted in it before and forgotten the votes.
+    /// Whether this node was already in its present incarnation when the
+    /// generation was created, so that it cannot have voted in that generation
+    /// before and lost the votes.
     fn entered_in_this_life(&self) -> bool {
         let (Some(spec), Some(position)) = (&self.spec, self.own_position()) else {
             return false;
@@ -161,7 +164,8 @@
         spec.lives.get(position) == Some(&self.own_life)
     }
 
-    /// Becomes complete when enough replicas have told their claims.
+    /// Marks this replica as complete when enough replicas have sent their
+    /// claims.
     fn finish_recovery(&mut self) {
         let Some(spec) = &self.spec else {
             return;
@@ -174,7 +178,8 @@
         }
     }
 
-    /// Does what is due at `now`.
+    /// Removes expired claims, and requests the claims of other replicas while
+    /// this one is incomplete.
     pub fn tick(
         &mut self,
         now: Millis,
@@ -206,7 +211,7 @@
         }
     }
 
-    /// Other replicas of the present generation and of the one before.
+    /// Other replicas of the present and the previous generation.
     fn recovery_sources(&self) -> BTreeSet<NodeKey> {
         let Some(spec) = &self.spec else {
             return BTreeSet::new();
@@ -280,7 +285,7 @@
         let votes = self.votes();
         if let Some(claim) = self.claims.get(&key) {
             let (verdict, answer) = verdict_on(claim, request);
-            // A claim that was only learned from another replica is no vote of this one.
+            // A claim copied from another replica is not a vote of this one.
             if verdict == ClaimVerdict::Granted && !votes {
                 return (ClaimVerdict::NotVoting, None);
             }
@@ -300,7 +305,7 @@
         (ClaimVerdict::Granted, None)
     }
 
-    /// Gives a claim back: its request did not run and never will.
+    /// Releases a claim: its request did not run and never will.
     pub fn on_release(&mut self, release: &ClaimRelease) {
         let Some(key) = ClaimKey::from_message(release.key.as_ref()) else {
             return;
@@ -326,7 +331,7 @@
         }
     }
 
-    /// Tells all claims to a replica that recovers, and notes its life.
+    /// Sends all claims to a recovering replica and records its incarnation.
     pub fn on_recover(
         &mut self,
         recover: &ClaimRecover,
@@ -358,7 +363,7 @@
         outbox.send(from, Body::ClaimState(state));
     }
 
-    /// Takes in the claims of another replica.
+    /// Merges the claims of another replica.
     pub fn on_state(&mut self, state: ClaimState, sender: NodeKey, now: Millis) {
         let Some(spec) = self.spec.clone() else {
             return;
@@ -399,7 +404,8 @@
     }
 }
 
-/// Owner of a claim that two replicas told differently; no proposal has it.
+/// Owner of a claim for which two replicas reported different owners; no
+/// proposal has this owner.
 const CONTESTED: u64 = 0;
 
 fn merge_claim(claims: &mut HashMap<ClaimKey, Claim>, held: HeldClaim, now: Millis) {
@@ -417,8 +423,9 @@
                 known.owner = held.owner;
                 known.answer = answer;
             } else if known.owner != held.owner {
-                // Either may have been granted here before the restart, and one
-                // of them may have run: neither gets this replica's vote.
+                // Either owner may have received this replica's grant before
+                // the restart, and one of the two requests may have run:
+                // neither gets this replica's vote.
                 known.owner = CONTESTED;
             }
         }
--- a/crates/cluster/src/config_store.rs
+++ b/crates/cluster/src/config_store.rs
@@ -1,6 +1,6 @@
-//! Versioned configuration objects. Versions only rise, so a stale source can
-//! never take a newer object back, and deletions are kept as tombstones so
-//! that they do not come back either.
+//! Versioned configuration objects. Versions only increase, so a stale source
+//! can never overwrite a newer object. Deletions are kept as tombstones, so
+//! that a stale source cannot restore a deleted object either.
 
 use ploverlift_policy::ids::ResourceVersion;
 use ploverlift_policy::objects::{Kind, Object, ObjectKey};
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SetHash(pub u64);
 
-/// Buckets by which two stores find out where they differ.
+/// Number of buckets by which two stores locate their differences.
 pub const DIGEST_BUCKETS: usize = 64;
 
 /// One object or deletion with its version.
@@ -24,9 +24,9 @@
 pub struct Record {
     /// Identity.
     pub key: ObjectKey,
-    /// Version given by the object API.
+    /// Version assigned by the object API.
     pub version: ResourceVersion,
-    /// The object, or nothing when it was deleted at `version`.
+    /// The object, or `None` when it was deleted at `version`.
     pub content: Option<Arc<Object>>,
 }
 
@@ -73,10 +73,12 @@
     (key.0 % DIGEST_BUCKETS as u64) as usize
 }
 
-/// All objects a node knows, with digests kept up to date.
+/// All objects that a node knows, with digests that are updated on every
+/// change.
 #[derive(Clone, Debug)]
 pub struct ConfigStore {
-    /// Records by bucket, so that one bucket can be told without a walk over all.
+    /// Records by bucket, so that one bucket can be sent without iterating over
+    /// all records.
     records: Vec<BTreeMap<KeyHash, Record>>,
     buckets: [SetHash; DIGEST_BUCKETS],
     highest: ResourceVersion,
@@ -93,8 +95,8 @@
 }
 
 impl ConfigStore {
-    /// Takes in a record when its version is higher than the known one.
-    /// Returns whether anything changed.
+    /// Stores a record if its version is higher than the known one. Returns
+    /// whether anything changed.
     pub fn merge(&mut self, record: Record) -> bool {
         let key = record.key_hash();
         let number = bucket_of(key);
@@ -111,9 +113,9 @@
         true
     }
 
-    /// Takes in a complete list of one kind that was read at `version`.
-    /// Objects that the list lacks and that are not newer were deleted.
-    /// Returns the records that changed.
+    /// Merges a complete list of one kind that was read at `version`. Known
+    /// objects that are missing from the list and not newer than it were
+    /// deleted. Returns the records that changed.
     pub fn merge_list(
         &mut self,
         kind: Kind,
@@ -155,7 +157,7 @@
         self.objects().filter(move |object| object.kind == kind)
     }
 
-    /// The record of one identity, deletions included.
+    /// The record of one identity, including tombstones.
     pub fn record(&self, key: KeyHash) -> Option<&Record> {
         self.records[bucket_of(key)].get(&key)
     }
@@ -174,12 +176,12 @@
         self.highest
     }
 
-    /// Number of records, deletions included.
+    /// Number of records, including tombstones.
     pub fn len(&self) -> usize {
         self.records.iter().map(BTreeMap::len).sum()
     }
 
-    /// Whether nothing is known.
+    /// Whether the store has no records.
     pub fn is_empty(&self) -> bool {
         self.records.iter().all(BTreeMap::is_empty)
     }
--- a/crates/cluster/src/config_sync.rs
+++ b/crates/cluster/src/config_sync.rs
@@ -1,6 +1,7 @@
-//! Spreads configuration between nodes: a change is pushed to a few members at
-//! once and handed on by each node that had not seen it; what a push missed is
-//! found by comparing digests on probes and mended by difference.
+//! Synchronises configuration between nodes. A change is pushed to a few
+//! members at once and forwarded by each node for which it is new. Changes that
+//! a push missed are found by comparing digests on probes, and only the
+//! differing records are sent.
 
 use crate::config_store::{ConfigStore, KeyHash, Record, DIGEST_BUCKETS};
 use crate::membership::Membership;
@@ -13,17 +14,19 @@
 };
 use std::net::SocketAddr;
 
-/// Members to which news is pushed by every node that learns it.
+/// Number of members to which each node pushes a change that is new to it.
 pub const PUSH_FANOUT: usize = 4;
-/// More records than this at once are not news but catching up, and not handed on.
+/// Maximum number of changed records that are pushed together. More records at
+/// once are a node catching up, not new changes, and are not forwarded.
 const MAX_PUSHED_CHANGES: usize = 32;
-/// A digest is compared only when the own store was quiet for so long, in
-/// milliseconds: before, the difference is most likely news under way.
+/// A digest is compared only when the own store has not changed for this time,
+/// in milliseconds: before that, the difference is most likely a change that is
+/// still being pushed.
 const QUIET_MS: u64 = 200;
-/// Shortest time between two comparisons that this node begins, in milliseconds.
+/// Minimum interval between comparisons that this node starts, in milliseconds.
 const COMPARE_PERIOD_MS: u64 = 250;
 
-/// One node's side of the spreading.
+/// One node's part in the synchronisation.
 #[derive(Debug, Default)]
 pub struct ConfigSync {
     /// All objects.
@@ -34,12 +37,13 @@
 }
 
 impl ConfigSync {
-    /// Takes the records that changed since the last call.
+    /// Returns the records that changed since the last call.
     pub fn take_changed_records(&mut self) -> Vec<Record> {
         std::mem::take(&mut self.changed_records)
     }
 
-    /// Takes in records from the object API or an operator and pushes the news.
+    /// Applies records from the object API or an operator and pushes those that
+    /// changed.
     pub fn apply_records(
         &mut self,
         records: Vec<Record>,
@@ -52,7 +56,8 @@
         self.push_changes(&changes, 0, members, random, outbox);
     }
 
-    /// Takes in a complete list of one kind from the object API.
+    /// Applies a complete list of one kind from the object API and pushes what
+    /// changed.
     #[allow(clippy::too_many_arguments)]
     pub fn apply_list(
         &mut self,
@@ -106,7 +111,7 @@
         }
     }
 
-    /// Takes in pushed records and hands on what is news.
+    /// Applies pushed records and forwards those that were new.
     pub fn on_push(
         &mut self,
         push: &ConfigPush,
@@ -120,7 +125,7 @@
         self.push_changes(&changes, push.hops, members, random, outbox);
     }
 
-    /// Compares with a member whose digest came with a probe.
+    /// Starts a comparison with a member whose digest on a probe differs.
     pub fn on_root(&mut self, from: SocketAddr, root: u64, now: Millis, outbox: &mut Outbox) {
         if root == self.store.root().0 {
             return;
@@ -135,13 +140,14 @@
         }
     }
 
-    /// Compares at once with the member that answered a join: in a herd of
-    /// restarts it may be the only one that knows.
+    /// Starts a comparison at once with the member that answered a join: when
+    /// many nodes restart together, it may be the only one that has the
+    /// configuration.
     pub fn compare_with(&self, from: SocketAddr, outbox: &mut Outbox) {
         outbox.send(from, self.buckets_message());
     }
 
-    /// Compares with a random member.
+    /// Starts a comparison with a random member.
     pub fn compare_with_random_member(
         &self,
         members: &Membership,
@@ -182,7 +188,8 @@
         }
     }
 
-    /// Pulls what the other side has newer and pushes what it lacks.
+    /// Pulls records that are newer on the other side and pushes those that it
+    /// lacks or has in an older version.
     pub fn on_versions(&self, from: SocketAddr, theirs: &ConfigVersions, outbox: &mut Outbox) {
         let mut pull = ConfigPull::default();
         let mut push = ConfigPush::default();
@@ -219,7 +226,7 @@
     }
 }
 
-/// Records on one message; more go on several.
+/// Maximum number of records in one message; more are split over several.
 const RECORDS_PER_MESSAGE: usize = 1_000;
 
 fn send_in_parts(to: SocketAddr, records: Vec<ObjectRecord>, outbox: &mut Outbox) {
--- a/crates/cluster/src/core/claiming.rs
+++ b/crates/cluster/src/core/claiming.rs
@@ -8,11 +8,11 @@
         Ticket(self.next_ticket)
     }
 
-    /// Asks the claim group for the right to run a request once. The outcome
-    /// comes as [`CoreEvent::Claim`].
+    /// Proposes a claim to the claim group: the right to run a request once.
+    /// The outcome is returned as [`CoreEvent::Claim`].
     ///
     /// # Errors
-    /// When no claim group is known: when to come back.
+    /// When no claim group is known: the time after which to retry.
     pub fn propose(
         &mut self,
         key: ClaimKey,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Gives a granted claim back: its request did not run and never will.
+    /// Releases a granted claim: its request did not run and never will.
     pub fn release_claim(&mut self, ticket: Ticket) {
         if let Some(proposal) = self.granted.remove(&ticket) {
             let members = &self.members;
@@ -109,7 +109,8 @@
         self.tick_completions(now);
     }
 
-    /// Forgets a granted claim whose request may have run without an answer.
+    /// Drops a granted claim without releasing it: its request may have run
+    /// without an answer.
     pub fn abandon_claim(&mut self, ticket: Ticket) {
         self.granted.remove(&ticket);
     }
--- a/crates/cluster/src/core/configuration.rs
+++ b/crates/cluster/src/core/configuration.rs
@@ -1,4 +1,5 @@
-//! Configuration: who reads the object API, and what is learned from it.
+//! Configuration: whether this node reads the object API, and how records are
+//! applied.
 
 use super::*;
 
@@ -8,7 +9,7 @@
         readers::is_reader(&self.members, now)
     }
 
-    /// Takes in records from the object API or an operator.
+    /// Applies records from the object API or an operator.
     pub fn apply_records(&mut self, records: Vec<Record>, now: Millis) {
         let (members, outbox) = (&self.members, &mut self.outbox);
         self.config
@@ -16,7 +17,7 @@
         self.apply_config_changes(now);
     }
 
-    /// Takes in a complete list of one kind from the object API.
+    /// Applies a complete list of one kind from the object API.
     pub fn apply_list(
         &mut self,
         kind: Kind,
@@ -40,8 +41,8 @@
         self.apply_config_changes(now);
     }
 
-    /// A node that has just started compares often: it must serve at once, and
-    /// a lost push would otherwise be found by the next probe only.
+    /// Compares configuration often just after a start: the node must serve at
+    /// once, and otherwise only the next probe would reveal a lost push.
     pub(super) fn compare_after_start(&mut self, now: Millis) {
         if now.0 >= START_UP_MS || now < self.next_start_comparison {
             return;
@@ -69,7 +70,8 @@
             kind: Kind::ClaimGroup,
             name: CLAIM_GROUP.to_owned(),
         });
-        // Each generation was stored as a version, so the next version is higher.
+        // Each generation was stored as an object version, so the next version
+        // is higher than any earlier generation.
         let first_generation = self.config.store.highest().0 + 1;
         let members = &self.members;
         let plan = claim_group_plan::plan(present.as_ref(), members, item.0, first_generation, now);
--- a/crates/cluster/src/core/directory.rs
+++ b/crates/cluster/src/core/directory.rs
@@ -3,10 +3,11 @@
 use super::*;
 
 impl NodeCore {
-    /// The live node that has the directory's shard of a block. The shards are
-    /// spread over the same nodes that hear of the same engines: all of a small
-    /// fleet, or those of the own zone. With shards by zone in a small fleet
-    /// each zone placed every prefix anew.
+    /// The live node that owns the directory's shard of a block. Shards are
+    /// distributed over the nodes that receive reports on the same engines: all
+    /// nodes of a small fleet, or those of the own zone in a larger one. With
+    /// shards by zone in a small fleet, each zone would place every prefix
+    /// anew.
     pub(super) fn shard_of(&self, anchor: BlockHash) -> Option<NodeKey> {
         let zone = &self.members.own().zone;
         let small = self.members.live_count() < engine_watch::SMALL_FLEET_NODES;
@@ -24,8 +25,9 @@
         self.members.address(shard)
     }
 
-    /// Asks the directory's shard for holders of a prompt. Nothing when this
-    /// node has the shard itself or already knows a holder of the whole chain.
+    /// Asks the directory's shard for engines that hold a prefix of a prompt.
+    /// Returns `None` when this node owns the shard itself or already knows a
+    /// holder of the whole chain.
     pub fn look_up(&mut self, chain: &PromptChain) -> Option<Ticket> {
         let anchor = *chain.blocks.first()?;
         let target = self.remote_shard(anchor)?;
@@ -43,7 +45,7 @@
         Some(ticket)
     }
 
-    /// Tells the directory's shard of a placement.
+    /// Reports a placement to the directory's shard.
     pub fn publish_placement(
         &mut self,
         chain: &PromptChain,
--- a/crates/cluster/src/core/engines.rs
+++ b/crates/cluster/src/core/engines.rs
@@ -1,4 +1,4 @@
-//! What is known of engines, observed and heard.
+//! Observations of engines: own polls and reports of other observers.
 
 use super::*;
 
@@ -31,8 +31,9 @@
         self.router.note_unobserved(silent);
     }
 
-    /// Takes in what this node observed of an engine by a look that began at
-    /// `polled_at`. What a paused node reads only after its pause is too old.
+    /// Records this node's observation of an engine from a poll that began at
+    /// `polled_at`. An answer that is read only after a pause of the process is
+    /// too old and is ignored.
     pub fn record_observation(
         &mut self,
         observation: EngineObservation,
@@ -46,7 +47,7 @@
         self.router.observe(&merged, now);
     }
 
-    /// Takes in that an engine did not answer a look.
+    /// Records that an engine did not answer a poll.
     pub fn record_failed_poll(&mut self, engine: EngineKey, now: Millis) {
         let Some(index) = self.router.fleet.find(engine) else {
             return;
@@ -57,8 +58,8 @@
         }
     }
 
-    /// Takes in what an engine said of itself when it refused a request that
-    /// relied on another life or other weights.
+    /// Applies the incarnation and weights that an engine reported when it
+    /// refused a request that relied on others.
     pub fn apply_engine_correction(
         &mut self,
         engine: EngineKey,
--- a/crates/cluster/src/core/explaining.rs
+++ b/crates/cluster/src/core/explaining.rs
@@ -1,9 +1,9 @@
-//! Explanations from other nodes, and the good-bye.
+//! Decision records of other nodes, and the announcement of a planned stop.
 
 use super::*;
 
 impl NodeCore {
-    /// Asks every live node for its decisions on a request.
+    /// Requests every live node's decision records on a request.
     pub fn request_decisions(&mut self, request: &str) -> Ticket {
         let ticket = self.new_ticket();
         let message = ploverlift_wire::messages::ExplainRequest {
@@ -39,7 +39,7 @@
         self.outbox.send(from, Body::ExplainAnswer(answer));
     }
 
-    /// Says good-bye: a planned stop begins.
+    /// Announces a planned stop to other members.
     pub fn leave(&mut self) {
         let digests = self.digests();
         self.members.leave(&mut self.outbox, digests);
--- a/crates/cluster/src/core/limits.rs
+++ b/crates/cluster/src/core/limits.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 impl NodeCore {
-    /// Takes one request of a tenant's rate.
+    /// Takes one request from a tenant's rate limit.
     ///
     /// # Errors
-    /// When the tenant's rate is used up: when to come back.
+    /// When the tenant's rate is used up: the time after which to retry.
     pub fn take_rate(&mut self, tenant: &Tenant, now: Millis) -> Result<(), RetryAfter> {
         let limit = f64::from(tenant.spec.requests_per_second);
         if limit == 0.0 {
--- a/crates/cluster/src/core/mod.rs
+++ b/crates/cluster/src/core/mod.rs
@@ -1,6 +1,6 @@
-//! The whole of one node without its I/O. A driver gives it time and messages
-//! and performs what it asks: the node's runtime does so with sockets, tests
-//! and experiments do so on a simulated network in virtual time.
+//! The complete logic of one node without its I/O. A driver passes in time and
+//! messages and sends the resulting messages: the node's runtime does so with
+//! sockets, tests and experiments do so on a simulated network in virtual time.
 
 mod claiming;
 mod configuration;
@@ -38,44 +38,54 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The driver calls [`NodeCore::tick`] at least this often, in milliseconds.
+/// Maximum interval between calls of [`NodeCore::tick`] by the driver, in
+/// milliseconds.
 pub const TICK_MS: u64 = 50;
-/// Time between two looks for engines whose observers are silent, in milliseconds.
+/// Interval between checks for engines whose observers are silent, in
+/// milliseconds.
 const SILENCE_CHECK_PERIOD_MS: u64 = 200;
-/// Time after which a lookup in the directory's shard is given up, in milliseconds.
+/// Time-out of a lookup in the directory's shard, in milliseconds.
 pub const LOOKUP_TIMEOUT_MS: u64 = 8;
-/// The one claim group of a site. More groups divide the claims of larger ones.
+/// Name of the only claim group of a site. Larger sites could divide their
+/// claims among several groups.
 pub const CLAIM_GROUP: &str = "claims-0";
-/// A node that did not tick for so long was paused, in milliseconds.
+/// Time without a tick after which a node counts as having been paused, in
+/// milliseconds.
 const PAUSE_THRESHOLD_MS: u64 = 1_500;
-/// Longest time for which a node that was paused holds new requests, in milliseconds.
+/// Maximum time for which a node holds back new requests after a pause, in
+/// milliseconds.
 const CATCH_UP_MS: u64 = 100;
-/// Longest time for which a node that has just started holds new requests:
-/// until a node that runs has told it what it knows of engines, in milliseconds.
+/// Maximum time for which a node that has just started holds back new requests
+/// until a running node has sent it the known state of the engines, in
+/// milliseconds.
 const START_CATCH_UP_MS: u64 = 300;
-/// Members that a node that was paused asks.
+/// Number of members that a node asks for their state after a pause.
 const CATCH_UP_MEMBERS: usize = 2;
-/// A node counts as just started for so long, in milliseconds.
+/// Time after a start during which a node counts as just started, in
+/// milliseconds.
 const START_UP_MS: u64 = 3_000;
-/// Time between two comparisons of configuration just after a start, in milliseconds.
+/// Interval between comparisons of configuration just after a start, in
+/// milliseconds.
 const START_COMPARISON_PERIOD_MS: u64 = 150;
-/// Time between two looks at whether the claim group should change, in milliseconds.
+/// Interval between checks whether the claim group should change, in
+/// milliseconds.
 const GROUP_PLAN_PERIOD_MS: u64 = 1_000;
-/// An answer is sent to the claim's replicas so many times, against loss.
+/// Number of times that an answer is sent to the claim's replicas, in case
+/// messages are lost.
 const COMPLETE_REPEATS: u32 = 3;
-/// Time between two of these, in milliseconds.
+/// Interval between these transmissions, in milliseconds.
 const COMPLETE_PERIOD_MS: u64 = 300;
 
-/// Constants of one node.
+/// Settings of one node.
 #[derive(Clone, Debug)]
 pub struct CoreSettings {
-    /// Who the node is.
+    /// Identity of the node.
     pub identity: Identity,
-    /// Cluster listeners that are asked first.
+    /// Addresses of the cluster listeners through which the node joins.
     pub seeds: Vec<SocketAddr>,
-    /// Constants of its decisions.
+    /// Settings of its routing decisions.
     pub router: RouterSettings,
-    /// Time for which claims are kept, in milliseconds.
+    /// Retention time of claims, in milliseconds.
     pub claim_retention_ms: u64,
 }
 
@@ -97,14 +107,14 @@
     }
 }
 
-/// Something that the driver waits for.
+/// An event that the driver waits for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CoreEvent {
     /// A claim was decided.
     Claim {
         /// The proposal.
         ticket: Ticket,
-        /// What came of it.
+        /// The outcome.
         outcome: ClaimOutcome,
     },
     /// The directory's shard answered.
@@ -114,18 +124,19 @@
         /// Engines that hold a prefix.
         matches: Vec<PrefixMatch>,
     },
-    /// Another node answered about its decisions on a request.
+    /// Another node sent its decisions on a request.
     Explained {
-        /// The question.
+        /// The request for decisions.
         ticket: Ticket,
         /// JSON array of decision records.
         decisions: Vec<u8>,
     },
-    /// The claim group should get this description: store it if nobody did.
+    /// The claim group should get this description: store it unless another
+    /// node already did.
     WriteClaimGroup {
         /// Version that must still be stored; 0 to create.
         version: ResourceVersion,
-        /// What to store.
+        /// The description to store.
         spec: ClaimGroupSpec,
     },
 }
@@ -148,11 +159,11 @@
     pub router: Router,
     /// Rate limits over the fleet.
     pub quota: Quota,
-    /// This node's part in the claim group.
+    /// This node's replica of the claim group.
     pub claims: ClaimReplica,
     watch: EngineWatch,
-    /// Who observes which engine; worked out again after a change of members
-    /// or machines.
+    /// Observers of each engine; computed again after a change of members or
+    /// machines.
     duties: Option<ObserverDuties>,
     proposals: BTreeMap<Ticket, Proposal>,
     granted: BTreeMap<Ticket, Proposal>,
@@ -170,7 +181,7 @@
 }
 
 impl NodeCore {
-    /// A node that has just started: it knows its settings and nothing else.
+    /// A node that has just started and knows only its settings.
     pub fn new(settings: CoreSettings, seed: u64, now: Millis) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
         let own_key = NodeKey::of(&settings.identity.name);
@@ -202,12 +213,12 @@
         }
     }
 
-    /// Takes the messages to send.
+    /// Returns the messages to send and removes them.
     pub fn take_messages(&mut self) -> Vec<Outgoing> {
         self.outbox.take()
     }
 
-    /// Takes what the driver waits for.
+    /// Returns the pending events and removes them.
     pub fn take_events(&mut self) -> Vec<CoreEvent> {
         std::mem::take(&mut self.events)
     }
@@ -227,7 +238,7 @@
         &mut self.random
     }
 
-    /// Does what is due at `now`.
+    /// Performs all periodic work that is due at `now`.
     pub fn tick(&mut self, now: Millis) {
         self.detect_pause(now);
         let digests = self.digests();
@@ -250,7 +261,8 @@
         }
     }
 
-    /// Tells a member that knows other leaving engines those that this node knows.
+    /// Sends the leaving engines that this node knows to a member whose digest
+    /// of them differs.
     fn compare_leaving(&mut self, from: SocketAddr, root: u64) {
         if root == self.watch.leaving_root() {
             return;
@@ -260,7 +272,8 @@
         }
     }
 
-    /// After a pause of its process a node asks others what it missed.
+    /// Detects a pause of the process and asks other members for what it
+    /// missed.
     fn detect_pause(&mut self, now: Millis) {
         let paused = now.since(self.last_tick) >= PAUSE_THRESHOLD_MS;
         self.last_tick = now;
@@ -272,13 +285,13 @@
             .request_members(CATCH_UP_MEMBERS, &mut self.random, &mut self.outbox);
     }
 
-    /// Whether the node was paused, or has just started, and has not heard yet
-    /// what it missed. New requests wait for it, shortly.
+    /// Whether the node was paused or has just started and has not yet received
+    /// what it missed. New requests are held back until then, for a short time.
     pub fn is_catching_up(&self, now: Millis) -> bool {
         now.since(self.last_tick) >= PAUSE_THRESHOLD_MS || now < self.catch_up_until
     }
 
-    /// Takes in a message.
+    /// Processes a message.
     pub fn handle(&mut self, from: SocketAddr, envelope: Envelope, now: Millis) {
         let sender = NodeKey(envelope.sender);
         let life = envelope.sender_life;
@@ -401,7 +414,8 @@
         }
     }
 
-    /// Reports may come before the machine list's entry of their engine.
+    /// Applies reports that arrived before the machine list's entry of their
+    /// engine.
     fn apply_reports_to_new_engines(&mut self, now: Millis) {
         let fleet = &self.router.fleet;
         let new = fleet.iter().map(|(_, engine)| engine);
--- a/crates/cluster/src/engine_watch.rs
+++ b/crates/cluster/src/engine_watch.rs
@@ -1,8 +1,8 @@
-//! Who observes which engine, and how observations reach other nodes.
+//! Observations of engines, and how they reach other nodes.
 //!
-//! Two nodes observe each engine: those of its zone with the highest
-//! rendezvous weight. They publish what changed, and in turn everything, to
-//! the nodes that route to the engine. A change of health, life or weights is
+//! Two nodes observe each engine: those of its zone with the highest rendezvous
+//! weight. They publish changes, and periodically the full state, to the nodes
+//! that route to the engine. A change of health, incarnation or weights is
 //! published at once and repeated, because a lost message must not keep a
 //! leaving engine in use; a change of load is published when it is large.
 
@@ -17,36 +17,41 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Time between two looks at an engine, in milliseconds.
+/// Interval between polls of an engine, in milliseconds.
 pub const POLL_PERIOD_MS: u64 = 300;
-/// Longest wait for an engine's answer to a look, in milliseconds.
+/// Time-out of a poll, in milliseconds.
 pub const POLL_TIMEOUT_MS: u64 = 500;
-/// Looks without an answer after which an engine counts as dead.
+/// Number of consecutive polls without an answer after which an engine counts
+/// as dead.
 const FAILED_POLLS_UNTIL_DEAD: u32 = 2;
-/// Nodes that observe one engine.
+/// Number of nodes that observe one engine.
 pub const OBSERVERS_PER_ENGINE: usize = 2;
-/// Time between two publications, in milliseconds.
+/// Interval between publications, in milliseconds.
 pub const PUBLISH_PERIOD_MS: u64 = 250;
-/// Everything is published again within this time, in milliseconds.
+/// Interval at which the full state of an engine is published again, in
+/// milliseconds.
 pub const REFRESH_PERIOD_MS: u64 = 10_000;
-/// An observer with nothing to say shows at this period that it is there, in milliseconds.
+/// Interval of the heartbeat of an observer without changes to publish, in
+/// milliseconds.
 const HEARTBEAT_PERIOD_MS: u64 = 1_000;
-/// An observer that was not heard of for so long counts as silent, in
-/// milliseconds: within it and a tick, a leaving engine must be out of use even
-/// when both its observers are lost in the same moment.
+/// Time without a message after which an observer counts as silent, in
+/// milliseconds. Within this time and one tick, a leaving engine must be out of
+/// use even when both its observers are lost at the same moment.
 const OBSERVER_TIMEOUT_MS: u64 = 2_400;
-/// Publications of one change of health, life or weights.
+/// Number of times that a change of health, incarnation or weights is
+/// published.
 const ELIGIBILITY_REPEATS: u32 = 3;
-/// Up to so many nodes, every node hears of every engine; in larger fleets a
-/// node hears of the engines of its zone.
+/// Up to this number of nodes, every node receives reports on every engine; in
+/// larger fleets a node receives those on the engines of its zone.
 pub const SMALL_FLEET_NODES: usize = 32;
-/// A load counts as changed when requests or queued tokens differ by this share.
+/// A load counts as changed when requests or queued tokens differ by at least
+/// this fraction.
 const LOAD_CHANGE_SHARE: f64 = 0.25;
-/// Smaller differences in requests are never published between refreshes.
+/// Smaller differences in requests are not published between refreshes.
 const MIN_REQUEST_CHANGE: u32 = 2;
-/// Smaller differences in queued tokens are never published between refreshes.
+/// Smaller differences in queued tokens are not published between refreshes.
 const MIN_TOKEN_CHANGE: u32 = 2_000;
-/// Reports on one message: it stays within one datagram.
+/// Maximum number of reports in one message, so that it fits into one datagram.
 const REPORTS_PER_MESSAGE: usize = 24;
 
 #[derive(Clone, Debug)]
@@ -59,7 +64,7 @@
     order: u64,
 }
 
-/// What another observer said last.
+/// The latest report of another observer.
 #[derive(Clone, Debug)]
 struct PeerReport {
     observer: NodeKey,
@@ -68,23 +73,24 @@
     order: u64,
 }
 
-/// One node's observations and what it has heard from other observers.
+/// One node's own observations and the reports of other observers.
 #[derive(Debug, Default)]
 pub struct EngineWatch {
     own: BTreeMap<EngineKey, OwnObservation>,
     failed_polls: BTreeMap<EngineKey, u32>,
     peer_reports: BTreeMap<EngineKey, Vec<PeerReport>>,
-    /// Engines that are known to leave, each in its life.
+    /// Engines that are known to leave, with the incarnation that leaves.
     leaving: BTreeMap<EngineKey, Incarnation>,
     next_order: u64,
     next_publish: Millis,
     published_at: Millis,
-    /// When each other node was last heard of as an observer.
+    /// Time of the last message from each other node as an observer.
     last_heartbeats: BTreeMap<NodeKey, Millis>,
 }
 
 impl EngineWatch {
-    /// Takes in what this node observed. Returns what now holds of the engine.
+    /// Records an observation by this node. Returns the merged observation of
+    /// the engine.
     pub fn record_observation(&mut self, observation: EngineObservation) -> EngineObservation {
         let key = observation.key;
         if observation.health != Health::Dead {
@@ -107,8 +113,8 @@
             .unwrap_or_else(|| self.own[&key].latest.clone())
     }
 
-    /// Takes in that an engine did not answer a look. Returns what now holds
-    /// of the engine once it counts as dead.
+    /// Records a poll without an answer. Returns the merged observation of the
+    /// engine once it counts as dead.
     pub fn record_failed_poll(&mut self, engine: &Engine) -> Option<EngineObservation> {
         let count = self.failed_polls.entry(engine.key).or_default();
         *count += 1;
@@ -124,9 +130,9 @@
         }))
     }
 
-    /// Takes in what another node published. `observers` are the engine's
-    /// present ones: what a former one said no longer counts, it may be long
-    /// out of date. Returns what now holds.
+    /// Records a report published by another node. `observers` are the engine's
+    /// present observers: reports of former ones are removed, because they may
+    /// be long out of date. Returns the merged observation.
     pub fn record_peer_report(
         &mut self,
         from: NodeKey,
@@ -144,18 +150,19 @@
         self.update_leaving(observation.key).unwrap_or(observation)
     }
 
-    /// Notes that a node publishes reports.
+    /// Records that a node was active as an observer at `now`.
     pub fn record_heartbeat(&mut self, observer: NodeKey, now: Millis) {
         self.last_heartbeats.insert(observer, now);
     }
 
-    /// Whether a node was heard of as an observer lately.
+    /// Whether a node published anything within [`OBSERVER_TIMEOUT_MS`].
     pub fn is_observer_active(&self, observer: NodeKey, now: Millis) -> bool {
         let last_heartbeat = self.last_heartbeats.get(&observer);
         last_heartbeat.is_some_and(|at| now.since(*at) < OBSERVER_TIMEOUT_MS)
     }
 
-    /// Forgets what a dead observer said. Returns what now holds of the engines it observed.
+    /// Removes the reports of a dead observer. Returns the merged observations
+    /// of the engines that it observed.
     pub fn remove_observer(&mut self, observer: NodeKey) -> Vec<EngineObservation> {
         self.last_heartbeats.remove(&observer);
         let mut touched = Vec::new();
@@ -172,13 +179,13 @@
             .collect()
     }
 
-    /// Forgets own observations of engines that others observe now.
+    /// Removes own observations of engines that this node no longer observes.
     pub fn retain_own(&mut self, observes: impl Fn(EngineKey) -> bool) {
         self.own.retain(|engine, _| observes(*engine));
         self.failed_polls.retain(|engine, _| observes(*engine));
     }
 
-    /// Works out what holds of an engine and notes whether it leaves.
+    /// Merges the reports on an engine and records whether it is leaving.
     fn update_leaving(&mut self, engine: EngineKey) -> Option<EngineObservation> {
         let merged = self.merged_observation(engine)?;
         if merged.health == Health::Leaving {
@@ -189,9 +196,10 @@
         Some(merged)
     }
 
-    /// Joins the observers' reports: only the latest life counts; an engine of
-    /// which one says that it leaves is leaving; it is dead only when all say
-    /// so; otherwise what was learned last holds.
+    /// Merges the reports of all observers of an engine. Only the latest
+    /// incarnation counts. An engine that any observer reports as leaving is
+    /// leaving; it is dead only when all report it dead; otherwise the report
+    /// received last wins.
     pub fn merged_observation(&self, engine: EngineKey) -> Option<EngineObservation> {
         let own = self.own.get(&engine);
         let own = own.map(|observed| (&observed.latest, observed.order));
@@ -203,7 +211,7 @@
         best.map(|(report, _)| report.clone())
     }
 
-    /// Everything that holds, for a node that has just joined.
+    /// The merged observations of all engines, for a node that has just joined.
     pub fn reports_for_joiner(&self, fleet: &Fleet) -> Vec<EngineReports> {
         let engines = fleet.iter().map(|(_, engine)| engine.key);
         let merged: Vec<EngineReport> = engines
@@ -218,8 +226,9 @@
             .collect()
     }
 
-    /// Digest over the engines that are known to leave. That an engine leaves
-    /// stays true for its life, so a difference can be mended by telling.
+    /// Digest over the engines that are known to leave. A leaving engine stays
+    /// so for the rest of its incarnation, so a difference can be resolved by
+    /// sending the reports.
     pub fn leaving_root(&self) -> u64 {
         self.leaving.iter().fold(0, |root, (engine, life)| {
             root ^ xxh3_64_with_seed(&life.0.to_le_bytes(), engine.0)
@@ -242,8 +251,9 @@
             .collect()
     }
 
-    /// Publishes what is due. Of an engine's observers only the first publishes
-    /// changes of load, which are most of all reports.
+    /// Publishes due reports and heartbeats. Only the first observer of an
+    /// engine publishes changes of its load, which are the largest part of all
+    /// reports.
     pub fn tick(
         &mut self,
         now: Millis,
@@ -301,7 +311,7 @@
     }
 }
 
-/// Nodes that this node's observations are for.
+/// Addresses of the nodes that receive this node's reports.
 fn report_targets(members: &Membership) -> Vec<SocketAddr> {
     let small = members.live_count() < SMALL_FLEET_NODES;
     let own_zone = &members.own().zone;
@@ -310,7 +320,8 @@
     near.map(|(_, member)| member.identity.address).collect()
 }
 
-/// Which of two reports of one life counts more, before the later one does.
+/// Precedence of a report among reports of the same incarnation; among equal
+/// ones the later report wins.
 fn preference(health: Health) -> u8 {
     match health {
         Health::Dead => 0,
@@ -370,7 +381,7 @@
     }
 }
 
-/// Reads a report of another observer.
+/// Converts a report of another observer.
 pub fn from_message(report: &EngineReport) -> EngineObservation {
     EngineObservation {
         key: EngineKey(report.engine),
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -1,16 +1,16 @@
-//! Who is a member: probes with suspicion and refutation, spread by gossip on
-//! the probes themselves, after SWIM (Das, Gupta, Motivala 2002).
+//! Cluster membership: probes with suspicion and refutation, disseminated by
+//! gossip on the probes themselves, after SWIM (Das, Gupta, Motivala 2002).
 //!
-//! One member is probed in each period; without an answer others probe it too;
-//! without an answer still it is suspected, and dead when it does not refute in
-//! time. The cost of a node does not depend on the number of members. Dead
-//! members are probed now and then, so that a healed cut is found from either
-//! side.
+//! One member is probed in each period. Without an answer, other members probe
+//! it too; if that fails as well it is suspected, and it is declared dead when
+//! it does not refute in time. The cost for a node does not depend on the
+//! number of members. Dead members are probed occasionally, so that the end of
+//! a network partition is detected from either side.
 //!
 //! Gossip alone is not enough: nodes that start at the same moment can each
-//! learn of one other only, and then nobody has news to tell. So probes carry a
-//! digest of the live members, and a lasting difference is mended by asking for
-//! the whole list.
+//! learn of only one other, after which no node has updates to send. Therefore
+//! probes carry a digest of the live members, and a lasting difference is
+//! resolved by requesting the complete list.
 
 mod probing;
 mod updates;
@@ -25,35 +25,40 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Time between two probes, in milliseconds.
+/// Interval between probes, in milliseconds.
 pub const PROBE_PERIOD_MS: u64 = 1_000;
-/// Time until a probe without an answer is made through others, in milliseconds.
+/// Time without an answer after which a probe is repeated through other
+/// members, in milliseconds.
 pub const PROBE_TIMEOUT_MS: u64 = 300;
-/// Members through which a probe is repeated.
+/// Number of members through which a probe is repeated.
 pub const INDIRECT_PROBES: usize = 3;
-/// Time a suspected member has to refute, in milliseconds.
+/// Time within which a suspected member must refute the suspicion, in
+/// milliseconds.
 pub const SUSPICION_MS: u64 = 3_000;
-/// Time between two tries to join through seeds, in milliseconds.
+/// Minimum interval between attempts to join through seeds, in milliseconds.
 pub const JOIN_PERIOD_MS: u64 = 500;
-/// Time between two probes of a dead member, in milliseconds.
+/// Interval between probes of a dead member, in milliseconds.
 pub const RECONNECT_PERIOD_MS: u64 = 2_000;
-/// Time after which a dead member is forgotten, in milliseconds.
+/// Time after which a dead member is removed, in milliseconds.
 pub const DEAD_RETENTION_MS: u64 = 3_600_000;
-/// Members are compared only when they did not change for so long, in milliseconds.
+/// Member lists are compared only when they have not changed for this time, in
+/// milliseconds.
 const MEMBERS_QUIET_MS: u64 = 1_000;
-/// Shortest time between two comparisons of members, in milliseconds.
+/// Minimum interval between comparisons of member lists, in milliseconds.
 const COMPARE_MEMBERS_PERIOD_MS: u64 = 5_000;
-/// The same while members change all the time, in milliseconds.
+/// Interval between comparisons while member lists keep changing, in
+/// milliseconds.
 const BUSY_COMPARE_MEMBERS_PERIOD_MS: u64 = 8_000;
-/// Updates on one message.
+/// Maximum number of updates in one message.
 const UPDATES_PER_MESSAGE: usize = 6;
-/// An update is sent this many times the logarithm of the number of members.
+/// An update is sent this many times the binary logarithm of the number of
+/// members.
 const GOSSIP_FACTOR: u32 = 3;
-/// One probe in this many goes to another zone.
+/// Every probe with a number divisible by this goes to another zone.
 const OTHER_ZONE_EVERY: u64 = 4;
 
-/// Digests of what a node knows, sent with every probe: a difference that
-/// lasts is mended by whom it concerns.
+/// Digests of a node's state, sent with every probe so that lasting differences
+/// are found and resolved.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Digests {
     /// Over the configuration.
@@ -62,36 +67,38 @@
     pub leaving: u64,
 }
 
-/// Who a node is.
+/// Identity of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
     /// Name.
     pub name: NodeName,
     /// Failure domain.
     pub zone: ZoneName,
-    /// Group of zones; readers of the object API are chosen in each region.
+    /// Group of zones; readers of the object API are selected in each region.
     pub region: String,
     /// Cluster listener.
     pub address: SocketAddr,
-    /// Milliseconds of Unix time at the node's start.
+    /// Unix time of the node's start in milliseconds; identifies the
+    /// incarnation.
     pub life: u64,
 }
 
-/// What is known of another node.
+/// The known state of another node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Who it is.
+    /// Identity.
     pub identity: Identity,
-    /// Rises when the node refutes a suspicion.
+    /// Incremented when the node refutes a suspicion.
     pub refutation: u32,
     /// Present status.
     pub status: MemberStatus,
-    /// When the status was taken.
+    /// Time of the last change of status.
     pub since: Millis,
 }
 
 impl Member {
-    /// Whether duties may be given to the member. Suspected ones keep theirs.
+    /// Whether duties may be assigned to the member. Suspected members keep
+    /// theirs.
     pub fn is_live(&self) -> bool {
         matches!(self.status, MemberStatus::Alive | MemberStatus::Suspect)
     }
@@ -105,7 +112,7 @@
     indirect: bool,
 }
 
-/// A probe that was made for another node and whose answer goes back to it.
+/// A probe made on behalf of another node, to which its answer is relayed.
 #[derive(Clone, Copy, Debug)]
 struct RelayedProbe {
     to: SocketAddr,
@@ -113,16 +120,16 @@
     at: Millis,
 }
 
-/// A change of membership that other parts act on.
+/// A change of membership that other components act on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberChange {
-    /// A node joined, came back or restarted.
+    /// A node joined, was reachable again or restarted.
     Joined(NodeKey),
     /// A node died or left.
     Gone(NodeKey),
 }
 
-/// The members that one node knows.
+/// One node's view of the members.
 #[derive(Debug)]
 pub struct Membership {
     own: Identity,
@@ -187,12 +194,12 @@
         self.own_key
     }
 
-    /// Whether seeds are configured that could know other members.
+    /// Whether seeds other than this node are configured.
     pub fn has_seeds(&self) -> bool {
         !self.seeds.is_empty()
     }
 
-    /// Every other node that was ever heard of and not forgotten.
+    /// All other known nodes, including dead ones that are not yet removed.
     pub fn members(&self) -> impl Iterator<Item = (NodeKey, &Member)> {
         self.members.iter().map(|(key, member)| (*key, member))
     }
@@ -202,7 +209,7 @@
         self.members.get(&key)
     }
 
-    /// Other nodes that are alive or only suspected.
+    /// Other nodes that are alive or suspected.
     pub fn live(&self) -> impl Iterator<Item = (NodeKey, &Member)> {
         self.members().filter(|(_, member)| member.is_live())
     }
@@ -218,7 +225,7 @@
         member.is_live().then_some(member.identity.address)
     }
 
-    /// Suspicions this node raised itself.
+    /// Number of suspicions that this node raised itself.
     pub fn suspicions(&self) -> u64 {
         self.suspicions
     }
@@ -230,10 +237,12 @@
             .fold(0, |root, (key, life)| root ^ key.digest(life))
     }
 
-    /// Asks for all members of a node that has lasting other ones.
+    /// Requests the complete member list from a node whose digest of the live
+    /// members differs.
     fn compare_root(&mut self, from: SocketAddr, root: u64, now: Millis, outbox: &mut Outbox) {
         let since = self.compared_at.map_or(now.0, |at| now.since(at));
-        // While many nodes start there is never quiet; then compare more rarely.
+        // While many nodes start, the list changes all the time; then it is
+        // compared less often.
         let quiet = now.since(self.changed_at) >= MEMBERS_QUIET_MS;
         let due =
             since >= COMPARE_MEMBERS_PERIOD_MS && quiet || since >= BUSY_COMPARE_MEMBERS_PERIOD_MS;
@@ -247,12 +256,12 @@
         outbox.send(from, Body::Join(join));
     }
 
-    /// Takes the changes since the last call.
+    /// Returns the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<MemberChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// What this node says of itself.
+    /// The update by which this node announces itself.
     pub fn own_update(&self) -> MemberUpdate {
         let status = if self.leaving {
             MemberStatus::Left
@@ -262,7 +271,8 @@
         update_of(&self.own, self.own_refutation, status)
     }
 
-    /// Says good-bye to some members; the rest learn it by gossip.
+    /// Announces to some members that this node leaves; the others learn it by
+    /// gossip.
     pub fn leave(&mut self, outbox: &mut Outbox, digests: Digests) {
         self.leaving = true;
         let targets: Vec<SocketAddr> = self
@@ -277,9 +287,10 @@
     }
 }
 
-/// Members that are told directly when a node leaves.
+/// Maximum number of members that are notified directly when a node leaves.
 const LEAVE_MESSAGES: usize = 16;
-/// Ticks come a little early or late; a probe is judged this much early, in milliseconds.
+/// Tolerance for ticks that come early or late: an unanswered probe is
+/// evaluated this much before the end of its period, in milliseconds.
 const TICK_SLACK_MS: u64 = 100;
 
 fn update_of(identity: &Identity, refutation: u32, status: MemberStatus) -> MemberUpdate {
@@ -303,7 +314,8 @@
     }
 }
 
-/// Whether an update tells more than what is known.
+/// Whether an update is newer than the known state, or reports a worse status
+/// at the same age.
 fn supersedes(update: &MemberUpdate, known: &Member) -> bool {
     let reported = (update.life, update.refutation);
     let present = (known.identity.life, known.refutation);
--- a/crates/cluster/src/membership/probing.rs
+++ b/crates/cluster/src/membership/probing.rs
@@ -1,9 +1,10 @@
-//! Probes, direct and through others, and what comes of them.
+//! Direct and indirect probes, and the handling of their answers.
 
 use super::*;
 
 impl Membership {
-    /// Does what is due at `now`.
+    /// Performs the membership work that is due at `now`: joins, probes and the
+    /// expiry of suspicions.
     pub fn tick(
         &mut self,
         now: Millis,
@@ -46,7 +47,8 @@
         }
     }
 
-    /// Asks a few members for all they know, as after a pause.
+    /// Requests the complete state from up to `count` random members, as after
+    /// a pause.
     pub fn request_members(&self, count: usize, random: &mut fastrand::Rng, outbox: &mut Outbox) {
         let join = Join {
             this: Some(self.own_update()),
@@ -172,7 +174,8 @@
         outbox.send(address, Body::Probe(probe));
     }
 
-    /// Members of the own zone in random order, and now and then one of another zone.
+    /// The next member to probe: members of the own zone in random order, and
+    /// every [`OTHER_ZONE_EVERY`]th time one of another zone.
     pub(super) fn next_target(&mut self, random: &mut fastrand::Rng) -> Option<NodeKey> {
         self.probes_made += 1;
         if self.probes_made % OTHER_ZONE_EVERY == 0 {
@@ -250,7 +253,7 @@
         }
     }
 
-    /// Takes in a probe and answers it.
+    /// Processes a probe and answers it.
     pub fn on_probe(
         &mut self,
         from: SocketAddr,
@@ -284,7 +287,8 @@
         }
     }
 
-    /// What the sender should be told of itself so that it can refute it.
+    /// The sender's own status as known here, if it is suspected or dead, so
+    /// that the sender can refute it.
     pub(super) fn correction_of(&self, update: &MemberUpdate) -> Option<MemberUpdate> {
         let key = NodeKey::of(&NodeName(update.name.clone()));
         let member = self.members.get(&key)?;
@@ -294,7 +298,7 @@
         needed.then(|| update_of(&member.identity, member.refutation, member.status))
     }
 
-    /// Takes in the answer to a probe.
+    /// Processes the answer to a probe.
     pub fn on_probe_answer(
         &mut self,
         from: SocketAddr,
@@ -322,7 +326,7 @@
         }
     }
 
-    /// Probes a member for another node.
+    /// Probes a member on behalf of another node.
     pub fn on_indirect_probe(
         &mut self,
         from: SocketAddr,
--- a/crates/cluster/src/membership/updates.rs
+++ b/crates/cluster/src/membership/updates.rs
@@ -1,9 +1,10 @@
-//! Joins, and updates on members: which one counts, and how it is handed on.
+//! Joins, and member updates: precedence between updates and their
+//! dissemination.
 
 use super::*;
 
 impl Membership {
-    /// Takes in a new node and tells it all members.
+    /// Adds a joining node and sends it the list of live members.
     pub fn on_join(&mut self, from: SocketAddr, join: &Join, now: Millis, outbox: &mut Outbox) {
         if let Some(update) = &join.this {
             self.merge(update, now);
@@ -16,7 +17,7 @@
         outbox.send(from, Body::JoinAnswer(JoinAnswer { members }));
     }
 
-    /// Takes in all members that another node knows.
+    /// Merges the member list of another node.
     pub fn on_join_answer(&mut self, answer: &JoinAnswer, now: Millis) {
         self.joined = true;
         for update in &answer.members {
@@ -30,14 +31,14 @@
         }
     }
 
-    /// Takes in an update and hands it on when it is news.
+    /// Merges an update and queues it for gossip if it is new.
     pub(super) fn merge(&mut self, update: &MemberUpdate, now: Millis) {
         if let Some(key) = self.merge_without_gossip(update, now) {
             self.queue_gossip(key);
         }
     }
 
-    /// Takes in an update; returns the node's key when it is news.
+    /// Merges an update; returns the node's key if it is new.
     pub(super) fn merge_without_gossip(
         &mut self,
         update: &MemberUpdate,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Refutes what is wrongly said of this node.
+    /// Refutes an update that wrongly reports this node as not alive.
     pub(super) fn refute(&mut self, update: &MemberUpdate) -> Option<NodeKey> {
         let wrong = update.status() != MemberStatus::Alive && update.life == self.own.life;
         if wrong && !self.leaving && update.refutation >= self.own_refutation {
--- a/crates/cluster/src/node_key.rs
+++ b/crates/cluster/src/node_key.rs
@@ -16,24 +16,25 @@
         Self(xxh3_64(name.0.as_bytes()))
     }
 
-    /// This node in one life, for digests over sets of nodes.
+    /// Digest of this node in one incarnation, for digests over sets of nodes.
     pub fn digest(self, life: u64) -> u64 {
         xxh3_64_with_seed(&life.to_le_bytes(), self.0)
     }
 
-    /// The weight of this node for `item`; the highest weight has the duty.
+    /// The weight of this node for `item`; the node with the highest weight has
+    /// the duty.
     fn weight(self, item: u64) -> u64 {
         xxh3_64_with_seed(&self.0.to_le_bytes(), item)
     }
 }
 
 /// The node among `nodes` that has the duty for `item`, by rendezvous hashing:
-/// a change of one node moves only that node's share.
+/// adding or removing one node moves only that node's share.
 pub fn rendezvous_first(item: u64, nodes: impl Iterator<Item = NodeKey>) -> Option<NodeKey> {
     nodes.max_by_key(|node| node.weight(item))
 }
 
-/// The `count` nodes that have the duty for `item`, the first one first.
+/// The `count` nodes with the highest weights for `item`, the highest first.
 pub fn rendezvous_top(
     item: u64,
     nodes: impl Iterator<Item = NodeKey>,
--- a/crates/cluster/src/observer_duties.rs
+++ b/crates/cluster/src/observer_duties.rs
@@ -8,10 +8,10 @@
 use ploverlift_policy::objects::MachineRole;
 use std::collections::{BTreeMap, HashMap};
 
-/// Nodes that observe one engine.
+/// Number of nodes that observe one engine.
 pub const OBSERVERS_PER_ENGINE: usize = 2;
 
-/// The duties of all nodes as one node sees them.
+/// The duties of all nodes as seen by one node.
 #[derive(Clone, Debug, Default)]
 pub struct ObserverDuties {
     observers: HashMap<EngineKey, Vec<NodeKey>>,
@@ -19,7 +19,7 @@
 }
 
 impl ObserverDuties {
-    /// Works out the duties for all engines.
+    /// Computes the duties for all engines.
     pub fn assign(fleet: &Fleet, members: &Membership) -> Self {
         let own_key = members.own_key();
         let own_zone = &members.own().zone;
@@ -51,8 +51,8 @@
         self.observers.get(&engine).map_or(&[], Vec::as_slice)
     }
 
-    /// The observer that publishes an engine's load; the others publish only
-    /// what decides whether it may be used.
+    /// Whether `node` is the observer that publishes an engine's load; the
+    /// other observers publish only changes of its eligibility.
     pub fn publishes_load(&self, engine: EngineKey, node: NodeKey) -> bool {
         self.observers_of(engine).first() == Some(&node)
     }
--- a/crates/cluster/src/output.rs
+++ b/crates/cluster/src/output.rs
@@ -1,4 +1,4 @@
-//! What a state machine asks its driver to do.
+//! Output of a state machine: messages that the driver sends.
 
 use ploverlift_wire::messages::envelope::Body;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 pub struct Outgoing {
     /// The other node's cluster listener.
     pub to: SocketAddr,
-    /// What is said.
+    /// The message.
     pub body: Body,
 }
 
@@ -24,7 +24,7 @@
         self.messages.push(Outgoing { to, body });
     }
 
-    /// Takes all messages.
+    /// Returns all messages and empties the queue.
     pub fn take(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.messages)
     }
--- a/crates/cluster/src/quota.rs
+++ b/crates/cluster/src/quota.rs
@@ -1,11 +1,12 @@
 //! Rate limits that hold over the whole fleet.
 //!
-//! Each tenant has a home node, by rendezvous hash over the live nodes. Nodes
-//! tell it their demand; it leases out the tenant's rate in proportion. A
-//! node without a valid lease takes its even share of the rate, so a cut or a
-//! dead home refuses nobody for long. While leases from before a cut still run,
-//! nodes that lost their home add their even shares: the sum may then exceed the
-//! limit; by how much at the most was not measured.
+//! Each tenant has a home node, selected by rendezvous hashing over the live
+//! nodes. Nodes report their demand to it; it leases out the tenant's rate in
+//! proportion. A node without a valid lease uses its even share of the rate, so
+//! a network partition or a dead home node refuses no caller for long. While
+//! leases from before a partition still run, nodes that lost their home node
+//! add their even shares: the sum may then exceed the limit, by an amount
+//! without a known upper bound.
 
 use crate::membership::Membership;
 use crate::node_key::{rendezvous_first, NodeKey};
@@ -17,11 +18,12 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// Time between two reports of demand, in milliseconds.
+/// Interval between demand reports, in milliseconds.
 pub const DEMAND_PERIOD_MS: u64 = 1_000;
-/// Time for which a lease is valid, in milliseconds.
+/// Validity of a lease, in milliseconds.
 pub const LEASE_MS: u64 = 3_000;
-/// Part of a tenant's rate that the home leases by demand; the rest is shared evenly.
+/// Fraction of a tenant's rate that the home node leases by demand; the rest is
+/// shared evenly.
 const BY_DEMAND_SHARE: f64 = 0.9;
 
 #[derive(Clone, Copy, Debug)]
@@ -36,7 +38,8 @@
     until: Millis,
 }
 
-/// One node's part in quotas: as a user of leases and as the home of tenants.
+/// One node's part in quotas: as a user of leases and as the home node of
+/// tenants.
 #[derive(Debug, Default)]
 pub struct Quota {
     request_counts: HashMap<TenantKey, u64>,
@@ -51,7 +54,8 @@
         *self.request_counts.entry(tenant).or_default() += 1;
     }
 
-    /// The rate that this node may use of a tenant's `limit`, in requests a second.
+    /// The rate that this node may use of a tenant's `limit`, in requests per
+    /// second.
     pub fn rate(&self, tenant: TenantKey, limit: f64, members: &Membership, now: Millis) -> f64 {
         match self.leases.get(&tenant) {
             Some(lease) if lease.until > now => lease.rate.min(limit),
@@ -59,7 +63,7 @@
         }
     }
 
-    /// Reports demand to the homes when it is time.
+    /// Reports demand to the home nodes once per period.
     pub fn tick(&mut self, now: Millis, members: &Membership, outbox: &mut Outbox) {
         if now < self.next_report {
             return;
@@ -81,9 +85,10 @@
         }
     }
 
-    /// As a home: notes demand and leases out rates. `limit_of` gives a
-    /// tenant's limit, in requests a second.
-    /// Returns what to answer; `nodes` share what is not leased by demand.
+    /// As the home node: records demand and leases out rates. `limit_of`
+    /// returns a tenant's limit in requests per second. The rate that is not
+    /// leased by demand is shared evenly by `nodes` nodes. Returns the answer
+    /// to the reporting node.
     pub fn on_demand(
         &mut self,
         sender: NodeKey,
@@ -120,7 +125,7 @@
         grant
     }
 
-    /// Takes in leases.
+    /// Stores granted leases.
     pub fn on_grant(&mut self, grant: &QuotaGrant, now: Millis) {
         for granted in &grant.grants {
             let lease = Lease {
@@ -131,12 +136,13 @@
         }
     }
 
-    /// Tenants for which leases are held or given.
+    /// Number of tenants with a lease on this node, plus those with demand
+    /// recorded on this node as their home.
     pub fn len(&self) -> usize {
         self.leases.len() + self.home_demands.len()
     }
 
-    /// Whether no lease is held or given.
+    /// Whether neither leases nor demands are recorded.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/cluster/src/readers.rs
+++ b/crates/cluster/src/readers.rs
@@ -1,16 +1,18 @@
-//! Which nodes read the object API: a few in each region, by rank over the live
-//! members, so that the platform bears few readers in every state. When cut
-//! apart, each side has its own few.
+//! Selection of the nodes that read the object API: a few in each region, by
+//! rendezvous rank over the live members, so that the platform serves few
+//! readers in every state. During a network partition, each side selects its
+//! own readers.
 
 use crate::membership::Membership;
 use crate::node_key::{rendezvous_top, NodeKey};
 use ploverlift_policy::ids::Millis;
 
-/// Readers in a region, when its members see each other.
+/// Number of readers in a region whose members are all connected.
 pub const READERS_PER_REGION: usize = 2;
-/// A node with seeds waits this long to join before it reads by itself, in milliseconds.
+/// Time for which a node with seeds waits to join before it reads by itself, in
+/// milliseconds.
 pub const JOIN_GRACE_MS: u64 = 1_500;
-/// Item of the rendezvous hash for readers.
+/// Item of the rendezvous hash that selects readers.
 const READER_DUTY: u64 = 0x7265_6164_6572;
 
 /// Whether this node should read the object API now.
--- a/crates/cluster/src/rollout.rs
+++ b/crates/cluster/src/rollout.rs
@@ -1,10 +1,10 @@
-//! The roll-out of new weights over a pool's engines: a few at a time, never
-//! more than the pool allows, and stopped or turned back by a change of the
+//! The rollout of new weights over a pool's engines: a few at a time, never
+//! more than the pool allows, and stopped or rolled back by a change of the
 //! pool's wanted version.
 //!
-//! A new holder of the lease first makes its fencing token known to every
-//! engine of the pool; only then does it give its first order. So a late order
-//! of an earlier, paused holder is refused everywhere.
+//! A new lease holder first makes its fencing token known to every engine of
+//! the pool; only then does it give its first order. Therefore a late order of
+//! an earlier, paused holder is refused everywhere.
 
 use ploverlift_policy::fleet::{Engine, EngineKey, Fleet, Health};
 use ploverlift_policy::ids::{Incarnation, Millis};
@@ -12,9 +12,10 @@
 use ploverlift_policy::snapshot::Pool;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An order whose engine shows no effect is given again after this time, in milliseconds.
+/// Time after which an order without an observed effect is given again, in
+/// milliseconds.
 pub const ORDER_TIMEOUT_MS: u64 = 10_000;
-/// What is observed of an engine is at most this old, in milliseconds.
+/// Maximum age of an observation of an engine, in milliseconds.
 const OBSERVATION_LAG_MS: u64 = 1_500;
 
 /// An order to an engine.
@@ -22,35 +23,36 @@
 pub struct LoadOrder {
     /// The engine.
     pub engine: EngineKey,
-    /// The weights to load; nothing for an order that only makes the token known.
+    /// The weights to load; `None` for an order that only makes the token
+    /// known.
     pub weights: Option<u64>,
     /// Token of the lease under which the order is given.
     pub fencing_token: u64,
 }
 
-/// What an engine answered to an order.
+/// An engine's answer to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It has taken in the token and loads nothing.
+    /// The engine has accepted the token and loads nothing.
     Idle,
-    /// It has taken in the token and loads by an earlier order.
+    /// The engine has accepted the token and is loading by an earlier order.
     Loading,
-    /// It has loaded the weights ordered, or had them already.
+    /// The engine has loaded the ordered weights, or already had them.
     Loaded,
 }
 
-/// An order whose effect is not known yet.
+/// An order whose effect is not yet known.
 #[derive(Clone, Copy, Debug)]
 struct Ordered {
-    /// The weights ordered; nothing for an order of an earlier holder.
+    /// The ordered weights; `None` for an order of an earlier lease holder.
     weights: Option<u64>,
     at: Millis,
 }
 
 impl Ordered {
-    /// Whether the engine shows the effect, for an order without an answer.
-    /// What is observed may be from before the order, even when it shows the
-    /// weights ordered: the engine may have had them once already.
+    /// Whether the engine shows the effect, for an order without an answer. An
+    /// observation may be from before the order even when it shows the ordered
+    /// weights: the engine may have had them once already.
     fn is_done(&self, engine: &Engine, now: Millis) -> bool {
         let observed_since = now.since(self.at) >= OBSERVATION_LAG_MS;
         let ready = engine.health == Health::Ready;
@@ -61,7 +63,7 @@
     }
 }
 
-/// Orders under way, as the present holder gave them.
+/// Orders in progress, as given by the present lease holder.
 #[derive(Clone, Debug, Default)]
 pub struct Rollout {
     token: u64,
@@ -70,7 +72,8 @@
 }
 
 impl Rollout {
-    /// An engine has answered an order that was given under a token.
+    /// Processes an engine's answer to an order that was given under
+    /// `fencing_token`.
     pub fn on_answer(
         &mut self,
         engine: EngineKey,
@@ -118,7 +121,8 @@
         self.next_loads(pool, &engines, fencing_token, now)
     }
 
-    /// Starts anew when the token is another one: this node has just become the holder.
+    /// Discards all state when the token has changed: this node has just become
+    /// the lease holder.
     fn adopt_token(&mut self, fencing_token: u64) {
         if self.token != fencing_token {
             self.token = fencing_token;
@@ -127,7 +131,7 @@
         }
     }
 
-    /// Orders that only make the token known. A dead engine is not waited for.
+    /// Orders that only make the token known. Dead engines are not waited for.
     fn unfenced(&self, engines: &[&Engine], fencing_token: u64) -> Vec<LoadOrder> {
         let reachable = engines
             .iter()
--- a/crates/cluster/src/router/chains.rs
+++ b/crates/cluster/src/router/chains.rs
@@ -1,4 +1,5 @@
-//! Chains of a prompt for each version of weights, and engines from their objects.
+//! Chains of a prompt for each weights version, and conversion of machine
+//! objects to engines.
 
 use super::{RoutedRequest, VersionedChains};
 use ploverlift_policy::chain::{ChainSeed, PromptChain};
@@ -29,7 +30,8 @@
         .collect()
 }
 
-/// Keeps the deeper of two matches of the same engine.
+/// Adds a match, keeping the longer of two matches of the same engine
+/// incarnation.
 pub(super) fn merge_match(matches: &mut Vec<PrefixMatch>, found: PrefixMatch) {
     let known = matches
         .iter_mut()
--- a/crates/cluster/src/router/mod.rs
+++ b/crates/cluster/src/router/mod.rs
@@ -1,5 +1,6 @@
-//! The tables that decisions read and write on one node: the typed view of the
-//! configuration, the fleet, the directory, limits and the record of decisions.
+//! The state of one node that routing decisions read and write: the typed view
+//! of the configuration, the fleet, the directory, limits and the record of
+//! decisions.
 
 mod chains;
 mod records;
@@ -25,23 +26,23 @@
 
 use crate::config_store::Record;
 
-/// Decisions that a node remembers for `explain`.
+/// Maximum number of decision records that a node keeps for `explain`.
 pub const MAX_DECISION_RECORDS: usize = 4_096;
 
-/// Constants of a node's decisions.
+/// Settings of a node's routing decisions.
 #[derive(Clone, Debug)]
 pub struct RouterSettings {
     /// The node's name.
     pub node: NodeName,
     /// The node's zone.
     pub zone: ZoneName,
-    /// Travel between zones, one way, in milliseconds.
+    /// One-way network latency between zones, in milliseconds.
     pub zone_distance_ms: f64,
-    /// Blocks that the directory remembers.
+    /// Maximum number of blocks in the directory.
     pub directory_blocks: usize,
 }
 
-/// The tables of one node.
+/// The routing state of one node.
 pub struct Router {
     settings: RouterSettings,
     builder: SnapshotBuilder,
@@ -49,8 +50,9 @@
     pub snapshot: Arc<Snapshot>,
     /// Engines and their state.
     pub fleet: Fleet,
-    /// Candidates of every route, worked out when a decision needs them: many
-    /// engines can change between two decisions, as after a start.
+    /// Candidates of every route, computed lazily when a decision needs them:
+    /// many engines can change between two decisions, for example after a
+    /// start.
     candidates: CandidateTable,
     candidates_stale: bool,
     /// Prompt blocks and their holders.
@@ -82,13 +84,13 @@
         }
     }
 
-    /// Rises whenever configuration or an engine's eligibility changed.
+    /// Incremented whenever configuration or an engine's eligibility changes.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Takes in changed configuration. Only what depends on the changed kinds
-    /// is worked out again.
+    /// Applies changed configuration. Only what depends on the changed kinds is
+    /// computed again.
     pub fn apply(&mut self, records: &[Record]) {
         let mut candidates_affected = false;
         let mut gone = HashSet::new();
@@ -132,7 +134,7 @@
         self.candidates.route(route)
     }
 
-    /// Takes in what holds of an engine.
+    /// Applies the merged observation of an engine.
     pub fn observe(&mut self, observation: &EngineObservation, now: Millis) -> ObservationEffect {
         let effect = self.fleet.observe(observation, now);
         match effect {
@@ -146,8 +148,8 @@
         effect
     }
 
-    /// Notes for every engine that was ever observed whether its observers are
-    /// heard of.
+    /// Records for every engine that was ever observed whether all its
+    /// observers are silent.
     pub fn note_unobserved(&mut self, is_unobserved: impl Fn(EngineKey) -> bool) {
         let known = self.fleet.iter();
         let known = known.filter(|(_, engine)| engine.incarnation != Incarnation(0));
@@ -163,10 +165,11 @@
         }
     }
 
-    /// Takes one request of a tenant's rate. `rate` is what this node may use.
+    /// Takes one request from a tenant's token bucket. `rate` is this node's
+    /// part of the tenant's rate, in requests per second.
     ///
     /// # Errors
-    /// When the rate is used up: when to come back.
+    /// When the rate is used up: the time after which to retry.
     pub fn take_rate(&mut self, tenant: &Tenant, rate: f64, now: Millis) -> Result<(), RetryAfter> {
         let share = rate / f64::from(tenant.spec.requests_per_second.max(1));
         let burst = (f64::from(tenant.spec.burst) * share).max(1.0);
@@ -178,11 +181,12 @@
         bucket.take(now)
     }
 
-    /// Starts a request of a tenant in a pool. When the pool is overloaded the
-    /// tenant must be within its share of it. `nodes` share the pool.
+    /// Starts a request of a tenant in a pool. When the pool is overloaded, the
+    /// tenant must be within its share of it. The pool's slots are divided
+    /// among `nodes` nodes.
     ///
     /// # Errors
-    /// When the tenant is over its share: when to come back.
+    /// When the tenant is over its share: the time after which to retry.
     pub fn start_in_pool(
         &mut self,
         pool: &str,
@@ -229,7 +233,7 @@
         })
     }
 
-    /// The candidates of a request's route as they are now.
+    /// The present candidates of a request's route.
     fn candidates_of(&mut self, request: &RoutedRequest) -> Option<Arc<RouteCandidates>> {
         let route = request.snapshot.routes.get(request.route)?;
         let (old, new) = (&request.snapshot, &self.snapshot);
@@ -237,26 +241,28 @@
         if same_routes && Arc::ptr_eq(&old.pools, &new.pools) {
             return self.candidates(request.route).cloned();
         }
-        // The configuration changed after the request came: it keeps its own.
+        // The configuration changed after the request arrived: the request
+        // keeps the configuration it arrived under.
         let pool = request.snapshot.pool(&route.spec.pool)?;
         Some(Arc::new(RouteCandidates::build(route, pool, &self.fleet)))
     }
 
-    /// Weights versions for which the request's prompt must be cut into blocks.
+    /// Weights versions for which the request's prompt must be split into
+    /// blocks.
     pub fn weights_of(&mut self, request: &RoutedRequest) -> Vec<WeightsVersion> {
         let candidates = self.candidates_of(request);
         candidates.map_or_else(Vec::new, |candidates| candidates.weights.clone())
     }
 
-    /// What this node's own directory says of a chain.
+    /// Matches of a chain in this node's own directory.
     pub fn local_matches(&self, chain: &PromptChain) -> Vec<PrefixMatch> {
         let fleet = &self.fleet;
         let current = |key| fleet.find(key).map(|index| fleet.get(index).incarnation);
         self.directory.lookup(chain, current)
     }
 
-    /// Chooses an engine for an attempt and enters the placement. `remote` is
-    /// what the directory's shard answered, or nothing when it did not.
+    /// Chooses an engine for an attempt and records the placement. `remote` is
+    /// the answer of the directory's shard, or `None` when it did not answer.
     #[allow(clippy::too_many_arguments)]
     pub fn choose(
         &mut self,
@@ -359,9 +365,9 @@
         }
     }
 
-    /// The named engine, for a stream that goes on where it broke off. Nothing
-    /// when the engine is gone or may not serve the route. A leaving engine
-    /// still finishes its streams.
+    /// The named engine, for a stream that resumes after an interruption.
+    /// `None` when the engine is gone or may not serve the route. A leaving
+    /// engine still finishes its streams.
     pub fn choose_named(
         &mut self,
         request: &RoutedRequest,
@@ -394,7 +400,7 @@
         self.decisions.push_back(record);
     }
 
-    /// Finds the decisions on one request, the latest last.
+    /// The decisions on one request, the latest last.
     pub fn decisions_on(&self, request: &RequestId) -> Vec<DecisionRecord> {
         let matching = self.decisions.iter();
         matching
--- a/crates/cluster/src/router/records.rs
+++ b/crates/cluster/src/router/records.rs
@@ -1,4 +1,4 @@
-//! What goes into a decision, what comes out, and what is remembered of it.
+//! Inputs, results and records of routing decisions.
 
 use ploverlift_policy::chain::PromptChain;
 use ploverlift_policy::decide::{Exclusion, ScoredCandidate};
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// One remembered decision, as `explain` prints it.
+/// The record of one decision, as `explain` prints it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DecisionRecord {
     /// The caller's request.
@@ -36,24 +36,24 @@
     pub pool: String,
     /// Estimated tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Engines left out, each with the reason.
+    /// Excluded engines, each with the reason.
     pub excluded: Vec<Exclusion>,
-    /// Engines scored, each with its cost by term.
+    /// Scored engines, each with its cost by term.
     pub scored: Vec<ScoredCandidate>,
-    /// The engine chosen, or nothing when none was eligible.
+    /// The chosen engine, or `None` when no engine was eligible.
     pub chosen: Option<EngineName>,
 }
 
-/// What a decision needs to know of the request.
+/// The properties of a request that a decision needs.
 #[derive(Clone, Debug)]
 pub struct RoutedRequest {
     /// The request.
     pub id: RequestId,
-    /// The tenant, as configured when the request came.
+    /// The tenant, as configured when the request arrived.
     pub tenant: Arc<Tenant>,
     /// Position of the route in the snapshot.
     pub route: usize,
-    /// The snapshot in force when the request came.
+    /// The snapshot in force when the request arrived.
     pub snapshot: Arc<Snapshot>,
     /// Text of the prompt; empty for plain services.
     pub prompt: Arc<Vec<u8>>,
@@ -71,13 +71,15 @@
     pub name: EngineName,
     /// Listener.
     pub address: SocketAddr,
-    /// The life on whose cache the decision relies; the engine refuses another.
+    /// The incarnation on whose cache the decision relies; the engine refuses a
+    /// request for another one.
     pub incarnation: Incarnation,
-    /// The weights on which the decision relies; the engine refuses others.
+    /// The weights on which the decision relies; the engine refuses a request
+    /// for others.
     pub weights: WeightsVersion,
     /// Expected time to first token, in milliseconds.
     pub expected_ms: f64,
-    /// Tokens of the prompt that are believed to be cached.
+    /// Estimated number of the prompt's tokens that are cached.
     pub cached_tokens: u32,
     /// Estimated tokens of the prompt.
     pub prompt_tokens: u32,
--- a/crates/cluster/tests/claims.rs
+++ b/crates/cluster/tests/claims.rs
@@ -1,4 +1,4 @@
-//! The rules of claims, one by one.
+//! Rules by which votes on a claim are counted.
 
 use ploverlift_cluster::claim_proposer::{ClaimOutcome, Proposal};
 use ploverlift_cluster::claims::{majority, recovery_quorum, ClaimKey};
@@ -25,7 +25,7 @@
     Proposal::new("claims-0", Arc::new(spec), claim, 7, 0, Millis(0))
 }
 
-/// A grant that tells these lives of other replicas.
+/// A grant that reports these incarnations of other replicas.
 fn grant(known: &[(usize, u64)]) -> ClaimVote {
     let lives = known.iter().map(|(replica, life)| ReplicaLife {
         replica: key(*replica).0,
@@ -50,10 +50,10 @@
 }
 
 #[test]
-fn a_grant_of_an_earlier_life_does_not_count() {
+fn a_grant_of_an_earlier_incarnation_does_not_count() {
     let mut proposal = proposal();
     assert_eq!(proposal.on_vote(grant(&[]), key(0), 1), None);
-    // The second voter has told its claims to a later life of the first.
+    // The second voter has sent its claims to a later incarnation of the first.
     assert_eq!(proposal.on_vote(grant(&[(0, 2)]), key(1), 1), None);
     assert_eq!(
         proposal.on_vote(grant(&[]), key(2), 1),
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_grant_of_an_earlier_life_does_not_count_when_it_comes_late() {
+fn a_grant_of_an_earlier_incarnation_does_not_count_when_it_arrives_late() {
     let mut proposal = proposal();
     assert_eq!(proposal.on_vote(grant(&[(0, 2)]), key(1), 1), None);
     assert_eq!(proposal.on_vote(grant(&[]), key(0), 1), None);
@@ -73,10 +73,10 @@
 }
 
 #[test]
-fn every_majority_meets_every_recovery() {
+fn every_majority_intersects_every_recovery() {
     for replicas in 1usize..10 {
         let others_needed = recovery_quorum(replicas);
-        // A majority of which the restarted replica was part has this many others.
+        // Number of other replicas in a majority that included the restarted replica.
         let others_granting = majority(replicas) - 1;
         let others = replicas - 1;
         assert!(
