--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -147,29 +147,29 @@
                     return Ok(false);
                 }
                 Position::Length(left) => {
-                    let count = take(stream, output, left).await?;
+                    let count = copy_pending(stream, output, left).await?;
                     self.position = Position::Length(left - count);
                     return Ok(true);
                 }
                 Position::Chunk(0) => self.position = Position::ChunkEnd,
                 Position::Chunk(left) => {
-                    let count = take(stream, output, left).await?;
+                    let count = copy_pending(stream, output, left).await?;
                     self.position = Position::Chunk(left - count);
                     return Ok(true);
                 }
                 Position::ChunkEnd => {
-                    if !line(stream).await?.is_empty() {
+                    if !read_line(stream).await?.is_empty() {
                         return Err(malformed("a chunk is longer than its length"));
                     }
                     self.position = Position::ChunkHead;
                 }
-                Position::ChunkHead => self.position = chunk_head(stream).await?,
-                Position::UntilClose => return self.take_until_close(stream, output).await,
+                Position::ChunkHead => self.position = read_chunk_head(stream).await?,
+                Position::UntilClose => return self.read_until_close(stream, output).await,
             }
         }
     }
 
-    async fn take_until_close(
+    async fn read_until_close(
         &mut self,
         stream: &mut BufferedStream,
         output: &mut Vec<u8>,
@@ -178,13 +178,13 @@
             self.position = Position::End;
             return Ok(false);
         }
-        take(stream, output, u64::MAX).await?;
+        copy_pending(stream, output, u64::MAX).await?;
         Ok(true)
     }
 }
 
-async fn chunk_head(stream: &mut BufferedStream) -> Result<Position, HttpError> {
-    let text = line(stream).await?;
+async fn read_chunk_head(stream: &mut BufferedStream) -> Result<Position, HttpError> {
+    let text = read_line(stream).await?;
     let digits = text.split(';').next().unwrap_or_default().trim();
     let is_number = !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_hexdigit());
     if !is_number {
@@ -195,12 +195,12 @@
     if length > 0 {
         return Ok(Position::Chunk(length));
     }
-    while !line(stream).await?.is_empty() {}
+    while !read_line(stream).await?.is_empty() {}
     Ok(Position::End)
 }
 
 /// Takes at most `limit` bytes; there is at least one.
-async fn take(
+async fn copy_pending(
     stream: &mut BufferedStream,
     output: &mut Vec<u8>,
     limit: u64,
@@ -216,7 +216,7 @@
 }
 
 /// Reads a line, without its end.
-async fn line(stream: &mut BufferedStream) -> Result<String, HttpError> {
+async fn read_line(stream: &mut BufferedStream) -> Result<String, HttpError> {
     loop {
         let pending = stream.pending();
         if let Some(end) = pending.iter().position(|byte| *byte == b'\n') {
--- a/crates/http1/src/message.rs
+++ b/crates/http1/src/message.rs
@@ -75,7 +75,7 @@
         method: request.method.unwrap_or_default().to_owned(),
         target: request.path.unwrap_or_default().to_owned(),
         is_http_1_1: request.version == Some(1),
-        headers: owned(request.headers)?,
+        headers: to_headers(request.headers)?,
     };
     Ok(Some((head, length)))
 }
@@ -90,12 +90,12 @@
     };
     let head = ResponseHead {
         status: response.code.unwrap_or_default(),
-        headers: owned(response.headers)?,
+        headers: to_headers(response.headers)?,
     };
     Ok(Some((head, length)))
 }
 
-fn owned(headers: &[httparse::Header<'_>]) -> Result<Headers, HttpError> {
+fn to_headers(headers: &[httparse::Header<'_>]) -> Result<Headers, HttpError> {
     let mut pairs = Vec::with_capacity(headers.len());
     for header in headers {
         let value = std::str::from_utf8(header.value);
--- a/crates/http1/tests/messages.rs
+++ b/crates/http1/tests/messages.rs
@@ -10,7 +10,7 @@
 const LIMIT: usize = 4 * 1024;
 
 /// A stream on which the peer has sent these bytes and closed.
-async fn sent(bytes: &[u8]) -> BufferedStream {
+async fn stream_with(bytes: &[u8]) -> BufferedStream {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
     let mut peer = TcpStream::connect(address).await.expect("connect");
@@ -21,7 +21,7 @@
 }
 
 async fn request(bytes: &[u8]) -> Result<(RequestHead, Vec<u8>), HttpError> {
-    let mut stream = sent(bytes).await;
+    let mut stream = stream_with(bytes).await;
     let (head, mut decoder) = read_request_head(&mut stream, LIMIT).await?;
     let mut body = Vec::new();
     while decoder.read(&mut stream, &mut body).await? {}
@@ -29,7 +29,7 @@
 }
 
 async fn response(bytes: &[u8]) -> Result<(ResponseHead, Vec<u8>), HttpError> {
-    let mut stream = sent(bytes).await;
+    let mut stream = stream_with(bytes).await;
     let (head, mut decoder) = read_response_head(&mut stream, "GET", LIMIT).await?;
     let mut body = Vec::new();
     while decoder.read(&mut stream, &mut body).await? {}
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_closed_connection_is_told_from_a_broken_message() {
+fn a_closed_connection_is_distinguished_from_a_truncated_message() {
     assert!(matches!(
         smol::block_on(request(b"")),
         Err(HttpError::Closed)
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn an_answer_that_ends_early_is_not_whole() {
+fn a_response_that_ends_early_is_truncated() {
     let short = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab";
     assert!(matches!(
         smol::block_on(response(short)),
@@ -123,14 +123,14 @@
 }
 
 #[test]
-fn an_answer_without_a_length_ends_with_its_connection() {
+fn a_response_without_a_length_ends_with_its_connection() {
     let (head, body) = smol::block_on(response(b"HTTP/1.1 200 OK\r\n\r\nabc")).expect("response");
     assert_eq!(head.status, 200);
     assert_eq!(body, b"abc");
 }
 
 #[test]
-fn interim_answers_are_passed_over() {
+fn interim_responses_are_skipped() {
     let bytes = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
     let (head, body) = smol::block_on(response(bytes)).expect("response");
     assert_eq!(head.status, 404);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn headers_of_one_connection_are_taken_off() {
+fn connection_headers_are_removed() {
     let (mut head, _) = smol::block_on(request(
         b"GET / HTTP/1.1\r\nHost: h\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: 3\r\nX-End: 2\r\n\r\n",
     ))
