--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,18 +1,18 @@
-//! Framing of bodies: where a body ends, and its bytes without the framing.
+//! Framing of message bodies: where a body ends, and decoding of its bytes.
 
 use crate::error::{malformed, HttpError};
 use crate::head::{Headers, RequestHead, ResponseHead};
 use crate::stream::BufferedStream;
 
-/// Longest line with the length of a chunk, or of a trailer, in bytes.
+/// Maximum length of a chunk-size line or a trailer line, in bytes.
 const MAX_LINE_BYTES: usize = 1_024;
 
-/// How the end of a body is told.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// So many bytes.
+    /// A fixed number of bytes.
     Length(u64),
-    /// In chunks.
+    /// Chunked transfer coding.
     Chunked,
     /// Everything until the connection ends.
     UntilClose,
@@ -20,10 +20,12 @@
 
 impl Framing {
     /// Framing of a request's body (RFC 9112, section 6.3). A request with two
-    /// framings is refused: it is the usual way to smuggle a second request.
+    /// framings is refused, because that is the usual form of request
+    /// smuggling.
     ///
     /// # Errors
-    /// When the headers contradict each other.
+    /// When the headers contradict each other or name an unknown transfer
+    /// encoding.
     pub fn of_request(head: &RequestHead) -> Result<Self, HttpError> {
         let length = content_length(&head.headers)?;
         if head.headers.get("transfer-encoding").is_none() {
@@ -38,10 +40,11 @@
         Ok(Framing::Chunked)
     }
 
-    /// Framing of an answer's body.
+    /// Framing of a response's body.
     ///
     /// # Errors
-    /// When the headers contradict each other.
+    /// When the headers contradict each other or name an unknown transfer
+    /// encoding.
     pub fn of_response(head: &ResponseHead, method: &str) -> Result<Self, HttpError> {
         if method == "HEAD" || matches!(head.status, 204 | 304) {
             return Ok(Framing::Length(0));
@@ -81,7 +84,8 @@
         .map_err(|_| malformed("the length is too large"))
 }
 
-/// Where in the body the reader is.
+/// Position of the decoder in the body, with the remaining bytes where they are
+/// known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Position {
     Length(u64),
@@ -92,7 +96,7 @@
     End,
 }
 
-/// Takes the framing off a body.
+/// Decodes a body by removing its framing.
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
     position: Position,
@@ -113,7 +117,8 @@
         }
     }
 
-    /// Bytes that are still to come, when the framing tells.
+    /// Remaining bytes of a body with a declared length; `None` for other
+    /// framings.
     pub fn declared_length(&self) -> Option<u64> {
         match self.position {
             Position::Length(left) => Some(left),
@@ -121,20 +126,23 @@
         }
     }
 
-    /// Whether the whole body was read.
+    /// Whether the whole body was read. For a body that ends with its
+    /// connection this is known only after the end was read.
     pub fn is_over(&self) -> bool {
         matches!(self.position, Position::End | Position::Length(0))
     }
 
-    /// Whether only the end of the connection ends the body.
+    /// Whether the body ends only with the connection.
     pub fn ends_with_connection(&self) -> bool {
         self.ends_with_connection
     }
 
-    /// Appends the next bytes of the body to `output`; false at its proper end.
+    /// Appends the next bytes of the body to `output`; returns false at the end
+    /// of the body.
     ///
     /// # Errors
-    /// When the connection ends before the body does.
+    /// When the connection ends before the body does, or the framing is
+    /// malformed.
     pub async fn read(
         &mut self,
         stream: &mut BufferedStream,
@@ -199,7 +207,9 @@
     Ok(Position::End)
 }
 
-/// Takes at most `limit` bytes; there is at least one.
+/// Moves at most `limit` bytes to `output`, after reading from the peer if none
+/// are pending. Returns their number, which is at least one for a `limit` above
+/// 0.
 async fn copy_pending(
     stream: &mut BufferedStream,
     output: &mut Vec<u8>,
@@ -215,7 +225,7 @@
     Ok(count as u64)
 }
 
-/// Reads a line, without its end.
+/// Reads a line and strips its terminator.
 async fn read_line(stream: &mut BufferedStream) -> Result<String, HttpError> {
     loop {
         let pending = stream.pending();
--- a/crates/http1/src/error.rs
+++ b/crates/http1/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of this layer.
+//! Errors of reading and writing HTTP/1.1 messages.
 
 use snafu::Snafu;
 
@@ -18,21 +18,21 @@
         /// The limit, in bytes.
         limit: usize,
     },
-    /// The bytes are not a message in the protocol.
+    /// The bytes are not a valid HTTP/1.1 message.
     #[snafu(display("malformed message: {reason}"))]
     Malformed {
-        /// What does not fit.
+        /// The violated rule.
         reason: String,
     },
     /// The operating system reported an error.
     #[snafu(display("{source}"), context(false))]
     Io {
-        /// What it said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// A [`HttpError::Malformed`] with this reason.
+/// An [`HttpError::Malformed`] with this reason.
 pub fn malformed(reason: impl Into<String>) -> HttpError {
     HttpError::Malformed {
         reason: reason.into(),
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,12 +1,13 @@
-//! Heads of requests and answers, and their headers.
+//! Heads of requests and responses, and their headers.
 
 use std::fmt::Write;
 
-/// Headers in the order in which they came. Names compare without case.
+/// Headers in the order in which they were received. Names are compared
+/// case-insensitively.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers(Vec<(String, String)>);
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1).
+/// Headers that apply to one connection only (RFC 9110, section 7.6.1).
 const CONNECTION_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -39,13 +40,13 @@
         self.0.push((name.into(), value.into()));
     }
 
-    /// Removes a header, whatever the case of its name.
+    /// Removes all headers of this name, case-insensitively.
     pub fn remove(&mut self, name: &str) {
         self.0
             .retain(|(known, _)| !known.eq_ignore_ascii_case(name));
     }
 
-    /// Replaces a header.
+    /// Sets a header, replacing all its previous values.
     pub fn set(&mut self, name: &str, value: impl Into<String>) {
         self.remove(name);
         self.push(name, value);
@@ -58,15 +59,15 @@
             .map(|(name, value)| (name.as_str(), value.as_str()))
     }
 
-    /// Whether a comma-separated header has this element.
+    /// Whether a comma-separated header contains this element.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.get_all(name)
             .flat_map(|value| value.split(','))
             .any(|element| element.trim().eq_ignore_ascii_case(token))
     }
 
-    /// Removes what concerns one connection only, with the headers that
-    /// `Connection` names.
+    /// Removes the headers that apply to one connection only, and those that
+    /// `Connection` lists.
     pub fn remove_connection_headers(&mut self) {
         let named: Vec<String> = self
             .get_all("connection")
@@ -109,9 +110,9 @@
 pub struct RequestHead {
     /// Method.
     pub method: String,
-    /// Path and query as they stand on the request line.
+    /// Path and query as given on the request line.
     pub target: String,
-    /// Whether the peer speaks HTTP/1.1 or newer.
+    /// Whether the request's version is HTTP/1.1.
     pub is_http_1_1: bool,
     /// Headers.
     pub headers: Headers,
@@ -149,7 +150,7 @@
     }
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseHead {
     /// Status code.
@@ -181,7 +182,7 @@
     }
 }
 
-/// The usual words for a status (RFC 9110, section 15).
+/// The standard reason phrase of a status code (RFC 9110, section 15).
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,9 +1,9 @@
 //! HTTP/1.1 messages on a TCP stream, for a proxy that must control every byte.
 //!
-//! `httparse` reads the heads; framing of bodies is done here. `trillium` is
-//! not used on this path: its server holds the first piece of a streamed body
-//! back until a buffer is full, and it cannot end an answer in a way that the
-//! caller recognises as broken (docs/design/platform.md, "HTTP").
+//! `httparse` parses the heads; framing of bodies is implemented here. `trillium`
+//! is not used on this path: its server delays the first part of a streamed body
+//! until a buffer is full, and it cannot abort a response in a way that the
+//! caller recognises as truncated (docs/design/platform.md, "HTTP").
 //!
 //! ```text
 //! BufferedStream ── read_request_head ──▶ RequestHead + BodyDecoder
--- a/crates/http1/src/message.rs
+++ b/crates/http1/src/message.rs
@@ -1,17 +1,18 @@
-//! Reading whole heads.
+//! Reading of message heads.
 
 use crate::body::{BodyDecoder, Framing};
 use crate::error::{malformed, HttpError};
 use crate::head::{Headers, RequestHead, ResponseHead};
 use crate::stream::BufferedStream;
 
-/// Headers that one head may have.
+/// Maximum number of headers in one head.
 const MAX_HEADERS: usize = 96;
 
-/// Reads the head of the next request. `limit` bounds it, in bytes.
+/// Reads the head of the next request. `limit` is its maximum length in bytes.
 ///
 /// # Errors
-/// [`HttpError::Closed`] when the peer closed the connection between requests.
+/// [`HttpError::Closed`] when the peer closed the connection between requests;
+/// other errors when the head is truncated, too large or malformed.
 pub async fn read_request_head(
     stream: &mut BufferedStream,
     limit: usize,
@@ -29,10 +30,11 @@
     }
 }
 
-/// Reads the head of an answer; interim answers (1xx) are passed over.
+/// Reads the head of a response; interim responses (1xx) are skipped. A head
+/// that is still incomplete after `limit` bytes is refused.
 ///
 /// # Errors
-/// When the connection ends or the bytes do not fit.
+/// When the connection ends, or the head is too large or malformed.
 pub async fn read_response_head(
     stream: &mut BufferedStream,
     method: &str,
--- a/crates/http1/src/stream.rs
+++ b/crates/http1/src/stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream with the bytes that were read and not yet used.
+//! A TCP stream with a buffer of bytes that were read but not yet consumed.
 
 use crate::error::HttpError;
 use smol::io::{AsyncReadExt, AsyncWriteExt};
@@ -16,7 +16,7 @@
 }
 
 impl BufferedStream {
-    /// A stream of which nothing was read.
+    /// Wraps a stream from which nothing has been read.
     pub fn new(stream: TcpStream) -> Self {
         Self {
             stream,
@@ -25,13 +25,13 @@
         }
     }
 
-    /// Bytes that were read and not yet used.
+    /// Bytes that were read but not yet consumed.
     pub fn pending(&self) -> &[u8] {
         &self.buffer[self.start..]
     }
 
-    /// Marks pending bytes as used. The buffer is freed with the last of them,
-    /// so that an idle connection holds no memory.
+    /// Marks pending bytes as consumed. The buffer is freed with the last of
+    /// them, so that an idle connection holds no memory.
     pub fn consume(&mut self, count: usize) {
         self.start += count;
         if self.start >= self.buffer.len() {
@@ -40,10 +40,10 @@
         }
     }
 
-    /// Reads more from the peer; 0 when it closed its side.
+    /// Reads more from the peer; returns 0 when the peer closed its side.
     ///
     /// # Errors
-    /// What the operating system reports.
+    /// Errors of the operating system.
     pub async fn fill(&mut self) -> io::Result<usize> {
         if self.start > 0 {
             self.buffer.drain(..self.start);
@@ -55,10 +55,11 @@
         Ok(count)
     }
 
-    /// Reads more, as part of a message that is not over.
+    /// Reads more within an incomplete message.
     ///
     /// # Errors
-    /// [`HttpError::Truncated`] when the peer closed its side.
+    /// [`HttpError::Truncated`] when the peer closed its side, otherwise errors
+    /// of the operating system.
     pub async fn fill_message(&mut self) -> Result<(), HttpError> {
         match self.fill().await? {
             0 => Err(HttpError::Truncated),
@@ -66,23 +67,24 @@
         }
     }
 
-    /// Writes everything.
+    /// Writes all bytes.
     ///
     /// # Errors
-    /// What the operating system reports.
+    /// Errors of the operating system.
     pub async fn write_all(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    /// Whether the peer has neither sent anything more nor closed its side, as far as
-    /// is known here.
+    /// Whether the peer has, as far as is known locally, neither sent more data
+    /// nor closed its side.
     pub async fn is_quiet(&self) -> bool {
         let mut byte = [0; 1];
         let peeked = smol::future::poll_once(self.stream.peek(&mut byte)).await;
         self.pending().is_empty() && peeked.is_none()
     }
 
-    /// Another handle of the same connection, for writing while it is read.
+    /// A second handle of the same connection, for writing while it is being
+    /// read.
     pub fn writer(&self) -> TcpStream {
         self.stream.clone()
     }
--- a/crates/http1/tests/messages.rs
+++ b/crates/http1/tests/messages.rs
@@ -1,5 +1,5 @@
-//! Heads and bodies over real connections: what is accepted, what is refused
-//! and what counts as broken.
+//! Heads and bodies over real connections: which messages are accepted, which
+//! are refused and which count as truncated.
 
 use ploverlift_http1::{
     read_request_head, read_response_head, BufferedStream, HttpError, RequestHead, ResponseHead,
@@ -9,7 +9,8 @@
 
 const LIMIT: usize = 4 * 1024;
 
-/// A stream on which the peer has sent these bytes and closed.
+/// A stream on which the peer has sent these bytes and then closed the
+/// connection.
 async fn stream_with(bytes: &[u8]) -> BufferedStream {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
