--- a/crates/cluster/src/claim_group_plan.rs
+++ b/crates/cluster/src/claim_group_plan.rs
@@ -28,7 +28,7 @@
 
 /// Whether this node plans the claim group, according to its own view of the
 /// members.
-pub fn plans_claim_group(members: &Membership) -> bool {
+pub fn is_group_planner(members: &Membership) -> bool {
     let live = members.live().map(|(key, _)| key);
     let first = rendezvous_first(GROUP_DUTY, live.chain([members.own_key()]));
     first == Some(members.own_key())
--- a/crates/cluster/src/core/claiming.rs
+++ b/crates/cluster/src/core/claiming.rs
@@ -103,8 +103,8 @@
         self.completions.push(Completion {
             proposal,
             answer,
-            left: COMPLETE_REPEATS,
-            next: now,
+            sends_left: COMPLETE_REPEATS,
+            next_send: now,
         });
         self.tick_completions(now);
     }
@@ -118,15 +118,16 @@
     pub(super) fn tick_completions(&mut self, now: Millis) {
         let members = &self.members;
         for completion in &mut self.completions {
-            if completion.next <= now && completion.left > 0 {
-                completion.left -= 1;
-                completion.next = now.plus(COMPLETE_PERIOD_MS);
+            if completion.next_send <= now && completion.sends_left > 0 {
+                completion.sends_left -= 1;
+                completion.next_send = now.plus(COMPLETE_PERIOD_MS);
                 let address = |node| address_of(members, node);
                 completion
                     .proposal
                     .complete(&completion.answer, address, &mut self.outbox);
             }
         }
-        self.completions.retain(|completion| completion.left > 0);
+        self.completions
+            .retain(|completion| completion.sends_left > 0);
     }
 }
--- a/crates/cluster/src/core/configuration.rs
+++ b/crates/cluster/src/core/configuration.rs
@@ -58,7 +58,7 @@
             return;
         }
         self.next_group_plan = now.plus(GROUP_PLAN_PERIOD_MS);
-        if !self.claim_group_observed || !claim_group_plan::plans_claim_group(&self.members) {
+        if !self.claim_group_observed || !claim_group_plan::is_group_planner(&self.members) {
             return;
         }
         let stored = self.config.store.get(Kind::ClaimGroup, CLAIM_GROUP);
--- a/crates/cluster/src/core/mod.rs
+++ b/crates/cluster/src/core/mod.rs
@@ -145,8 +145,8 @@
 struct Completion {
     proposal: Proposal,
     answer: Vec<u8>,
-    left: u32,
-    next: Millis,
+    sends_left: u32,
+    next_send: Millis,
 }
 
 /// One node.
