--- a/crates/cluster/src/engine_watch.rs
+++ b/crates/cluster/src/engine_watch.rs
@@ -141,7 +141,7 @@
     ) -> EngineObservation {
         self.next_order += 1;
         let reports = self.peer_reports.entry(observation.key).or_default();
-        reports.retain(|report| report.observer != from && observers.contains(&report.observer));
+        reports.retain(|peer| peer.observer != from && observers.contains(&peer.observer));
         reports.push(PeerReport {
             observer: from,
             observation: observation.clone(),
@@ -204,7 +204,7 @@
         let own = self.own.get(&engine);
         let own = own.map(|observed| (&observed.latest, observed.order));
         let peers = self.peer_reports.get(&engine).into_iter().flatten();
-        let peers = peers.map(|report| (&report.observation, report.order));
+        let peers = peers.map(|peer| (&peer.observation, peer.order));
         let reports = own.into_iter().chain(peers);
         let best = reports
             .max_by_key(|(report, order)| (report.incarnation, preference(report.health), *order));
@@ -214,11 +214,11 @@
     /// The merged observations of all engines, for a node that has just joined.
     pub fn reports_for_joiner(&self, fleet: &Fleet) -> Vec<EngineReports> {
         let engines = fleet.iter().map(|(_, engine)| engine.key);
-        let merged: Vec<EngineReport> = engines
+        let merged_reports: Vec<EngineReport> = engines
             .filter_map(|engine| self.merged_observation(engine))
             .map(|observation| to_message(&observation))
             .collect();
-        let parts = merged.chunks(REPORTS_PER_MESSAGE);
+        let parts = merged_reports.chunks(REPORTS_PER_MESSAGE);
         parts
             .map(|part| EngineReports {
                 reports: part.to_vec(),
@@ -237,12 +237,13 @@
 
     /// Reports on the engines that are known to leave.
     pub fn leaving_reports(&self) -> Vec<EngineReports> {
-        let merged = self
+        let observations = self
             .leaving
             .keys()
             .filter_map(|engine| self.merged_observation(*engine));
-        let reports: Vec<EngineReport> =
-            merged.map(|observation| to_message(&observation)).collect();
+        let reports: Vec<EngineReport> = observations
+            .map(|latest_merged| to_message(&latest_merged))
+            .collect();
         let parts = reports.chunks(REPORTS_PER_MESSAGE);
         parts
             .map(|part| EngineReports {
