--- a/crates/gateway/src/assembly.rs
+++ b/crates/gateway/src/assembly.rs
@@ -13,15 +13,15 @@
 use crate::peers::snapshot::{fetch_snapshots, serve_snapshots};
 use crate::peers::weights_reports::report_weights;
 use crate::ports::Site;
-use crate::quarantine::keep_quarantine;
-use crate::readiness::{answer_metrics, answer_readiness};
+use crate::quarantine::sync_quarantine;
+use crate::readiness::{serve_metrics, serve_readiness};
 use crate::rollouts::decider::decide_rollouts;
 use crate::rollouts::feed::follow_rollouts;
 use crate::rollouts::gates::advance_gates;
 use crate::settings::{GatewaySettings, SettingsError};
 use crate::state::Gateway;
 use crate::store::{follow_configuration, follow_engines};
-use crate::suspension::notice_standstill;
+use crate::suspension::detect_suspension;
 use crate::time::{sleep, within};
 use crate::weights::knowledge::{follow_weights, renew_proof};
 use crate::weights::update_engine_weights;
@@ -42,9 +42,9 @@
 /// in milliseconds. The load balancer needs it to notice; one that sends callers
 /// here even so is answered that the request has not run, because a request
 /// taken later could not be finished within the bound.
-const TAKES_REQUESTS_MS: u64 = 2_900;
+const ACCEPT_WHILE_STOPPING_MS: u64 = 2_900;
 /// Time without a request after which a stopping node ends, in milliseconds.
-const QUIET_MS: u64 = 300;
+const IDLE_BEFORE_STOP_MS: u64 = 300;
 /// Part of the bound on a planned stop that is used; the rest is for ending.
 const STOP_SHARE: f64 = 0.95;
 
@@ -105,7 +105,7 @@
     let gateway = Arc::new(Gateway::with_clock(settings, site, log, clock));
     let mut tasks = vec![
         smol::spawn(accept_callers(Arc::clone(&gateway), callers)),
-        smol::spawn(answer_readiness(Arc::clone(&gateway), readiness)),
+        smol::spawn(serve_readiness(Arc::clone(&gateway), readiness)),
         smol::spawn(follow_configuration(Arc::clone(&gateway))),
         smol::spawn(follow_engines(Arc::clone(&gateway))),
         smol::spawn(follow_weights(Arc::clone(&gateway))),
@@ -117,11 +117,11 @@
         smol::spawn(follow_engine_caches(Arc::clone(&gateway))),
         smol::spawn(update_engine_weights(Arc::clone(&gateway))),
         smol::spawn(check_engines(Arc::clone(&gateway))),
-        smol::spawn(keep_quarantine(Arc::clone(&gateway))),
-        smol::spawn(notice_standstill(Arc::clone(&gateway))),
+        smol::spawn(sync_quarantine(Arc::clone(&gateway))),
+        smol::spawn(detect_suspension(Arc::clone(&gateway))),
     ];
     if let Some(listener) = metrics {
-        tasks.push(smol::spawn(answer_metrics(Arc::clone(&gateway), listener)));
+        tasks.push(smol::spawn(serve_metrics(Arc::clone(&gateway), listener)));
     }
     if let Some(address) = gateway.settings().listen.peers {
         let (socket, snapshots, own) = listen_for_peers(address)?;
@@ -138,12 +138,12 @@
         }
         let receiving = receive_messages(Arc::clone(&gateway), Arc::clone(&socket));
         tasks.push(smol::spawn(receiving));
-        let telling = report_weights(Arc::clone(&gateway), Arc::clone(&socket));
-        tasks.push(smol::spawn(telling));
-        let telling = report_quarantine(Arc::clone(&gateway), Arc::clone(&socket));
-        tasks.push(smol::spawn(telling));
-        let telling = report_engine_signals(Arc::clone(&gateway), Arc::clone(&socket));
-        tasks.push(smol::spawn(telling));
+        let reporting = report_weights(Arc::clone(&gateway), Arc::clone(&socket));
+        tasks.push(smol::spawn(reporting));
+        let reporting = report_quarantine(Arc::clone(&gateway), Arc::clone(&socket));
+        tasks.push(smol::spawn(reporting));
+        let reporting = report_engine_signals(Arc::clone(&gateway), Arc::clone(&socket));
+        tasks.push(smol::spawn(reporting));
         let sending = Arc::clone(&socket);
         let sender = Arc::clone(&gateway);
         tasks.push(smol::spawn(async move {
@@ -222,17 +222,17 @@
         let gateway = &self.gateway;
         let began = gateway.clock.now();
         gateway.begin_stop();
-        slog::info!(gateway.log, "stopping"; "under_way" => gateway.requests_under_way());
+        slog::info!(gateway.log, "stopping"; "under_way" => gateway.requests_in_flight());
         let limit_ms = (gateway.settings().bounds.stop_seconds * 1_000.0 * STOP_SHARE) as u64;
         let finishing = async {
-            sleep(TAKES_REQUESTS_MS).await;
+            sleep(ACCEPT_WHILE_STOPPING_MS).await;
             gateway.begin_refusing();
-            wait_until_quiet(gateway).await;
+            wait_until_drained(gateway).await;
         };
         within(limit_ms, finishing).await;
         slog::info!(gateway.log, "stopped";
             "after_ms" => gateway.clock.now().since(began),
-            "under_way" => gateway.requests_under_way());
+            "under_way" => gateway.requests_in_flight());
         for task in self.tasks {
             task.cancel().await;
         }
@@ -240,14 +240,14 @@
 }
 
 /// Waits until no request was under way for a moment.
-async fn wait_until_quiet(gateway: &Gateway) {
+async fn wait_until_drained(gateway: &Gateway) {
     loop {
         let ended = gateway.work_ended.listen();
-        if gateway.requests_under_way() > 0 {
+        if gateway.requests_in_flight() > 0 {
             ended.await;
             continue;
         }
-        if within(QUIET_MS, ended).await.is_none() && gateway.requests_under_way() == 0 {
+        if within(IDLE_BEFORE_STOP_MS, ended).await.is_none() && gateway.requests_in_flight() == 0 {
             return;
         }
     }
@@ -260,11 +260,11 @@
             gateway.replace_settings(settings);
             slog::info!(gateway.log, "settings reloaded"; "file" => file.display().to_string());
         }
-        Err(error) => log_unusable(gateway, &error),
+        Err(error) => log_reload_failure(gateway, &error),
     }
 }
 
-fn log_unusable(gateway: &Gateway, error: &SettingsError) {
+fn log_reload_failure(gateway: &Gateway, error: &SettingsError) {
     slog::warn!(gateway.log, "settings not reloaded"; "error" => error.to_string());
 }
 
--- a/crates/gateway/src/beliefs.rs
+++ b/crates/gateway/src/beliefs.rs
@@ -45,9 +45,9 @@
 
 /// Time for which reports tell that an engine has loaded, in milliseconds: some
 /// reports are lost.
-const LOADED_NEWS_MS: u64 = 2_000;
+const LOADED_REPORT_MS: u64 = 2_000;
 /// Loaded engines in one report: the latest ones.
-const MAX_LOADED_NEWS: usize = 12;
+const MAX_LOADED_REPORTS: usize = 12;
 
 /// A configuration that was taken in, with what is looked up in it.
 #[derive(Debug, Default)]
@@ -101,7 +101,7 @@
     /// Outages of the store, as calls showed them.
     pub store_outage: StoreOutage,
     /// Whether the engines were listed once.
-    pub engines_listed: bool,
+    pub has_listed_engines: bool,
     /// Limits of tenants.
     pub limiter: RateLimiter,
     /// Rollouts of engines' software.
@@ -125,7 +125,7 @@
     /// What the engines whose events are followed keep.
     pub engine_caches: EngineCaches,
     /// What this node gave engines to read lately.
-    pub recent_reading: RecentPrefill,
+    pub assigned_prefill: RecentPrefill,
     /// Engines that load weights by this node's order.
     pub loading: Vec<InstanceId>,
     /// Engines that loaded weights by this node's order, and when.
@@ -141,7 +141,7 @@
     /// Rate limits that engines advertise.
     pub engine_limits: EngineLimits,
     /// Whether another node has told what engines said of themselves.
-    pub is_told_signals: bool,
+    pub has_received_signals: bool,
     /// Headers of engines, and values, that this release does not read.
     pub unread_signals: BTreeSet<String>,
     /// Engines that take no connection any more.
@@ -167,7 +167,7 @@
             peer_loads: &self.peer_loads,
             holders: &self.holders,
             caches: &self.engine_caches,
-            recent_prefill: &self.recent_reading,
+            recent_prefill: &self.assigned_prefill,
         }
     }
 
@@ -180,21 +180,21 @@
             model: ModelTag::of(model),
             version,
         };
-        self.pass_on_loaded(loaded, now);
+        self.queue_loaded_report(loaded, now);
     }
 
     /// Engines of which the other nodes should hear that they have loaded.
-    pub fn loaded_lately(&self, now: Millis) -> Vec<LoadedWeights> {
+    pub fn recently_loaded(&self, now: Millis) -> Vec<LoadedWeights> {
         let lately = self.loaded.iter().rev();
-        let lately = lately.filter(|(at, _)| now.since(*at) < LOADED_NEWS_MS);
-        let lately = lately.take(MAX_LOADED_NEWS);
+        let lately = lately.filter(|(at, _)| now.since(*at) < LOADED_REPORT_MS);
+        let lately = lately.take(MAX_LOADED_REPORTS);
         lately.map(|(_, loaded)| *loaded).collect()
     }
 
     /// An engine was loaded by another node's order, and others should hear of it.
-    pub fn pass_on_loaded(&mut self, loaded: LoadedWeights, now: Millis) {
+    pub fn queue_loaded_report(&mut self, loaded: LoadedWeights, now: Millis) {
         self.loaded
-            .retain(|(at, _)| now.since(*at) < LOADED_NEWS_MS);
+            .retain(|(at, _)| now.since(*at) < LOADED_REPORT_MS);
         self.loaded.push((now, loaded));
     }
 
@@ -254,7 +254,7 @@
 
     /// Takes in an order of a rollout, or its status; nothing when it is no news. Engines
     /// of the versions that served before a rollout that is complete have been stopped.
-    pub fn take_rollout_order(
+    pub fn apply_rollout_order(
         &mut self,
         order: RolloutOrder,
         settings: RolloutSettings,
@@ -304,7 +304,7 @@
 
     /// Another node or a relay told of engines that are lost: this node checks those
     /// that it knows.
-    pub fn hear_of_losses(
+    pub fn apply_reported_losses(
         &mut self,
         source: ReportSource,
         sender: PeerId,
@@ -322,7 +322,7 @@
     }
 
     /// Takes in a configuration if it is newer; tells whether it was.
-    pub fn take_configuration(
+    pub fn apply_configuration(
         &mut self,
         document: Configuration,
         stored: StoredConfiguration,
--- a/crates/gateway/src/callers/listener.rs
+++ b/crates/gateway/src/callers/listener.rs
@@ -1,7 +1,7 @@
 //! Accepts connections of callers.
 
 use super::{serve_connection, ConnectionLimits, OpenConnections};
-use crate::http_call::{notice_lost_peer, PeerLiveness};
+use crate::http_call::{set_liveness_options, PeerLiveness};
 use crate::state::Gateway;
 use crate::time::within;
 use smol::net::TcpListener;
@@ -61,7 +61,7 @@
         let (gateway, open) = (Arc::clone(&gateway), connections.open());
         let liveness = caller_liveness(gateway.settings().callers.peer_timeout_ms);
         smol::spawn(async move {
-            notice_lost_peer(&stream, liveness);
+            set_liveness_options(&stream, liveness);
             serve_connection(gateway, stream, open).await;
         })
         .detach();
--- a/crates/gateway/src/callers/start_hold.rs
+++ b/crates/gateway/src/callers/start_hold.rs
@@ -33,7 +33,7 @@
 pub(super) async fn wait_for_site(gateway: &Gateway, longest_ms: u64) {
     let knowing = async {
         loop {
-            let changed = gateway.site_learned.listen();
+            let changed = gateway.site_updated.listen();
             if knows_site(gateway) {
                 return;
             }
--- a/crates/gateway/src/catalogue_log.rs
+++ b/crates/gateway/src/catalogue_log.rs
@@ -11,7 +11,7 @@
 const MAX_CHANGES: usize = 512;
 
 #[derive(Clone, Debug)]
-struct Numbered {
+struct NumberedChange {
     noted_at: Millis,
     change: EngineChange,
 }
@@ -19,7 +19,7 @@
 /// The last changes, in order.
 #[derive(Clone, Debug, Default)]
 pub struct CatalogueLog {
-    changes: VecDeque<Numbered>,
+    changes: VecDeque<NumberedChange>,
     through: u64,
 }
 
@@ -41,7 +41,7 @@
             self.changes.pop_front();
         }
         self.through += 1;
-        self.changes.push_back(Numbered {
+        self.changes.push_back(NumberedChange {
             noted_at: now,
             change,
         });
@@ -64,11 +64,15 @@
     /// kept, as with a first list: whoever follows lacks some before them, and asks for all
     /// engines at once.
     pub fn latest(&self, window_ms: u64, now: Millis) -> LogPart {
-        let is_old = |known: &&Numbered| now.since(known.noted_at) > window_ms;
+        let is_old = |known: &&NumberedChange| now.since(known.noted_at) > window_ms;
         let old = self.changes.iter().take_while(is_old).count();
-        let has_lost = old == 0 && self.changes.len() >= MAX_CHANGES;
-        let untold = if has_lost { self.changes.len() } else { old };
-        let latest = self.changes.iter().skip(untold);
+        let has_overflowed = old == 0 && self.changes.len() >= MAX_CHANGES;
+        let skipped = if has_overflowed {
+            self.changes.len()
+        } else {
+            old
+        };
+        let latest = self.changes.iter().skip(skipped);
         let changes: Vec<EngineChange> = latest.map(|known| known.change.clone()).collect();
         LogPart {
             after: self.through - changes.len() as u64,
--- a/crates/gateway/src/engine_beliefs.rs
+++ b/crates/gateway/src/engine_beliefs.rs
@@ -20,21 +20,21 @@
             revision: record.revision,
             record: Some(record.clone()),
         };
-        let is_news = self.engines.upsert(record);
-        if let (true, Some(record)) = (is_news, &change.record) {
+        let is_new = self.engines.upsert(record);
+        if let (true, Some(record)) = (is_new, &change.record) {
             if record.heartbeat.is_of_later_start(known_heartbeat) {
-                self.forget_former_life(&record.instance);
+                self.reset_after_restart(&record.instance);
             }
             self.rollouts.note_engine(record);
             self.losses.note_record_back(&record.instance);
-            self.engines_proof.stop_keeping(&record.instance);
+            self.engines_proof.stop_retaining(&record.instance);
             if record.cold_ms > 0 {
                 let until = now.plus(record.cold_ms);
                 self.engines.note_cold(&record.instance, until);
             }
             self.catalogue_log.append(change, now);
         }
-        is_news
+        is_new
     }
 
     /// Takes in a record that a relay tells. One that this node's own list lacked at a
@@ -46,15 +46,15 @@
     }
 
     /// The engine itself told when its present life began.
-    pub fn note_engine_life(&mut self, instance: &InstanceId, born_ms: u64) {
+    pub fn note_engine_incarnation(&mut self, instance: &InstanceId, born_ms: u64) {
         if self.engines.note_life(instance, born_ms) {
-            self.forget_former_life(instance);
+            self.reset_after_restart(instance);
         }
     }
 
     /// An engine that starts again under its name holds nothing and knows nothing of
     /// before: what was seen of its former life must not outlive it.
-    fn forget_former_life(&mut self, instance: &InstanceId) {
+    fn reset_after_restart(&mut self, instance: &InstanceId) {
         let tag = EngineTag::of(instance);
         self.holders.forget_engine(tag);
         self.engine_caches.forget(tag);
@@ -69,11 +69,11 @@
         let known = self.engines.get(instance);
         let record = known.map(|engine| engine.record.clone());
         let has_requests = known.is_some_and(|engine| engine.in_flight > 0);
-        let is_news = self.engines.remove(instance, revision);
-        if is_news {
-            self.engines_proof.stop_keeping(instance);
+        let is_new = self.engines.remove(instance, revision);
+        if is_new {
+            self.engines_proof.stop_retaining(instance);
         }
-        if let (true, Some(record)) = (is_news, record) {
+        if let (true, Some(record)) = (is_new, record) {
             self.rollouts.note_engine_gone(&record, &self.engines);
             if has_requests {
                 self.losses.note_record_gone(instance, record.address);
@@ -85,11 +85,11 @@
             };
             self.catalogue_log.append(change, now);
         }
-        is_news
+        is_new
     }
 
     /// Takes in a change of an engine that a relay told.
-    pub fn take_engine_change(&mut self, change: EngineChange, now: Millis) -> bool {
+    pub fn apply_engine_change(&mut self, change: EngineChange, now: Millis) -> bool {
         match change.record {
             Some(record) => self.upsert_relayed(record, now),
             None => self.remove_engine(&change.instance, change.revision, now),
@@ -113,7 +113,7 @@
             self.remove_engine(&instance, revision, now);
         }
         self.engines_revision = self.engines_revision.max(revision);
-        self.engines_listed = true;
+        self.has_listed_engines = true;
         self.catalogue_log.after(before)
     }
 }
--- a/crates/gateway/src/engine_checks.rs
+++ b/crates/gateway/src/engine_checks.rs
@@ -18,11 +18,11 @@
 /// Longest time between two checks, in milliseconds.
 const LONGEST_PAUSE_MS: u64 = 2_000;
 /// Checks at the first pause; then it doubles.
-const BRISK_CHECKS: u32 = 3;
+const CHECKS_AT_FIRST_PAUSE: u32 = 3;
 /// Checks of an engine after its record has gone.
 const CHECKS_WITHOUT_RECORD: u32 = 5;
 /// Time beyond a check for which the engine is put aside, in milliseconds.
-const ASIDE_SLACK_MS: u64 = 100;
+const EJECTION_SLACK_MS: u64 = 100;
 /// Time between two looks for news that is too old, in milliseconds.
 const EXPIRE_PERIOD_MS: u64 = 1_000;
 
@@ -71,7 +71,7 @@
         match connected {
             Ok(stream) => {
                 keep_connection(&gateway, &check.instance, stream, now);
-                reached(&gateway, &check, began, now);
+                record_reached(&gateway, &check, began, now);
                 return;
             }
             Err(error) => {
@@ -81,9 +81,9 @@
                 let failed = FailedCheck {
                     failure,
                     began: began_check,
-                    aside_ms: pause_ms(number + 1) + timeout_ms + ASIDE_SLACK_MS,
+                    ejection_ms: pause_ms(number + 1) + timeout_ms + EJECTION_SLACK_MS,
                 };
-                let is_lost = unreachable(&gateway, &check, failed, now);
+                let is_lost = record_failed_check(&gateway, &check, failed, now);
                 if is_lost && !std::mem::replace(&mut was_lost, true) {
                     slog::warn!(gateway.log, "engine lost";
                         "engine" => &check.instance.0, "has_record" => has_record,
@@ -111,11 +111,11 @@
 }
 
 fn pause_ms(number: u32) -> u64 {
-    let doublings = number.saturating_sub(BRISK_CHECKS - 1).min(8);
+    let doublings = number.saturating_sub(CHECKS_AT_FIRST_PAUSE - 1).min(8);
     (FIRST_PAUSE_MS << doublings).min(LONGEST_PAUSE_MS)
 }
 
-fn reached(gateway: &Gateway, check: &DueCheck, began: Millis, now: Millis) {
+fn record_reached(gateway: &Gateway, check: &DueCheck, began: Millis, now: Millis) {
     let mut beliefs = gateway.beliefs();
     beliefs.losses.note_reached(&check.instance, now);
     beliefs.engines.allow_trial(&check.instance, now);
@@ -130,11 +130,16 @@
     failure: ConnectFailure,
     began: Millis,
     /// Time for which the engine is put aside, in milliseconds.
-    aside_ms: u64,
+    ejection_ms: u64,
 }
 
 /// Notes a check that failed; tells whether the engine is lost.
-fn unreachable(gateway: &Gateway, check: &DueCheck, failed: FailedCheck, now: Millis) -> bool {
+fn record_failed_check(
+    gateway: &Gateway,
+    check: &DueCheck,
+    failed: FailedCheck,
+    now: Millis,
+) -> bool {
     let mut beliefs = gateway.beliefs();
     // The engine may have answered a request meanwhile; and what this node lacks says
     // nothing about it.
@@ -143,7 +148,7 @@
     }
     beliefs
         .engines
-        .put_aside(&check.instance, now.plus(failed.aside_ms));
+        .put_aside(&check.instance, now.plus(failed.ejection_ms));
     if failed.failure == ConnectFailure::NoAnswer {
         let losses = &mut beliefs.losses;
         losses.note_unreachable(&check.instance, check.address, failed.began, now);
--- a/crates/gateway/src/engine_connection.rs
+++ b/crates/gateway/src/engine_connection.rs
@@ -91,7 +91,7 @@
 
     /// Whether the wait was ended while the connection still stood. Otherwise the
     /// engine may merely have closed a connection that was kept too long.
-    pub fn is_silence(&self) -> bool {
+    pub fn is_abandoned_wait(&self) -> bool {
         match self {
             Self::NoAnswerInTime | Self::EngineLost | Self::WeightsOutdated => true,
             Self::ConnectionEnded(_) | Self::Malformed(_) => false,
--- a/crates/gateway/src/engine_ends.rs
+++ b/crates/gateway/src/engine_ends.rs
@@ -26,9 +26,9 @@
 const MAX_LOGGED_REQUESTS: usize = 16;
 
 /// What was found out of an engine.
-enum Finding {
+enum ProbeResult {
     Ended,
-    Lives(BufferedStream),
+    Alive(BufferedStream),
     Unknown(String),
 }
 
@@ -49,36 +49,38 @@
     };
     if is_first {
         let (gateway, instance) = (Arc::clone(gateway), instance.clone());
-        smol::spawn(async move { find_out(&gateway, &instance, address).await }).detach();
+        smol::spawn(async move { probe_engine(&gateway, &instance, address).await }).detach();
     }
 }
 
-async fn find_out(gateway: &Gateway, instance: &InstanceId, address: SocketAddr) {
+async fn probe_engine(gateway: &Gateway, instance: &InstanceId, address: SocketAddr) {
     let timeout_ms = gateway.settings().attempts.connect_timeout_ms;
-    let finding = match connect(address, timeout_ms).await {
-        Ok(stream) => Finding::Lives(stream),
-        Err(error) if error.connect_failure() == Some(ConnectFailure::Refused) => Finding::Ended,
-        Err(error) => Finding::Unknown(error.to_string()),
+    let result = match connect(address, timeout_ms).await {
+        Ok(stream) => ProbeResult::Alive(stream),
+        Err(error) if error.connect_failure() == Some(ConnectFailure::Refused) => {
+            ProbeResult::Ended
+        }
+        Err(error) => ProbeResult::Unknown(error.to_string()),
     };
     let cut = gateway.beliefs().engine_ends.close(instance);
-    if matches!(finding, Finding::Ended) {
+    if matches!(result, ProbeResult::Ended) {
         log_end(gateway, instance, &cut);
     }
     for request in &cut {
-        note_found(
+        apply_probe_result(
             gateway,
             instance,
             request,
-            matches!(finding, Finding::Ended),
+            matches!(result, ProbeResult::Ended),
         );
     }
     gateway.quarantine_changed.notify(usize::MAX);
-    match finding {
-        Finding::Ended => {}
-        Finding::Lives(stream) => {
+    match result {
+        ProbeResult::Ended => {}
+        ProbeResult::Alive(stream) => {
             keep_connection(gateway, instance, stream, gateway.clock.now());
         }
-        Finding::Unknown(error) => {
+        ProbeResult::Unknown(error) => {
             slog::info!(gateway.log, "connections ended, engine unknown";
                 "engine" => &instance.0, "requests" => cut.len(), "error" => error);
         }
@@ -86,7 +88,7 @@
 }
 
 /// Takes in what was found out for one request that was cut.
-fn note_found(gateway: &Gateway, instance: &InstanceId, cut: &CutRequest, has_ended: bool) {
+fn apply_probe_result(gateway: &Gateway, instance: &InstanceId, cut: &CutRequest, has_ended: bool) {
     let now = gateway.clock.now();
     let mut beliefs = gateway.beliefs();
     beliefs.quarantine.note_determined_outcome(cut.fingerprint);
--- a/crates/gateway/src/engine_signals.rs
+++ b/crates/gateway/src/engine_signals.rs
@@ -18,7 +18,7 @@
 use ploverlift_policy::ids::Millis;
 
 /// Headers and values that are remembered as not read.
-const MOST_UNREAD: usize = 64;
+const MAX_UNREAD: usize = 64;
 
 /// An answer that is proven to be of this engine.
 #[derive(Clone, Copy, Debug)]
@@ -29,14 +29,14 @@
 }
 
 /// Takes in what an engine says of itself.
-pub(crate) fn take_signals(gateway: &Gateway, origin: AnswerOrigin<'_>, signals: &EngineSignals) {
-    take_limit(gateway, origin, &signals.limit);
-    take_leaving(gateway, origin, &signals.leaving);
-    take_backoff(gateway, origin, &signals.backoff_ms);
+pub(crate) fn apply_signals(gateway: &Gateway, origin: AnswerOrigin<'_>, signals: &EngineSignals) {
+    apply_limit(gateway, origin, &signals.limit);
+    apply_leaving(gateway, origin, &signals.leaving);
+    apply_backoff(gateway, origin, &signals.backoff_ms);
     note_unread(gateway, origin, &signals.unread);
 }
 
-fn take_limit(gateway: &Gateway, origin: AnswerOrigin<'_>, signal: &Signal<f64>) {
+fn apply_limit(gateway: &Gateway, origin: AnswerOrigin<'_>, signal: &Signal<f64>) {
     let limit = match signal {
         Signal::Absent => None,
         Signal::Value(per_second) => Some(*per_second),
@@ -50,7 +50,7 @@
     }
     let now = gateway.clock.now();
     let engine = EngineTag::of(origin.instance);
-    let seen = Observation {
+    let observation = Observation {
         engine,
         limit,
         sent_at: origin.sent_at,
@@ -68,12 +68,14 @@
     let Some(group) = group else {
         return;
     };
-    let rooms = &mut beliefs.engines.rate_limits;
-    let heard = beliefs.engine_limits.observe(&seen, group, rooms, now);
+    let buckets = &mut beliefs.engines.rate_limits;
+    let effect = beliefs
+        .engine_limits
+        .observe(&observation, group, buckets, now);
     if beliefs.engine_limits.limit_of(engine) != before {
         log_limit(gateway, beliefs, engine, before, "answer");
     }
-    match heard {
+    match effect {
         ObservationOutcome::Unchanged => {}
         ObservationOutcome::Changed => {
             gateway.engine_signals_changed.notify(usize::MAX);
@@ -91,7 +93,7 @@
     }
 }
 
-fn take_leaving(gateway: &Gateway, origin: AnswerOrigin<'_>, signal: &Signal<Leaving>) {
+fn apply_leaving(gateway: &Gateway, origin: AnswerOrigin<'_>, signal: &Signal<Leaving>) {
     match signal {
         Signal::Absent => return,
         Signal::Value(Leaving) => {}
@@ -104,9 +106,9 @@
         return;
     };
     let (life, is_recorded) = (engine.life(), engine.record.is_leaving);
-    let is_news = beliefs.engines.notices.note_leaving(life, now);
+    let is_new = beliefs.engines.notices.note_leaving(life, now);
     drop(beliefs);
-    if is_news {
+    if is_new {
         gateway.engine_signals_changed.notify(usize::MAX);
         slog::info!(gateway.log, "engine leaves";
             "engine" => &origin.instance.0, "born_ms" => life.born_ms,
@@ -114,7 +116,7 @@
     }
 }
 
-fn take_backoff(gateway: &Gateway, origin: AnswerOrigin<'_>, signal: &Signal<u64>) {
+fn apply_backoff(gateway: &Gateway, origin: AnswerOrigin<'_>, signal: &Signal<u64>) {
     let duration_ms = match signal {
         Signal::Absent => return,
         Signal::Value(duration_ms) => *duration_ms,
@@ -155,7 +157,7 @@
 
 /// Whether something that is not read is seen for the first time: it is logged once, and
 /// counted each time.
-fn is_first_seen(gateway: &Gateway, what: String) -> bool {
+fn is_first_seen(gateway: &Gateway, signal: String) -> bool {
     let seen = &mut gateway.beliefs().unread_signals;
-    seen.len() < MOST_UNREAD && seen.insert(what)
+    seen.len() < MAX_UNREAD && seen.insert(signal)
 }
--- a/crates/gateway/src/engines_proof.rs
+++ b/crates/gateway/src/engines_proof.rs
@@ -39,7 +39,7 @@
 
 /// The last update of the engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LastHeard {
+pub struct LastUpdate {
     /// As of when: the moment of an answer of the store, or the moment as of which a
     /// relay vouches.
     pub at: Millis,
@@ -51,62 +51,62 @@
 #[derive(Clone, Debug, Default)]
 pub struct EnginesProof {
     known_at: Option<Millis>,
-    last_heard: Option<LastHeard>,
+    last_update: Option<LastUpdate>,
     /// Engines whose records are gone and that are kept, and since when.
-    kept: BTreeMap<InstanceId, Millis>,
+    retained: BTreeMap<InstanceId, Millis>,
 }
 
 impl EnginesProof {
     /// The store answered a call that was sent at `sent`: it told all that had changed
     /// before. An answer that took longer than any call waits, in milliseconds, lay unread
     /// while this node stood still, and tells what held when it was asked for.
-    pub fn read(&mut self, sent: Millis, now: Millis, longest_ms: u64) {
+    pub fn note_store_read(&mut self, sent: Millis, now: Millis, longest_ms: u64) {
         self.known_at = self.known_at.max(Some(sent));
         let at = match now.since(sent) > longest_ms {
             true => sent,
             false => now,
         };
-        self.hear(at, EnginesSource::Store);
+        self.note_update(at, EnginesSource::Store);
     }
 
     /// A relay, all of whose changes were taken in, vouches for what held at `proven_at`.
-    pub fn relayed(&mut self, proven_at: Millis) {
+    pub fn note_relay_proof(&mut self, proven_at: Millis) {
         self.known_at = self.known_at.max(Some(proven_at));
-        self.hear(proven_at, EnginesSource::Relay);
+        self.note_update(proven_at, EnginesSource::Relay);
     }
 
-    fn hear(&mut self, at: Millis, source: EnginesSource) {
-        if self.last_heard.is_none_or(|last| last.at <= at) {
-            self.last_heard = Some(LastHeard { at, source });
+    fn note_update(&mut self, at: Millis, source: EnginesSource) {
+        if self.last_update.is_none_or(|last| last.at <= at) {
+            self.last_update = Some(LastUpdate { at, source });
         }
     }
 
     /// The last update of the engines.
-    pub fn last_heard(&self) -> Option<LastHeard> {
-        self.last_heard
+    pub fn last_update(&self) -> Option<LastUpdate> {
+        self.last_update
     }
 
     /// The record of an engine is gone, and the engine is kept for a time.
-    pub fn keep(&mut self, instance: InstanceId, now: Millis) {
-        self.kept.entry(instance).or_insert(now);
+    pub fn retain_removed(&mut self, instance: InstanceId, now: Millis) {
+        self.retained.entry(instance).or_insert(now);
     }
 
     /// The engine's record is back, or it is kept no longer.
-    pub fn stop_keeping(&mut self, instance: &InstanceId) {
-        self.kept.remove(instance);
+    pub fn stop_retaining(&mut self, instance: &InstanceId) {
+        self.retained.remove(instance);
     }
 
     /// Whether the engine is kept though its record is gone.
-    pub fn is_kept(&self, instance: &InstanceId) -> bool {
-        self.kept.contains_key(instance)
+    pub fn is_retained(&self, instance: &InstanceId) -> bool {
+        self.retained.contains_key(instance)
     }
 
     /// Age of what this node reports of the engines to others, in milliseconds: an engine
     /// that it keeps though its record is gone is as old as that removal.
     pub fn reported_age_ms(&self, now: Millis) -> Option<u64> {
-        let oldest_kept = self.kept.values().min().copied();
+        let oldest_removal = self.retained.values().min().copied();
         let known_at = self.known_at?;
-        let complete_at = oldest_kept.map_or(known_at, |kept| kept.min(known_at));
+        let complete_at = oldest_removal.map_or(known_at, |removed_at| removed_at.min(known_at));
         Some(now.since(complete_at))
     }
 }
--- a/crates/gateway/src/forward/answer_head.rs
+++ b/crates/gateway/src/forward/answer_head.rs
@@ -6,7 +6,7 @@
 use super::in_flight::InFlight;
 use super::Forwarding;
 use crate::engine_connection::EngineAnswer;
-use crate::engine_signals::{take_signals, AnswerOrigin};
+use crate::engine_signals::{apply_signals, AnswerOrigin};
 use crate::ports::{AnswerMeaning, EngineSignals, RefusedByEngine, Signal};
 use ploverlift_balancing::health::Outcome;
 use std::io;
@@ -33,7 +33,7 @@
                 instance: &chosen.instance,
                 sent_at: in_flight.start_time(),
             };
-            take_signals(&self.gateway, origin, &signals);
+            apply_signals(&self.gateway, origin, &signals);
         }
         match meaning {
             AnswerMeaning::Refused(refused) => {
--- a/crates/gateway/src/forward/choice.rs
+++ b/crates/gateway/src/forward/choice.rs
@@ -245,8 +245,8 @@
 
     fn chosen_engine(&self, beliefs: &Beliefs, engine: &Engine, choice: &Choice) -> ChosenEngine {
         let now = self.gateway.clock.now();
-        let last_heard = beliefs.engines_proof.last_heard();
-        let engines_source = match beliefs.engines_proof.is_kept(&choice.instance) {
+        let last_heard = beliefs.engines_proof.last_update();
+        let engines_source = match beliefs.engines_proof.is_retained(&choice.instance) {
             true => "kept",
             false => last_heard.map_or("none", |last| last.source.name()),
         };
--- a/crates/gateway/src/forward/engine_data_hold.rs
+++ b/crates/gateway/src/forward/engine_data_hold.rs
@@ -27,7 +27,7 @@
         let gateway = &self.gateway;
         let learning = async {
             loop {
-                let changed = gateway.site_learned.listen();
+                let changed = gateway.site_updated.listen();
                 if reliance(gateway, gateway.clock.now()).needs_no_wait() {
                     return;
                 }
--- a/crates/gateway/src/forward/in_flight.rs
+++ b/crates/gateway/src/forward/in_flight.rs
@@ -43,7 +43,7 @@
         let now = gateway.clock.now();
         let mut beliefs = gateway.beliefs();
         beliefs.engines.begin(&subject.instance, prompt_tokens, now);
-        beliefs.recent_reading.add(prompt_tokens as f64, now);
+        beliefs.assigned_prefill.add(prompt_tokens as f64, now);
         drop(beliefs);
         gateway.metrics.attempts.inc();
         Self {
--- a/crates/gateway/src/forward/sending.rs
+++ b/crates/gateway/src/forward/sending.rs
@@ -93,7 +93,7 @@
         }
         // The other kept connections to this engine are probably broken as well.
         self.gateway.kept_connections().forget(&chosen.instance);
-        if !failure.reason.is_silence() && self.take_retry() {
+        if !failure.reason.is_abandoned_wait() && self.take_retry() {
             // Either the engine had closed or dropped the connection, or it ran the request.
             self.progress.has_taken_retry = true;
             self.note_lost_send(chosen);
--- a/crates/gateway/src/http_call.rs
+++ b/crates/gateway/src/http_call.rs
@@ -205,14 +205,14 @@
         reason: error.to_string(),
         failure: ConnectFailure::of(&error),
     })?;
-    notice_lost_peer(&stream, SERVER_LIVENESS);
+    set_liveness_options(&stream, SERVER_LIVENESS);
     Ok(BufferedStream::new(stream))
 }
 
 /// Sets the options that end a connection whose peer is gone without a word, so long
 /// after the first byte or question that it left unanswered. A system that lacks one
 /// of them still works, only slower.
-pub fn notice_lost_peer(stream: &TcpStream, liveness: PeerLiveness) {
+pub fn set_liveness_options(stream: &TcpStream, liveness: PeerLiveness) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
         .with_time(liveness.keepalive)
--- a/crates/gateway/src/peers/engine_signals.rs
+++ b/crates/gateway/src/peers/engine_signals.rs
@@ -136,7 +136,7 @@
     };
     let has_waited = gateway.clock.now().since(gateway.started_at) >= START_WAIT_MS;
     let has_no_peer_socket = gateway.settings().listen.peers.is_none();
-    is_alone || has_waited || has_no_peer_socket || gateway.beliefs().is_told_signals
+    is_alone || has_waited || has_no_peer_socket || gateway.beliefs().has_received_signals
 }
 
 /// Applies a report of another node.
@@ -152,7 +152,7 @@
     }
     is_new |= apply_leaving(gateway, &report.leaving, passes_on, now);
     // A node that requests the signals itself knows no more than this one.
-    gateway.beliefs().is_told_signals |= !report.wants_all;
+    gateway.beliefs().has_received_signals |= !report.wants_all;
     if is_new {
         gateway.engine_signals_changed.notify(usize::MAX);
     }
--- a/crates/gateway/src/peers/follower.rs
+++ b/crates/gateway/src/peers/follower.rs
@@ -58,14 +58,14 @@
     if refused.is_some_and(|refused| beliefs.quarantine.refused() >= refused as usize) {
         beliefs.quarantine.mark_stored_list_known();
     }
-    beliefs.hear_of_losses(ReportSource::Relay, sender, &report.lost, fleet, now);
+    beliefs.apply_reported_losses(ReportSource::Relay, sender, &report.lost, fleet, now);
     let before = beliefs.catalogue_log.through();
     for change in beliefs.followed.next_changes(report) {
-        beliefs.take_engine_change(change.clone(), now);
+        beliefs.apply_engine_change(change.clone(), now);
     }
     let changes = beliefs.catalogue_log.after(before);
     if let Some(proven_at) = beliefs.followed.proven_at() {
-        beliefs.engines_proof.relayed(proven_at);
+        beliefs.engines_proof.note_relay_proof(proven_at);
     }
     let answers = included.zip(sent_at);
     let news = report.rollouts.as_ref();
@@ -78,7 +78,7 @@
     log_engine_updates(gateway, &changes, UpdateSource::Relay);
     apply_weights_report(gateway, &report.weights, sent_at, VersionSource::Relay);
     publish_order_updates(gateway, &order_news);
-    gateway.site_learned.notify(usize::MAX);
+    gateway.site_updated.notify(usize::MAX);
     if !report.lost.is_empty() || !report.changes.is_empty() {
         gateway.engine_check_due.notify(usize::MAX);
     }
@@ -99,7 +99,7 @@
     beliefs.rollouts.remove_missing(news, now);
     let mut taken = Vec::new();
     for order in &news.orders {
-        taken.extend(beliefs.take_rollout_order(order.clone(), settings, now));
+        taken.extend(beliefs.apply_rollout_order(order.clone(), settings, now));
     }
     let (rollouts, engines) = (&mut beliefs.rollouts, &beliefs.engines);
     rollouts.apply_sums(news, answers, engines, now);
--- a/crates/gateway/src/peers/incoming.rs
+++ b/crates/gateway/src/peers/incoming.rs
@@ -25,7 +25,7 @@
     let fleet = gateway.address_book().listed_nodes();
     let mut beliefs = gateway.beliefs();
     if !report.lost.is_empty() {
-        beliefs.hear_of_losses(ReportSource::Node, sender, &report.lost, fleet, now);
+        beliefs.apply_reported_losses(ReportSource::Node, sender, &report.lost, fleet, now);
         gateway.engine_check_due.notify(usize::MAX);
     }
     if report.wants_relay_reports {
@@ -79,7 +79,7 @@
     apply_loads(gateway, &mut beliefs, &loads, now);
     if !report.lost.is_empty() {
         let zone = loads.sender;
-        beliefs.hear_of_losses(ReportSource::OtherZone, zone, &report.lost, fleet, now);
+        beliefs.apply_reported_losses(ReportSource::OtherZone, zone, &report.lost, fleet, now);
         gateway.engine_check_due.notify(usize::MAX);
     }
     apply_changes(&mut beliefs, report, false, now);
@@ -142,7 +142,7 @@
     }
     for loaded in &report.loaded {
         if beliefs.engines.note_loaded_weights(loaded) {
-            beliefs.pass_on_loaded(*loaded, now);
+            beliefs.queue_loaded_report(*loaded, now);
         }
     }
     if let Some(renewal) = report.lease {
--- a/crates/gateway/src/peers/reports.rs
+++ b/crates/gateway/src/peers/reports.rs
@@ -153,7 +153,7 @@
             .changes_after(self.placements_from, capacity);
         let (placements, placements_from) = pending_changes;
         let lease = beliefs.leases.of(LeaseName::Weights).held;
-        let loaded = beliefs.loaded_lately(now);
+        let loaded = beliefs.recently_loaded(now);
         let is_rollout_open = beliefs.rollouts.is_any_open();
         let has_other_changes = is_due
             || is_rollout_open
--- a/crates/gateway/src/peers/roles.rs
+++ b/crates/gateway/src/peers/roles.rs
@@ -138,7 +138,7 @@
 /// meanwhile is recent enough, or nothing yet. In a large fleet hundreds of nodes send such
 /// requests at once; the store could not answer all of them either.
 fn awaits_engines(beliefs: &Beliefs, limit_ms: u64, now: Millis) -> bool {
-    let known_at = beliefs.engines_proof.last_heard().map(|last| last.at);
+    let known_at = beliefs.engines_proof.last_update().map(|last| last.at);
     let is_recent = known_at.is_none_or(|at| now.since(at) <= limit_ms);
     beliefs.followed.is_fetching(now) && is_recent
 }
@@ -245,5 +245,5 @@
 fn awaits_relay(gateway: &Gateway) -> bool {
     let now = gateway.clock.now();
     let beliefs = gateway.beliefs();
-    !beliefs.engines_listed && beliefs.followed.has_live_relay(now)
+    !beliefs.has_listed_engines && beliefs.followed.has_live_relay(now)
 }
--- a/crates/gateway/src/peers/snapshot.rs
+++ b/crates/gateway/src/peers/snapshot.rs
@@ -232,7 +232,7 @@
     let settings = rollout_settings(&gateway.settings());
     let mut beliefs = gateway.beliefs();
     let order_news = apply_orders(&mut beliefs, snapshot, settings, now);
-    let was_listed = beliefs.engines_listed;
+    let was_listed = beliefs.has_listed_engines;
     let revision = read_revision(snapshot.engines_revision, snapshot.engines_revision_era);
     let news = beliefs.replace_engines(records, revision, now);
     for placed in &snapshot.placed_versions {
@@ -252,7 +252,7 @@
         log_engine_updates(gateway, &news, UpdateSource::Snapshot);
     }
     gateway.engine_check_due.notify(usize::MAX);
-    gateway.site_learned.notify(usize::MAX);
+    gateway.site_updated.notify(usize::MAX);
     gateway.metrics.engines.set(count as i64);
     slog::info!(gateway.log, "engines taken over from a relay";
         "relay" => snapshot_need.address.to_string(), "count" => count,
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -24,9 +24,9 @@
 const LIST_PERIOD_MS: u64 = 30_000;
 /// Time within which a relay that tells of the engines tells how many requests are refused,
 /// in milliseconds: ten of its reports.
-const TOLD_WITHIN_MS: u64 = 1_000;
+const REPORTED_WITHIN_MS: u64 = 1_000;
 /// Time between two looks at what has to be stored, in milliseconds.
-const LOOK_PERIOD_MS: u64 = 1_000;
+const POLL_PERIOD_MS: u64 = 1_000;
 
 /// The document of a refused request; its name is the fingerprint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -66,17 +66,17 @@
 }
 
 /// Reads what is refused, and stores what this node finds out, until the task is dropped.
-pub async fn keep_quarantine(gateway: Arc<Gateway>) {
-    learn(&gateway).await;
+pub async fn sync_quarantine(gateway: Arc<Gateway>) {
+    load_refusals(&gateway).await;
     let mut client = StoreClient::new(&gateway);
     let mut listed_at = gateway.clock.now();
     loop {
         let changed = gateway.quarantine_changed.listen();
         let now = gateway.clock.now();
-        if let Err(error) = store_news(&gateway, &mut client, now).await {
+        if let Err(error) = store_changes(&gateway, &mut client, now).await {
             slog::warn!(gateway.log, "refused request not stored"; "error" => error.to_string());
             client.reset();
-            sleep(LOOK_PERIOD_MS).await;
+            sleep(POLL_PERIOD_MS).await;
             continue;
         }
         let has_refused = gateway.beliefs().quarantine.refused() > 0;
@@ -85,44 +85,44 @@
             listed_at = now;
         } else if now.since(listed_at) >= LIST_PERIOD_MS {
             listed_at = now;
-            list_again(&gateway, &mut client).await;
+            refresh_list(&gateway, &mut client).await;
         }
-        within(LOOK_PERIOD_MS, changed).await;
+        within(POLL_PERIOD_MS, changed).await;
     }
 }
 
 /// Learns what the store has: from its list, or from a relay that knows it.
-async fn learn(gateway: &Arc<Gateway>) {
+async fn load_refusals(gateway: &Arc<Gateway>) {
     let mut feed = Feed::new(Arc::clone(gateway), StoreKind::RefusedRequests);
     let mut backoff = Backoff::new();
     let listing = async {
         let (objects, _, sent) = feed.list(&mut backoff).await;
-        take_list(gateway, &objects, sent);
+        apply_list(gateway, &objects, sent);
     };
-    let told = async {
+    let reported = async {
         loop {
-            let news = gateway.site_learned.listen();
+            let update = gateway.site_updated.listen();
             if gateway.beliefs().quarantine.is_stored_list_known() {
                 return;
             }
-            news.await;
+            update.await;
         }
     };
-    let untold = async {
+    let unreported = async {
         // Relays of an earlier release tell of the engines, and nothing of this.
         while !are_engines_relayed(gateway) {
-            sleep(LOOK_PERIOD_MS).await;
+            sleep(POLL_PERIOD_MS).await;
         }
-        sleep(TOLD_WITHIN_MS).await;
+        sleep(REPORTED_WITHIN_MS).await;
         let mut client = StoreClient::new(gateway);
         while !gateway.beliefs().quarantine.is_stored_list_known() {
-            list_again(gateway, &mut client).await;
-            sleep(LOOK_PERIOD_MS).await;
+            refresh_list(gateway, &mut client).await;
+            sleep(POLL_PERIOD_MS).await;
         }
     };
-    let told = futures_lite::future::or(told, untold);
-    futures_lite::future::or(listing, told).await;
-    gateway.site_learned.notify(usize::MAX);
+    let reported = futures_lite::future::or(reported, unreported);
+    futures_lite::future::or(listing, reported).await;
+    gateway.site_updated.notify(usize::MAX);
 }
 
 /// What the store has of refused requests, for an operator.
@@ -155,10 +155,10 @@
     client.delete(StoreKind::RefusedRequests, &name).await
 }
 
-async fn list_again(gateway: &Gateway, client: &mut StoreClient) {
+async fn refresh_list(gateway: &Gateway, client: &mut StoreClient) {
     let sent = gateway.clock.now();
     match client.list(StoreKind::RefusedRequests).await {
-        Ok((objects, _)) => take_list(gateway, &objects, sent),
+        Ok((objects, _)) => apply_list(gateway, &objects, sent),
         Err(error) => {
             slog::info!(gateway.log, "refused requests not read"; "error" => error.to_string());
             client.reset();
@@ -166,7 +166,7 @@
     }
 }
 
-fn take_list(gateway: &Gateway, objects: &[StoreObject], sent: Millis) {
+fn apply_list(gateway: &Gateway, objects: &[StoreObject], sent: Millis) {
     let stored = objects.iter().filter_map(|object| {
         let read = RefusalDocument::read(object);
         if read.is_none() {
@@ -186,7 +186,7 @@
 }
 
 /// Stores what is refused and not stored, and removes what is refused no longer.
-async fn store_news(
+async fn store_changes(
     gateway: &Gateway,
     client: &mut StoreClient,
     now: Millis,
--- a/crates/gateway/src/readiness.rs
+++ b/crates/gateway/src/readiness.rs
@@ -14,7 +14,7 @@
 /// Longest rest of a connection between two questions, in milliseconds.
 const IDLE_MS: u64 = 10_000;
 /// Pause when no more connections can be had, in milliseconds.
-const FULL_PAUSE_MS: u64 = 20;
+const ACCEPT_RETRY_MS: u64 = 20;
 
 /// Whether this node takes callers: it knows the configuration, the engines, the newest
 /// weights, the requests that are refused, the rate limits of engines and the orders of
@@ -30,7 +30,7 @@
         let beliefs = gateway.beliefs();
         let knows_orders = beliefs.rollouts.has_begun();
         let knows_weights = beliefs.weights.is_proven();
-        let knows_engines = beliefs.engines_listed && knows_weights;
+        let knows_engines = beliefs.has_listed_engines && knows_weights;
         let knows_refused = beliefs.quarantine.is_stored_list_known();
         beliefs.configuration.is_some() && knows_engines && knows_orders && knows_refused
     };
@@ -38,8 +38,8 @@
 }
 
 /// Answers the load balancer until the task is dropped.
-pub async fn answer_readiness(gateway: Arc<Gateway>, listener: TcpListener) {
-    answer_questions(gateway, listener, |gateway| match is_ready(gateway) {
+pub async fn serve_readiness(gateway: Arc<Gateway>, listener: TcpListener) {
+    serve_probes(gateway, listener, |gateway| match is_ready(gateway) {
         true => (200, "ready\n".to_owned()),
         false => (RefusalKind::NotRun.status(), "not ready\n".to_owned()),
     })
@@ -47,40 +47,40 @@
 }
 
 /// Answers with the metrics until the task is dropped.
-pub async fn answer_metrics(gateway: Arc<Gateway>, listener: TcpListener) {
-    answer_questions(gateway, listener, |gateway| {
+pub async fn serve_metrics(gateway: Arc<Gateway>, listener: TcpListener) {
+    serve_probes(gateway, listener, |gateway| {
         publish_limits(gateway);
         (200, gateway.metrics.page())
     })
     .await;
 }
 
-type Question = fn(&Gateway) -> (u16, String);
+type ResponseFn = fn(&Gateway) -> (u16, String);
 
-async fn answer_questions(gateway: Arc<Gateway>, listener: TcpListener, question: Question) {
+async fn serve_probes(gateway: Arc<Gateway>, listener: TcpListener, response_fn: ResponseFn) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let gateway = Arc::clone(&gateway);
-                smol::spawn(answer_connection(gateway, stream, question)).detach();
+                smol::spawn(serve_connection(gateway, stream, response_fn)).detach();
             }
             Err(error) => {
                 // Out of descriptors: asking again at once would only burn processor time.
                 slog::warn!(gateway.log, "question not accepted"; "error" => error.to_string());
-                sleep(FULL_PAUSE_MS).await;
+                sleep(ACCEPT_RETRY_MS).await;
             }
         }
     }
 }
 
-async fn answer_connection(gateway: Arc<Gateway>, stream: TcpStream, question: Question) {
+async fn serve_connection(gateway: Arc<Gateway>, stream: TcpStream, response_fn: ResponseFn) {
     let mut connection = BufferedStream::new(stream);
     loop {
         let reading = read_request_head(&mut connection, MAX_HEAD_BYTES);
         let Some(Ok((head, _))) = within(IDLE_MS, reading).await else {
             return;
         };
-        let (status, body) = question(&gateway);
+        let (status, body) = response_fn(&gateway);
         let mut answer = ResponseHead::new(status);
         answer.headers.set("Content-Length", body.len().to_string());
         if !head.keeps_alive() {
--- a/crates/gateway/src/reliance.rs
+++ b/crates/gateway/src/reliance.rs
@@ -7,13 +7,13 @@
 
 /// Part of the bound that is left for sending a request once an engine is chosen, in
 /// milliseconds: 250 to connect, and a head and a short body over a link that others use.
-const SENDING_MS: u64 = 450;
+const SENDING_MARGIN_MS: u64 = 450;
 
 /// Age beyond which nothing should be sent on knowledge of the engines, in milliseconds.
 fn longest_reliance_ms(settings: &GatewaySettings) -> u64 {
     let bound_ms = settings.bounds.leaving_engine_ms;
     let limit_ms = engines_age_limit_ms(settings);
-    bound_ms.saturating_sub(SENDING_MS).max(limit_ms)
+    bound_ms.saturating_sub(SENDING_MARGIN_MS).max(limit_ms)
 }
 
 /// Whether requests may go to the engines that this node knows.
@@ -42,7 +42,7 @@
     let limit_ms = longest_reliance_ms(&gateway.settings());
     let beliefs = gateway.beliefs();
     // A node that was told of no engines yet has none to send to.
-    let Some(last) = beliefs.engines_proof.last_heard() else {
+    let Some(last) = beliefs.engines_proof.last_update() else {
         return Reliance::Recent;
     };
     if now.since(last.at) <= limit_ms {
--- a/crates/gateway/src/rollouts/feed.rs
+++ b/crates/gateway/src/rollouts/feed.rs
@@ -159,7 +159,7 @@
 pub fn update_known_order(gateway: &Gateway, order: RolloutOrder) {
     let settings = rollout_settings(&gateway.settings());
     let now = gateway.clock.now();
-    let update = gateway.beliefs().take_rollout_order(order, settings, now);
+    let update = gateway.beliefs().apply_rollout_order(order, settings, now);
     publish_order_updates(gateway, update.as_slice());
 }
 
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -45,17 +45,17 @@
     /// Told whenever the store was reached again after a failure.
     pub store_recovered: Event,
     /// Told when this node has stood still: what it follows may have told nothing since.
-    pub stood_still: Event,
+    pub suspension_detected: Event,
     /// Told whenever a version of weights was named.
     pub weights_named: Event,
     /// Told when the other nodes should hear at once which weights are the newest.
     pub weights_report_due: Event,
     /// Told when this node's watch was not the first to tell of a version.
-    pub weights_missed: Event,
+    pub weights_watch_lagged: Event,
     /// Told when a relay knows something that this node lacks.
     pub snapshot_due: Event,
     /// Told when the configuration was read or proven, or the engines were listed.
-    pub site_learned: Event,
+    pub site_updated: Event,
     /// Told when an engine is to be checked.
     pub engine_check_due: Event,
     /// The era of the store.
@@ -93,7 +93,7 @@
     pub split_start: f64,
     stopping: AtomicBool,
     refusing: AtomicBool,
-    requests_under_way: AtomicUsize,
+    requests_in_flight: AtomicUsize,
     success_lines: Mutex<LineAllowance>,
     beliefs: Mutex<Beliefs>,
     address_book: Mutex<AddressBook>,
@@ -136,12 +136,12 @@
             store_recovered: Event::new(),
             store_era: KnownEra::default(),
             store_restored: Event::new(),
-            stood_still: Event::new(),
+            suspension_detected: Event::new(),
             weights_named: Event::new(),
             weights_report_due: Event::new(),
-            weights_missed: Event::new(),
+            weights_watch_lagged: Event::new(),
             snapshot_due: Event::new(),
-            site_learned: Event::new(),
+            site_updated: Event::new(),
             engine_check_due: Event::new(),
             engine_lost: Event::new(),
             report_due: Event::new(),
@@ -158,7 +158,7 @@
             split_start: fastrand::f64(),
             stopping: AtomicBool::new(false),
             refusing: AtomicBool::new(false),
-            requests_under_way: AtomicUsize::new(0),
+            requests_in_flight: AtomicUsize::new(0),
             success_lines: Mutex::new(LineAllowance::default()),
             beliefs: Mutex::new(beliefs),
             address_book: Mutex::new(AddressBook::default()),
@@ -239,13 +239,13 @@
     }
 
     /// Requests that were read and not answered yet.
-    pub fn requests_under_way(&self) -> usize {
-        self.requests_under_way.load(Ordering::Acquire)
+    pub fn requests_in_flight(&self) -> usize {
+        self.requests_in_flight.load(Ordering::Acquire)
     }
 
     /// Counts a request as under way until the guard is dropped.
     pub fn request_guard(self: &Arc<Self>) -> RequestGuard {
-        self.requests_under_way.fetch_add(1, Ordering::AcqRel);
+        self.requests_in_flight.fetch_add(1, Ordering::AcqRel);
         RequestGuard {
             gateway: Arc::clone(self),
         }
@@ -337,7 +337,7 @@
 impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.gateway
-            .requests_under_way
+            .requests_in_flight
             .fetch_sub(1, Ordering::AcqRel);
         self.gateway.work_ended.notify(usize::MAX);
     }
--- a/crates/gateway/src/store/engine_feed.rs
+++ b/crates/gateway/src/store/engine_feed.rs
@@ -51,10 +51,12 @@
     let now = gateway.clock.now();
     let mut beliefs = gateway.beliefs();
     let longest_ms = engines_age_limit_ms(&gateway.settings()) + ENGINES_OVERDUE_MS;
-    beliefs.engines_proof.read(sent_at, now, longest_ms);
+    beliefs
+        .engines_proof
+        .note_store_read(sent_at, now, longest_ms);
     beliefs.engines_revision = beliefs.engines_revision.max(revision);
     drop(beliefs);
-    gateway.site_learned.notify(usize::MAX);
+    gateway.site_updated.notify(usize::MAX);
 }
 
 fn apply_engine_list(gateway: &Arc<Gateway>, objects: &[StoreObject], revision: u64) {
--- a/crates/gateway/src/store/feed.rs
+++ b/crates/gateway/src/store/feed.rs
@@ -254,7 +254,7 @@
             Ok(WatchEnd::OrderUnknown)
         };
         let stood_still = async {
-            gateway.stood_still.listen().await;
+            gateway.suspension_detected.listen().await;
             Ok(WatchEnd::Abandoned)
         };
         let restored = async {
@@ -268,7 +268,7 @@
             if self.kind != StoreKind::Weights {
                 std::future::pending::<()>().await;
             }
-            gateway.weights_missed.listen().await;
+            gateway.weights_watch_lagged.listen().await;
             sleep(STALLED_AFTER_MS).await;
             Ok(WatchEnd::Stalled)
         };
@@ -331,12 +331,12 @@
             apply_configuration(&gateway, object);
         }
         gateway.beliefs().freshness.prove(sent_at);
-        gateway.site_learned.notify(usize::MAX);
+        gateway.site_updated.notify(usize::MAX);
         while let Some((events, next, sent_at)) = feed.changes(revision, &mut backoff).await {
             let objects = events.iter().map(|event| &event.object);
             objects.for_each(|object| apply_configuration(&gateway, object));
             gateway.beliefs().freshness.prove(sent_at);
-            gateway.site_learned.notify(usize::MAX);
+            gateway.site_updated.notify(usize::MAX);
             revision = next;
         }
     }
@@ -360,7 +360,7 @@
         revision_era: revision.era.0,
         content: object.content.to_string(),
     };
-    if gateway.beliefs().take_configuration(document, stored) {
+    if gateway.beliefs().apply_configuration(document, stored) {
         let gauge = i64::try_from(version).unwrap_or(i64::MAX);
         gateway.metrics.configuration_version.set(gauge);
         slog::info!(gateway.log, "configuration in force";
--- a/crates/gateway/src/store/lapsed.rs
+++ b/crates/gateway/src/store/lapsed.rs
@@ -28,7 +28,7 @@
     let now = gateway.clock.now();
     let mut missing = gateway.beliefs().engines.missing_in(&list.records);
     missing.retain(|instance| !list.unreadable.contains(instance));
-    let is_first_list = !gateway.beliefs().engines_listed;
+    let is_first_list = !gateway.beliefs().has_listed_engines;
     for record in list.records {
         if is_first_list {
             gateway.beliefs().upsert_engine(record, now);
@@ -40,10 +40,10 @@
         remove_engine(gateway, instance, list.revision);
     }
     let mut beliefs = gateway.beliefs();
-    beliefs.engines_listed = true;
+    beliefs.has_listed_engines = true;
     beliefs.listed_revision = beliefs.listed_revision.max(list.revision);
     drop(beliefs);
-    gateway.site_learned.notify(usize::MAX);
+    gateway.site_updated.notify(usize::MAX);
 }
 
 /// Removes an engine whose record is missing since a revision. The removal is immediate, or,
@@ -62,7 +62,10 @@
     slog::info!(gateway.log, "engine lapsed";
         "engine" => &instance.0, "revision" => revision, "wait_ms" => wait_ms);
     // The age that this node reports for its engines then counts from this removal.
-    gateway.beliefs().engines_proof.keep(instance.clone(), now);
+    gateway
+        .beliefs()
+        .engines_proof
+        .retain_removed(instance.clone(), now);
     let gateway = Arc::clone(gateway);
     smol::spawn(async move {
         sleep(wait_ms).await;
--- a/crates/gateway/src/suspension.rs
+++ b/crates/gateway/src/suspension.rs
@@ -8,22 +8,22 @@
 use std::sync::Arc;
 
 /// Time between two looks at the clock, in milliseconds.
-const LOOK_PERIOD_MS: u64 = 100;
+const CHECK_PERIOD_MS: u64 = 100;
 /// Time beyond it after which this node stood still, in milliseconds: a busy machine lets a
 /// process wait for less.
-const STOOD_STILL_MS: u64 = 1_000;
+const SUSPENSION_THRESHOLD_MS: u64 = 1_000;
 
 /// Looks for times in which no timer ran, until the task is dropped.
-pub async fn notice_standstill(gateway: Arc<Gateway>) {
+pub async fn detect_suspension(gateway: Arc<Gateway>) {
     loop {
         let before = gateway.clock.now();
-        sleep(LOOK_PERIOD_MS).await;
+        sleep(CHECK_PERIOD_MS).await;
         let passed_ms = gateway.clock.now().since(before);
-        let stood_still_ms = passed_ms.saturating_sub(LOOK_PERIOD_MS);
-        if stood_still_ms >= STOOD_STILL_MS {
-            slog::warn!(gateway.log, "stood still"; "for_ms" => stood_still_ms);
+        let suspended_ms = passed_ms.saturating_sub(CHECK_PERIOD_MS);
+        if suspended_ms >= SUSPENSION_THRESHOLD_MS {
+            slog::warn!(gateway.log, "stood still"; "for_ms" => suspended_ms);
             gateway.beliefs().store_outage.note_suspension();
-            gateway.stood_still.notify(usize::MAX);
+            gateway.suspension_detected.notify(usize::MAX);
         }
     }
 }
--- a/crates/gateway/src/weights/engine_load.rs
+++ b/crates/gateway/src/weights/engine_load.rs
@@ -1,7 +1,7 @@
 //! Updating one engine to the newest weights.
 
 use super::{Loading, OutdatedEngine};
-use crate::engine_signals::{take_signals, AnswerOrigin};
+use crate::engine_signals::{apply_signals, AnswerOrigin};
 use crate::http_call::CallConnection;
 use crate::leases::LeaseHolder;
 use crate::ports::{EngineReport, LoadOrder, OrderAnswer};
@@ -78,7 +78,7 @@
         let instance = &self.engine.instance;
         self.gateway
             .beliefs()
-            .note_engine_life(instance, report.born_ms);
+            .note_engine_incarnation(instance, report.born_ms);
         let newest = self.gateway.beliefs().weights.newest(&self.engine.model);
         let Some((version, _)) = newest else {
             return NextStep::Finished;
@@ -206,7 +206,7 @@
                 instance: &self.engine.instance,
                 sent_at,
             };
-            take_signals(self.gateway, origin, &site.engine_signals(head));
+            apply_signals(self.gateway, origin, &site.engine_signals(head));
         }
         answer
     }
--- a/crates/gateway/src/weights/knowledge.rs
+++ b/crates/gateway/src/weights/knowledge.rs
@@ -241,6 +241,6 @@
     gateway.weights_named.notify(usize::MAX);
     gateway.weights_report_due.notify(usize::MAX);
     if origin != VersionSource::Watch {
-        gateway.weights_missed.notify(usize::MAX);
+        gateway.weights_watch_lagged.notify(usize::MAX);
     }
 }
--- a/crates/gateway/tests/engines_proof.rs
+++ b/crates/gateway/tests/engines_proof.rs
@@ -41,35 +41,35 @@
 fn keeping_a_removed_engine_ages_the_reported_proof() {
     let mut proof = EnginesProof::default();
     assert_eq!(proof.reported_age_ms(NOW), None);
-    proof.read(NOW, NOW, 1_000);
-    proof.keep(instance("e-1"), NOW.plus(100));
-    proof.keep(instance("e-1"), NOW.plus(300));
+    proof.note_store_read(NOW, NOW, 1_000);
+    proof.retain_removed(instance("e-1"), NOW.plus(100));
+    proof.retain_removed(instance("e-1"), NOW.plus(300));
     // Further reads do not change that the kept engine's record is gone.
-    proof.read(NOW.plus(900), NOW.plus(950), 1_000);
-    assert!(proof.is_kept(&instance("e-1")));
+    proof.note_store_read(NOW.plus(900), NOW.plus(950), 1_000);
+    assert!(proof.is_retained(&instance("e-1")));
     assert_eq!(proof.reported_age_ms(NOW.plus(1_000)), Some(900));
-    proof.stop_keeping(&instance("e-1"));
+    proof.stop_retaining(&instance("e-1"));
     assert_eq!(proof.reported_age_ms(NOW.plus(1_000)), Some(100));
 }
 
 #[test]
 fn the_newest_proof_comes_from_a_store_answer_or_a_relay() {
     let mut proof = EnginesProof::default();
-    proof.read(NOW, NOW.plus(700), 1_000);
-    let last = proof.last_heard().expect("a proof");
+    proof.note_store_read(NOW, NOW.plus(700), 1_000);
+    let last = proof.last_update().expect("a proof");
     assert_eq!(
         (last.at, last.source),
         (NOW.plus(700), EnginesSource::Store)
     );
     // Relayed later, but proven as of an earlier time.
-    proof.relayed(NOW.plus(600));
-    let last = proof.last_heard().expect("a proof");
+    proof.note_relay_proof(NOW.plus(600));
+    let last = proof.last_update().expect("a proof");
     assert_eq!(
         (last.at, last.source),
         (NOW.plus(700), EnginesSource::Store)
     );
-    proof.relayed(NOW.plus(800));
-    let last = proof.last_heard().expect("a proof");
+    proof.note_relay_proof(NOW.plus(800));
+    let last = proof.last_update().expect("a proof");
     assert_eq!(
         (last.at, last.source),
         (NOW.plus(800), EnginesSource::Relay)
@@ -128,7 +128,7 @@
     assert!(beliefs.engine_caches.of(restarted).is_none());
     assert!(beliefs.engine_caches.of(other).is_some());
     assert_eq!(beliefs.moves.wait_ms(restarted, NOW), 0.0);
-    assert!(beliefs.loading.is_empty() && beliefs.loaded_lately(NOW).is_empty());
+    assert!(beliefs.loading.is_empty() && beliefs.recently_loaded(NOW).is_empty());
     let engine = beliefs.engines.get(&instance("e-1")).expect("the engine");
     assert_eq!(engine.weights_of("m"), 3);
 }
@@ -138,8 +138,8 @@
     let mut beliefs = Beliefs::default();
     beliefs.upsert_engine(record("e-1", 4, STARTED_AT_MS), NOW);
     beliefs.note_loaded(&instance("e-1"), "m", 9, NOW);
-    beliefs.note_engine_life(&instance("e-1"), STARTED_AT_MS + 5_000);
-    assert!(beliefs.loaded_lately(NOW).is_empty());
+    beliefs.note_engine_incarnation(&instance("e-1"), STARTED_AT_MS + 5_000);
+    assert!(beliefs.recently_loaded(NOW).is_empty());
     // Reports of other nodes about the former incarnation are only hints, and its record is
     // outdated.
     assert!(!beliefs.upsert_engine(record("e-1", 5, STARTED_AT_MS), NOW));
@@ -148,6 +148,6 @@
         model: ModelTag::of("m"),
         version: 9,
     };
-    beliefs.pass_on_loaded(loaded, NOW);
+    beliefs.queue_loaded_report(loaded, NOW);
     assert!(beliefs.upsert_engine(record("e-1", 6, STARTED_AT_MS + 5_000), NOW));
 }
--- a/crates/gateway/tests/leaving_callers.rs
+++ b/crates/gateway/tests/leaving_callers.rs
@@ -77,7 +77,7 @@
         serve_abandoned(&fixture, &bytes[..bytes.len() - 2]).await;
         serve_abandoned(&fixture, &bytes[..20]).await;
         assert!(app.heads().is_empty());
-        assert_eq!(fixture.gateway.requests_under_way(), 0);
+        assert_eq!(fixture.gateway.requests_in_flight(), 0);
     });
 }
 
--- a/crates/gateway/tests/leaving_engines.rs
+++ b/crates/gateway/tests/leaving_engines.rs
@@ -6,7 +6,7 @@
 //! meet. A relay that failed a call for a reason of its own took that for an outage of
 //! the store, kept a record that was taken away meanwhile for two more seconds, and told
 //! its followers that what it knew was fresh. A relay's next life vouched for engines
-//! that were those of its former life. A late word of an engine put it back.
+//! that were those of its former life. A late heartbeat of an engine put it back.
 //! Proof: each test below brings one of these about on nodes that run. Without the times
 //! to come back, days with refused nodes had no late request from that cause. Real
 //! processes whose engines' heartbeats arrive late sent 29 requests to engines that had
@@ -36,7 +36,7 @@
 const SITE: &str = "engine_heartbeat_ms = 1200\n[bounds]\nleaving_engine_ms = 3000\n";
 /// Time in which a follower learns that an engine is gone: half of the bound. Reading it
 /// takes a relay 0.8 s after another change; its followers are told within 0.1 s.
-const TOLD_WITHIN: Duration = Duration::from_millis(1_500);
+const REPORTED_WITHIN: Duration = Duration::from_millis(1_500);
 
 fn instance(name: &str) -> InstanceId {
     InstanceId(name.to_owned())
@@ -51,7 +51,7 @@
 }
 
 /// A call of this node's own failed, for a reason that is not the store's.
-fn fail_a_call(node: &RunningGateway) {
+fn record_failed_call(node: &RunningGateway) {
     let failed: Result<(), StoreError> = Err(StoreError::Unreachable {
         reason: "timed out".to_owned(),
     });
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_relays_own_failed_call_keeps_no_engine_that_is_gone() {
+fn relay_with_a_failed_call_does_not_retain_a_removed_engine() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         store.put("Configuration", "main", configuration(1));
@@ -83,13 +83,13 @@
         let follower = start_peer_with(&store, "small", 0.1, SITE);
         wait_until(&follower, |node| knows(node, "llm-4")).await;
         assert_eq!(role_of(&follower), Role::Follower);
-        relays.iter().for_each(fail_a_call);
+        relays.iter().for_each(record_failed_call);
         store.remove("Engines", "llm-1");
         let removed = Instant::now();
         wait_until(&follower, |node| !knows(node, "llm-1")).await;
         let passed = removed.elapsed();
         assert!(
-            passed < TOLD_WITHIN,
+            passed < REPORTED_WITHIN,
             "known for {passed:?} after it was gone"
         );
     });
@@ -97,29 +97,29 @@
 
 /// Heartbeats may arrive late, and in another order than they were sent.
 #[test]
-fn a_late_word_of_an_engine_does_not_put_it_back_after_it_said_that_it_leaves() {
+fn late_heartbeat_does_not_revive_a_leaving_engine() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         store.put("Configuration", "main", configuration(1));
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
-        let word = |sequence: u64, is_leaving: bool| {
+        let heartbeat = |sequence: u64, is_leaving: bool| {
             let mut record = app.record();
             record["born"] = json!(1_700_000_000_000_u64);
             record["sequence"] = json!(sequence);
             record["leaving"] = json!(is_leaving);
             record
         };
-        store.put("Engines", "app-1", word(7, false));
+        store.put("Engines", "app-1", heartbeat(7, false));
         let node = start_node(&store, "node", "");
         wait_until(&node, |node| knows(node, "app-1")).await;
-        store.put("Engines", "app-1", word(9, true));
+        store.put("Engines", "app-1", heartbeat(9, true));
         let is_leaving = |node: &RunningGateway| {
             let beliefs = node.gateway.beliefs();
             let engine = beliefs.engines.get(&instance("app-1"));
             engine.is_some_and(|engine| engine.record.is_leaving)
         };
         wait_until(&node, is_leaving).await;
-        let late = store.put("Engines", "app-1", word(8, false));
+        let late = store.put("Engines", "app-1", heartbeat(8, false));
         wait_until(&node, |node| {
             node.gateway.beliefs().engines_revision >= late
         })
@@ -131,15 +131,15 @@
 }
 
 /// The site's bound where a test waits until knowledge of the engines is too old.
-const BRIEF_BOUND_MS: u64 = 1_300;
+const SHORT_BOUND_MS: u64 = 1_300;
 
 /// A node that knows one engine, and whose calls get no answer any more until long after
 /// what it knows is too old.
-async fn node_that_hears_nothing(app: &StandInEngine) -> (StandInStore, RunningGateway) {
+async fn node_with_unanswered_calls(app: &StandInEngine) -> (StandInStore, RunningGateway) {
     let store = StandInStore::start().await;
     store.put("Configuration", "main", configuration(1));
     store.put("Engines", "app-1", app.record());
-    let bounds = format!("[bounds]\nleaving_engine_ms = {BRIEF_BOUND_MS}\n");
+    let bounds = format!("[bounds]\nleaving_engine_ms = {SHORT_BOUND_MS}\n");
     let mut settings = settings(&store, "node", &bounds);
     settings.store.timeout_ms = 60_000;
     let node = start(settings, Arc::new(StandInSite), silent_logger()).expect("start");
@@ -154,7 +154,7 @@
 }
 
 /// The node learns that its engine leaves.
-fn tell_leaving(node: &RunningGateway, app: &StandInEngine) {
+fn report_leaving(node: &RunningGateway, app: &StandInEngine) {
     let mut record = app.record();
     record["leaving"] = json!(true);
     let event = WatchEvent {
@@ -169,21 +169,24 @@
     };
     apply_engine_change(&node.gateway, &event);
     let now = node.gateway.clock.now();
-    node.gateway.beliefs().engines_proof.read(now, now, 1_000);
-    node.gateway.site_learned.notify(usize::MAX);
+    node.gateway
+        .beliefs()
+        .engines_proof
+        .note_store_read(now, now, 1_000);
+    node.gateway.site_updated.notify(usize::MAX);
 }
 
 #[test]
-fn a_request_waits_for_the_answer_that_tells_which_engines_leave() {
+fn request_is_held_until_leaving_engines_are_known() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
-        let (_store, node) = node_that_hears_nothing(&app).await;
+        let (_store, node) = node_with_unanswered_calls(&app).await;
         let sent = caller::request("safe.test", "r");
         let sending = caller::send(node.callers, &sent);
         let learning = async {
             sleep(40).await;
             assert_eq!(app.arrivals(), 0);
-            tell_leaving(&node, &app);
+            report_leaving(&node, &app);
         };
         let (answer, ()) = futures_lite::future::zip(sending, learning).await;
         assert_eq!((answer.status(), app.arrivals()), (503, 0));
@@ -192,15 +195,15 @@
 }
 
 #[test]
-fn a_request_goes_on_after_a_short_wait_where_nobody_knows_more() {
+fn request_is_sent_after_a_short_hold_when_no_node_knows_more() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
-        let (_store, node) = node_that_hears_nothing(&app).await;
+        let (_store, node) = node_with_unanswered_calls(&app).await;
         let answer = caller::send(node.callers, &caller::request("safe.test", "r1")).await;
         assert_eq!((answer.status(), app.arrivals()), (200, 1));
         assert_eq!(node.gateway.metrics.held_requests.get(), 1);
         // A call failed: the store is away, and nothing is waited for.
-        fail_a_call(&node);
+        record_failed_call(&node);
         let answer = caller::send(node.callers, &caller::request("safe.test", "r2")).await;
         assert_eq!((answer.status(), app.arrivals()), (200, 2));
         assert_eq!(node.gateway.metrics.held_requests.get(), 1);
@@ -208,12 +211,12 @@
 }
 
 #[test]
-fn a_node_that_lacks_what_a_relay_knows_sends_nothing() {
+fn node_that_lags_behind_a_relay_sends_no_request() {
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
-        let (_store, node) = node_that_hears_nothing(&app).await;
+        let (_store, node) = node_with_unanswered_calls(&app).await;
         // Its own calls fail, but the store serves a relay.
-        fail_a_call(&node);
+        record_failed_call(&node);
         let now = node.gateway.clock.now();
         let mut report = empty_relay_report();
         report.engines_age_ms = Some(0);
@@ -228,21 +231,21 @@
 }
 
 #[test]
-fn nothing_is_sent_to_an_engine_that_left_while_a_connection_came_about() {
+fn no_request_is_sent_to_an_engine_that_left_during_connection_setup() {
     smol::block_on(async {
         let mut app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let store = StandInStore::start().await;
         store.put("Configuration", "main", configuration(1));
         store.put("Engines", "app-1", app.record());
-        let patience = "[attempts]\nconnect_timeout_ms = 60000\n";
-        let node = start_node(&store, "node", patience);
+        let connect_timeout = "[attempts]\nconnect_timeout_ms = 60000\n";
+        let node = start_node(&store, "node", connect_timeout);
         while caller::get_status(node.readiness).await != 200 {}
         app.lose_power().await;
         let sent = caller::request("safe.test", "r");
         let sending = caller::send(node.callers, &sent);
         let leaving = async {
             sleep(100).await;
-            tell_leaving(&node, &app);
+            report_leaving(&node, &app);
             app.regain_power();
         };
         let (answer, ()) = futures_lite::future::zip(sending, leaving).await;
--- a/crates/gateway/tests/relays/partial_reports.rs
+++ b/crates/gateway/tests/relays/partial_reports.rs
@@ -38,7 +38,7 @@
         list_silent_nodes(&store);
         let node = start_peer(&store, "small", 0.1);
         wait_until(&node, |node| role_of(node) == Role::Relay).await;
-        wait_until(&node, |node| node.gateway.beliefs().engines_listed).await;
+        wait_until(&node, |node| node.gateway.beliefs().has_listed_engines).await;
         let socket = UdpSocket::bind(address(0)).await.expect("bind");
         let mut report = empty_report();
         report.loads.zone = ZoneTag::of(&ZoneName::from("z"));
--- a/crates/gateway/tests/relays/running_nodes.rs
+++ b/crates/gateway/tests/relays/running_nodes.rs
@@ -49,7 +49,7 @@
         ];
         for relay in &relays {
             wait_until(relay, |node| role_of(node) == Role::Relay).await;
-            wait_until(relay, |node| node.gateway.beliefs().engines_listed).await;
+            wait_until(relay, |node| node.gateway.beliefs().has_listed_engines).await;
             wait_until(relay, |node| node.gateway.configuration().is_some()).await;
             wait_until(relay, |node| node.gateway.beliefs().weights.is_proven()).await;
         }
--- a/crates/gateway/tests/requests/start.rs
+++ b/crates/gateway/tests/requests/start.rs
@@ -32,11 +32,11 @@
         let mut held = caller::open(node.callers, &request("safe.test", "r1")).await;
         let left = caller::open(node.callers, &request("safe.test", "r2")).await;
         // Wait until both requests have been read.
-        while node.gateway.requests_under_way() < 2 {
+        while node.gateway.requests_in_flight() < 2 {
             assert_eq!(caller::get_status(node.readiness).await, 503);
         }
         drop(left);
-        while node.gateway.requests_under_way() > 1 {
+        while node.gateway.requests_in_flight() > 1 {
             caller::get_status(node.readiness).await;
         }
         store.put("Configuration", "main", configuration(1));
--- a/crates/gateway/tests/rollouts/late_starts.rs
+++ b/crates/gateway/tests/rollouts/late_starts.rs
@@ -97,7 +97,7 @@
         record_engines(&store, &versions.old);
         store.set_fault(StoreFault::HidesOrders);
         let node = start_node(&store, "node", SHORT_ROLLOUT_BOUNDS);
-        while node.gateway.configuration().is_none() || !node.gateway.beliefs().engines_listed {
+        while node.gateway.configuration().is_none() || !node.gateway.beliefs().has_listed_engines {
             caller::get_status(node.readiness).await;
         }
         assert_eq!(caller::get_status(node.readiness).await, 503);
--- a/crates/gateway/tests/silent_connections.rs
+++ b/crates/gateway/tests/silent_connections.rs
@@ -48,7 +48,7 @@
     let now = fixture.gateway.clock.now();
     let mut beliefs = fixture.gateway.beliefs();
     for node in [8, 9] {
-        beliefs.hear_of_losses(ReportSource::Node, PeerId(node), &lost, 3, now);
+        beliefs.apply_reported_losses(ReportSource::Node, PeerId(node), &lost, 3, now);
     }
     drop(beliefs);
     fixture.gateway.engine_check_due.notify(usize::MAX);
--- a/crates/gateway/tests/suspended.rs
+++ b/crates/gateway/tests/suspended.rs
@@ -164,7 +164,7 @@
         let now = gateway.clock.now();
         let before = Millis(now.0 - 10_200);
         let mut proof = EnginesProof::default();
-        proof.read(before, now, 1_000);
+        proof.note_store_read(before, now, 1_000);
         gateway.beliefs().engines_proof = proof;
         assert_ne!(reliance(gateway, now), Reliance::Recent);
     });
