--- a/crates/gateway/tests/engine_notices/backoff.rs
+++ b/crates/gateway/tests/engine_notices/backoff.rs
@@ -1,7 +1,7 @@
 //! Engines that turn requests away and ask the node to back off.
 
-use crate::oracle::most_within_backoff;
-use crate::play_alone;
+use crate::oracle::max_within_backoff;
+use crate::run_exclusively;
 use crate::support::caller::request;
 use crate::support::deployment::Deployment;
 use crate::support::engine::{Behaviour, StandInEngine};
@@ -22,13 +22,13 @@
 /// Engines that a request may be sent to, by its route.
 const MAX_ATTEMPTS: usize = 2;
 /// Requests of a node that an engine may get within the time that it named.
-const MOST_WITHIN: usize = 2;
+const MAX_WITHIN_BACKOFF: usize = 2;
 /// Longest time for which a request that is rejected may have been held; the shared thread of
 /// the test comes on top.
-const LONGEST_HOLD: Duration = Duration::from_millis(50);
+const MAX_HOLD: Duration = Duration::from_millis(50);
 
 /// What a time to back off made of the callers' requests.
-struct Played {
+struct ScenarioRun {
     site: Deployment,
     asked: Vec<Asked>,
     /// When the engines served again.
@@ -39,35 +39,35 @@
 
 /// How engines turn requests away.
 #[derive(Clone, Copy)]
-struct Refusing {
+struct RefusalScenario {
     engines: usize,
     backoff_ms: u64,
     /// For how long they do, in milliseconds.
     for_ms: u64,
     /// Whether each second refusal or so names no time.
-    is_mixed: bool,
+    omits_some_times: bool,
 }
 
-const USUAL: Refusing = Refusing {
+const DEFAULT_SCENARIO: RefusalScenario = RefusalScenario {
     engines: ENGINES,
     backoff_ms: 1_000,
     for_ms: 2_500,
-    is_mixed: false,
+    omits_some_times: false,
 };
 
-async fn play(refusing: Refusing) -> Played {
+async fn run_scenario(scenario: RefusalScenario) -> ScenarioRun {
     let mut site = Deployment::new(ENGINES).await;
     site.start_nodes(NODES).await;
     let traffic = Traffic::start(site.callers(), PERIOD_MS);
     sleep(500).await;
-    let engines = &site.engines[..refusing.engines];
-    let value = refusing.backoff_ms.to_string();
+    let engines = &site.engines[..scenario.engines];
+    let value = scenario.backoff_ms.to_string();
     for engine in engines {
         engine.name_backoff(Some(&value));
         engine.set(Behaviour::Refuse);
     }
-    for step in 0..refusing.for_ms / STEP_MS {
-        let names_time = !refusing.is_mixed || step % 2 == 0;
+    for step in 0..scenario.for_ms / STEP_MS {
+        let names_time = !scenario.omits_some_times || step % 2 == 0;
         for engine in engines {
             engine.name_backoff(names_time.then_some(value.as_str()));
         }
@@ -77,9 +77,9 @@
         engine.set(Behaviour::Answer);
     }
     let ended_at = Instant::now();
-    sleep(refusing.backoff_ms + 2_000).await;
+    sleep(scenario.backoff_ms + 2_000).await;
     let latest_timer = traffic.latest_timer();
-    Played {
+    ScenarioRun {
         asked: traffic.asked(),
         site,
         ended_at,
@@ -87,12 +87,15 @@
     }
 }
 
-impl Played {
+impl ScenarioRun {
     fn check_engines(&self) {
-        let most = self.site.engines.iter().map(most_within_backoff);
+        let most = self.site.engines.iter().map(max_within_backoff);
         let most = most.max().unwrap_or(0);
         println!("{most} requests of a node within a time to back off");
-        assert!(most <= MOST_WITHIN, "{most} within the time to back off");
+        assert!(
+            most <= MAX_WITHIN_BACKOFF,
+            "{most} within the time to back off"
+        );
     }
 
     fn rejected(&self) -> impl Iterator<Item = &Asked> {
@@ -110,7 +113,7 @@
     }
 
     /// Nothing is rejected any more a second after the last time to back off has ended.
-    fn check_return(&self, backoff_ms: u64) {
+    fn check_recovery(&self, backoff_ms: u64) {
         let serves_from = self.ended_at + Duration::from_millis(backoff_ms + 1_000);
         let last = self.rejected().map(|asked| asked.at).max();
         let late = last.map(|last| last.saturating_duration_since(serves_from));
@@ -121,25 +124,25 @@
 /// Guards against requests that engines get within the backoff that they had asked the node
 /// for, where no other engine is left.
 #[test]
-fn engines_that_all_want_nothing_for_a_time_get_nothing_and_callers_are_rejected_at_once() {
-    let _playing = play_alone();
+fn requests_are_rejected_at_once_while_all_engines_are_backing_off() {
+    let _exclusive = run_exclusively();
     smol::block_on(async {
         for (backoff_ms, for_ms) in [(200, 1_500), (2_000, 2_500), (10_000, 500)] {
-            let refusing = Refusing {
+            let scenario = RefusalScenario {
                 backoff_ms,
                 for_ms,
-                ..USUAL
+                ..DEFAULT_SCENARIO
             };
-            let played = play(refusing).await;
-            played.check_engines();
-            played.check_return(backoff_ms);
-            assert!(played.rejected().count() > 10);
-            assert!(played.rejected().all(|asked| asked.status == 503));
-            let longest = played.rejected().map(|asked| asked.took).max();
+            let run = run_scenario(scenario).await;
+            run.check_engines();
+            run.check_recovery(backoff_ms);
+            assert!(run.rejected().count() > 10);
+            assert!(run.rejected().all(|asked| asked.status == 503));
+            let longest = run.rejected().map(|asked| asked.took).max();
             let longest = longest.unwrap_or_default();
-            let late = played.latest_timer;
+            let late = run.latest_timer;
             println!("held for {longest:?} at most; a timer was late by {late:?} at most");
-            assert!(longest < LONGEST_HOLD + late, "held for {longest:?}");
+            assert!(longest < MAX_HOLD + late, "held for {longest:?}");
         }
     });
 }
@@ -147,30 +150,30 @@
 /// Guards against an engine that gets requests within its time to back off, or none after it,
 /// while others serve.
 #[test]
-fn some_engines_that_want_nothing_for_a_time_cost_no_answer_and_get_their_share_afterwards() {
-    let _playing = play_alone();
+fn backoff_of_some_engines_loses_no_request_and_traffic_returns_afterwards() {
+    let _exclusive = run_exclusively();
     smol::block_on(async {
         for (engines, backoff_ms) in [(1, 200), (1, 1_000), (ENGINES / 3, 1_000)] {
-            let refusing = Refusing {
+            let scenario = RefusalScenario {
                 engines,
                 backoff_ms,
-                ..USUAL
+                ..DEFAULT_SCENARIO
             };
-            let played = play(refusing).await;
-            played.check_engines();
-            played.check_rejected_only_after(MAX_ATTEMPTS);
-            let from = played.ended_at + Duration::from_millis(backoff_ms + 1_000);
+            let run = run_scenario(scenario).await;
+            run.check_engines();
+            run.check_rejected_only_after(MAX_ATTEMPTS);
+            let from = run.ended_at + Duration::from_millis(backoff_ms + 1_000);
             let since = |arrivals: Vec<Instant>| {
                 let arrivals = arrivals.into_iter();
                 arrivals.filter(|at| *at >= from).count()
             };
-            let all: usize = played
+            let all: usize = run
                 .site
                 .engines
                 .iter()
                 .map(|one| since(one.arrival_times()))
                 .sum();
-            let got = since(played.site.engines[0].arrival_times());
+            let got = since(run.site.engines[0].arrival_times());
             // The homes of prompts are drawn at random.
             assert!(got * ENGINES * 2 >= all, "{got} of {all} requests");
         }
@@ -179,22 +182,22 @@
 
 /// Guards against a later refusal that names no time and shortens one that runs.
 #[test]
-fn refusals_that_name_no_time_do_not_shorten_one_that_an_engine_named() {
-    let _playing = play_alone();
+fn refusals_without_a_backoff_do_not_shorten_a_running_one() {
+    let _exclusive = run_exclusively();
     smol::block_on(async {
-        let refusing = Refusing {
-            is_mixed: true,
-            ..USUAL
+        let scenario = RefusalScenario {
+            omits_some_times: true,
+            ..DEFAULT_SCENARIO
         };
-        let played = play(refusing).await;
-        played.check_engines();
-        played.check_return(refusing.backoff_ms);
+        let run = run_scenario(scenario).await;
+        run.check_engines();
+        run.check_recovery(scenario.backoff_ms);
     });
 }
 
 #[test]
-fn a_time_to_back_off_that_is_no_time_is_counted_and_bars_nothing() {
-    let _playing = play_alone();
+fn invalid_backoff_is_counted_and_ignored() {
+    let _exclusive = run_exclusively();
     smol::block_on(async {
         let engine = StandInEngine::start("app-1", "app", Behaviour::Refuse).await;
         let fixture = Fixture::new(&[&engine]).await;
@@ -213,8 +216,8 @@
 /// Guards against a caller that is told the time of the one engine that refused its request,
 /// and not when its service can serve it.
 #[test]
-fn callers_come_back_when_the_first_engine_wants_requests_again() {
-    let _playing = play_alone();
+fn retry_after_is_the_earliest_end_of_an_engines_backoff() {
+    let _exclusive = run_exclusively();
     smol::block_on(async {
         let engines = [
             StandInEngine::start("app-1", "app", Behaviour::Refuse).await,
--- a/crates/gateway/tests/engine_notices/leaving.rs
+++ b/crates/gateway/tests/engine_notices/leaving.rs
@@ -1,7 +1,7 @@
 //! An engine that says in its answers that it leaves, while the store is away.
 
 use crate::oracle::Departure;
-use crate::play_alone;
+use crate::run_exclusively;
 use crate::support::deployment::Deployment;
 use crate::support::fleet::start_known_nodes_with;
 use crate::support::store::StoreFault;
@@ -22,14 +22,14 @@
 /// Later than this after a node was told, its engine gets nothing from it: the site's bound.
 const BOUND: Duration = Duration::from_millis(2_000);
 /// Time in which all nodes hear what one was told.
-const TOLD_WITHIN: Duration = Duration::from_millis(1_000);
+const REPORTED_WITHIN: Duration = Duration::from_millis(1_000);
 /// Time before the engine says that it leaves, in milliseconds.
 const BEFORE_MS: u64 = 500;
 /// Time for which the site is watched then, in milliseconds.
 const WATCHED_MS: u64 = 4_500;
 
 /// One engine says that it leaves; the store does not.
-async fn one_leaves(site: &Deployment) -> (Departure, Vec<Asked>) {
+async fn run_departure(site: &Deployment) -> (Departure, Vec<Asked>) {
     site.store.set_fault(StoreFault::Silent);
     let period_ms = 1_000 * site.nodes.len() as u64 / REQUESTS_PER_SECOND;
     let traffic = Traffic::start(site.callers(), period_ms);
@@ -39,21 +39,21 @@
     let asked = traffic.asked();
     let departure = Departure::of(&site.engines[0], &asked);
     println!(
-        "{} nodes told, last use {:?} after a node's own answer, {:?} after the first one",
-        departure.told.len(),
-        departure.longest_use,
-        departure.longest_use_anywhere
+        "{} nodes notified, last use {:?} after a node's own answer, {:?} after the first one",
+        departure.notified.len(),
+        departure.max_use_delay,
+        departure.max_use_delay_anywhere
     );
-    assert!(!departure.told.is_empty());
+    assert!(!departure.notified.is_empty());
     (departure, asked)
 }
 
 fn check(departure: &Departure, asked: &[Asked]) {
-    let own = departure.longest_use;
+    let own = departure.max_use_delay;
     assert!(own < BOUND, "used {own:?} after it had said that it leaves");
-    let anywhere = departure.longest_use_anywhere;
+    let anywhere = departure.max_use_delay_anywhere;
     assert!(
-        anywhere < TOLD_WITHIN,
+        anywhere < REPORTED_WITHIN,
         "used {anywhere:?} after the first word"
     );
     assert!(asked.iter().all(|asked| asked.status == 200));
@@ -62,24 +62,24 @@
 /// Guards against requests to an engine that told the node in an answer that it leaves, while
 /// the store, the only channel that was read, is away.
 #[test]
-fn an_engine_that_says_in_answers_that_it_leaves_gets_nothing_more_while_the_store_is_away() {
-    let _playing = play_alone();
+fn leaving_signal_in_answers_stops_traffic_during_a_store_outage() {
+    let _exclusive = run_exclusively();
     smol::block_on(async {
         let mut site = Deployment::new(ENGINES).await;
         site.nodes = start_known_nodes_with(&site.store, NODES, SETTINGS).await;
-        let (departure, asked) = one_leaves(&site).await;
+        let (departure, asked) = run_departure(&site).await;
         check(&departure, &asked);
     });
 }
 
 /// Guards against the same where nodes hear of each other through relays.
 #[test]
-fn followers_of_relays_send_nothing_more_to_an_engine_that_says_in_answers_that_it_leaves() {
-    let _playing = play_alone();
+fn relay_followers_stop_traffic_after_a_leaving_signal_in_answers() {
+    let _exclusive = run_exclusively();
     smol::block_on(async {
         let mut site = Deployment::new(ENGINES).await;
         site.start_relayed_nodes(FOLLOWERS, SETTINGS).await;
-        let (departure, asked) = one_leaves(&site).await;
+        let (departure, asked) = run_departure(&site).await;
         check(&departure, &asked);
     });
 }
--- a/crates/gateway/tests/engine_notices/oracle.rs
+++ b/crates/gateway/tests/engine_notices/oracle.rs
@@ -1,4 +1,4 @@
-//! An oracle that knows by itself which node was told by whom, and what it sent afterwards.
+//! An oracle that knows by itself which node was notified by whom, and what it sent afterwards.
 
 use crate::support::engine::StandInEngine;
 use crate::support::traffic::Asked;
@@ -9,12 +9,12 @@
 #[derive(Debug)]
 pub struct Departure {
     /// When each node had passed on the first answer that says so.
-    pub told: BTreeMap<usize, Instant>,
+    pub notified: BTreeMap<usize, Instant>,
     /// The longest time after that at which a caller sent a request that the same node sent
     /// there.
-    pub longest_use: Duration,
+    pub max_use_delay: Duration,
     /// The same after the first answer at any node.
-    pub longest_use_anywhere: Duration,
+    pub max_use_delay_anywhere: Duration,
 }
 
 impl Departure {
@@ -25,24 +25,26 @@
             .iter()
             .filter(|asked| arrived.contains(&asked.id))
             .collect();
-        let mut told: BTreeMap<usize, Instant> = BTreeMap::new();
+        let mut notified: BTreeMap<usize, Instant> = BTreeMap::new();
         for asked in arrived.iter().filter(|asked| asked.says_leaving) {
             let passed_on = asked.at + asked.took;
-            let first = told.entry(asked.node).or_insert(passed_on);
+            let first = notified.entry(asked.node).or_insert(passed_on);
             *first = passed_on.min(*first);
         }
-        let first = told.values().min().copied();
-        let after = |asked: &&Asked, told: Option<&Instant>| {
-            told.map_or(Duration::ZERO, |told| {
-                asked.at.saturating_duration_since(*told)
+        let first = notified.values().min().copied();
+        let after = |asked: &&Asked, notified: Option<&Instant>| {
+            notified.map_or(Duration::ZERO, |notified| {
+                asked.at.saturating_duration_since(*notified)
             })
         };
-        let own = arrived.iter().map(|one| after(one, told.get(&one.node)));
+        let own = arrived
+            .iter()
+            .map(|one| after(one, notified.get(&one.node)));
         let anywhere = arrived.iter().map(|one| after(one, first.as_ref()));
         Self {
-            longest_use: own.max().unwrap_or_default(),
-            longest_use_anywhere: anywhere.max().unwrap_or_default(),
-            told,
+            max_use_delay: own.max().unwrap_or_default(),
+            max_use_delay_anywhere: anywhere.max().unwrap_or_default(),
+            notified,
         }
     }
 }
@@ -56,16 +58,16 @@
     id.split('-').next().unwrap_or_default()
 }
 
-/// The most requests that an engine got from a node within a time for which it had told that
+/// The most requests that an engine got from a node within a time for which it had notified that
 /// node to back off.
-pub fn most_within_backoff(engine: &StandInEngine) -> usize {
+pub fn max_within_backoff(engine: &StandInEngine) -> usize {
     let arrivals = engine.arrived_ids().into_iter().zip(engine.arrival_times());
     let arrivals: Vec<(String, Instant)> = arrivals.collect();
-    let within = engine.backoffs().into_iter().map(|told| {
-        let span = told.at + UNDER_WAY..told.at + told.duration;
+    let within = engine.backoffs().into_iter().map(|notified| {
+        let span = notified.at + UNDER_WAY..notified.at + notified.duration;
         let of_node = arrivals
             .iter()
-            .filter(|(id, at)| node_of(id) == node_of(&told.id) && span.contains(at));
+            .filter(|(id, at)| node_of(id) == node_of(&notified.id) && span.contains(at));
         of_node.count()
     });
     within.max().unwrap_or(0)
--- a/crates/gateway/tests/engine_notices/ways.rs
+++ b/crates/gateway/tests/engine_notices/request_paths.rs
@@ -12,11 +12,11 @@
 use std::time::{Duration, Instant};
 
 /// Time between two looks at what a test waits for, in milliseconds.
-const LOOK_MS: u64 = 5;
+const POLL_MS: u64 = 5;
 /// Requests by which a node has heard an engine say that it leaves.
-const MOST_TOLD: u32 = 1_000;
+const MAX_ANNOUNCING_REQUESTS: u32 = 1_000;
 /// Time in which one node has told another.
-const TOLD_WITHIN: Duration = Duration::from_secs(5);
+const REPORTED_WITHIN: Duration = Duration::from_secs(5);
 
 fn is_leaving(node: &RunningGateway, name: &str) -> bool {
     let beliefs = node.gateway.beliefs();
@@ -25,13 +25,16 @@
 }
 
 /// The engine says that it leaves, in an answer to a request at this node.
-async fn say_leaving(engine: &StandInEngine, node: &RunningGateway) {
+async fn announce_leaving(engine: &StandInEngine, node: &RunningGateway) {
     engine.name_leaving(Some("1"));
     for number in 0.. {
         if is_leaving(node, &engine.instance) {
             return;
         }
-        assert!(number < MOST_TOLD, "the node does not hear that it leaves");
+        assert!(
+            number < MAX_ANNOUNCING_REQUESTS,
+            "the node does not hear that it leaves"
+        );
         let id = format!("telling-{number}");
         let call = match engine.service.as_str() {
             "llm" => {
@@ -48,7 +51,7 @@
 
 /// Guards against a kept connection on which an engine that leaves is sent another request.
 #[test]
-fn a_kept_connection_to_an_engine_that_leaves_is_not_used_again() {
+fn idle_connection_to_a_leaving_engine_is_not_reused() {
     smol::block_on(async {
         let leaving = StandInEngine::start("app-1", "app", Behaviour::KeepConnection).await;
         let staying = StandInEngine::start("app-2", "app", Behaviour::KeepConnection).await;
@@ -58,7 +61,7 @@
             assert_eq!(fixture.send(&call).await.status(), 200);
         }
         assert!(leaving.arrivals() > 0);
-        say_leaving(&leaving, fixture.running()).await;
+        announce_leaving(&leaving, fixture.running()).await;
         let before = leaving.arrivals();
         for number in 0..16 {
             let call = request("safe.test", &format!("after-{number}"));
@@ -70,13 +73,13 @@
 
 /// Guards against a stream that broke and is resumed at an engine that leaves.
 #[test]
-fn a_broken_stream_is_resumed_at_an_engine_that_stays() {
+fn broken_stream_is_not_resumed_at_a_leaving_engine() {
     smol::block_on(async {
         let leaving = StandInEngine::start("llm-1", "llm", Behaviour::Answer).await;
         let breaking = StandInEngine::start("llm-2", "llm", Behaviour::Answer).await;
         let staying = StandInEngine::start("llm-3", "llm", Behaviour::Answer).await;
         let fixture = Fixture::new(&[&leaving, &breaking, &staying]).await;
-        say_leaving(&leaving, fixture.running()).await;
+        announce_leaving(&leaving, fixture.running()).await;
         breaking.set(Behaviour::BreakInside(3));
         let before = leaving.arrivals();
         for number in 0..6 {
@@ -89,15 +92,15 @@
 
 /// Guards against orders to load weights that go to an engine that leaves.
 #[test]
-fn an_engine_that_leaves_is_not_ordered_to_load_weights() {
+fn leaving_engine_gets_no_order_to_load_weights() {
     smol::block_on(async {
         let leaving = StandInEngine::start("llm-1", "llm", Behaviour::Answer).await;
         let staying = StandInEngine::start("llm-2", "llm", Behaviour::Answer).await;
         let fixture = Fixture::new(&[&leaving, &staying]).await;
-        say_leaving(&leaving, fixture.running()).await;
+        announce_leaving(&leaving, fixture.running()).await;
         fixture.store.put("Weights", "m", json!({"version": 2}));
         while staying.orders().is_empty() {
-            sleep(LOOK_MS).await;
+            sleep(POLL_MS).await;
         }
         sleep(300).await;
         assert!(leaving.orders().is_empty());
@@ -149,7 +152,7 @@
 /// Guards against a node that starts while the store is away from the nodes, or has an engine
 /// as ready that told another node that it leaves.
 #[test]
-fn a_node_that_starts_knows_which_engines_leave_before_it_is_ready() {
+fn starting_node_learns_leaving_engines_before_it_is_ready() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         store.put("Configuration", "main", configuration(1));
@@ -159,17 +162,17 @@
             store.put("Engines", &engine.instance, engine.record());
         }
         let nodes = start_known_nodes_with(&store, 2, "").await;
-        say_leaving(&app, &nodes[0]).await;
+        announce_leaving(&app, &nodes[0]).await;
         let began = Instant::now();
         while !is_leaving(&nodes[1], "app-1") {
-            assert!(began.elapsed() < TOLD_WITHIN, "nobody told it");
-            sleep(LOOK_MS).await;
+            assert!(began.elapsed() < REPORTED_WITHIN, "nobody told it");
+            sleep(POLL_MS).await;
         }
         for number in 0..3 {
             let name = format!("joining-{number}");
             let joining = start_peer_with(&store, &name, 1.0, "");
             while caller::get_status(joining.readiness).await != 200 {
-                sleep(LOOK_MS).await;
+                sleep(POLL_MS).await;
             }
             assert!(is_leaving(&joining, "app-1"), "{name}");
         }
@@ -178,7 +181,7 @@
 
 /// Guards against a list of the store that undoes an engine's own word: there it is ready yet.
 #[test]
-fn a_list_that_still_has_an_engine_as_ready_does_not_undo_that_it_leaves() {
+fn store_list_with_an_outdated_record_does_not_undo_a_leaving_signal() {
     smol::block_on(async {
         let store = StandInStore::start().await;
         store.put("Configuration", "main", configuration(1));
@@ -190,7 +193,7 @@
         let node = start_node(&store, "node", "[bounds]\nrevoke_when_cut = false\n");
         while caller::get_status(node.readiness).await != 200 {}
         store.set_fault(StoreFault::Silent);
-        say_leaving(&app, &node).await;
+        announce_leaving(&app, &node).await;
         app.name_leaving(None);
         store.set_fault(StoreFault::None);
         let written = store.put("Engines", "app-1", app.record());
--- a/crates/gateway/tests/support/deployment.rs
+++ b/crates/gateway/tests/support/deployment.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 /// Time between two looks at what is waited for, in milliseconds.
-const LOOK_MS: u64 = 10;
+const POLL_MS: u64 = 10;
 
 /// Nodes before engines of one service.
 pub struct Deployment {
@@ -54,7 +54,7 @@
                 _ => Role::Follower,
             };
             while role_of(node) != expected || caller::get_status(node.readiness).await != 200 {
-                sleep(LOOK_MS).await;
+                sleep(POLL_MS).await;
             }
         }
     }
--- a/crates/gateway/tests/support/engine/answers.rs
+++ b/crates/gateway/tests/support/engine/answers.rs
@@ -40,7 +40,7 @@
     match behaviour {
         Behaviour::Silent => {
             while connection.fill().await.is_ok_and(|count| count > 0) {}
-            shared.notes.lock().expect("notes").dropped += 1;
+            shared.recorded.lock().expect("notes").dropped += 1;
             let _ = shared.seen.try_send(());
             return;
         }
@@ -50,7 +50,7 @@
             head.headers.push(site::NOT_RUN, "1");
             if let Some(value) = &*shared.backoff_ms.lock().expect("backoff") {
                 head.headers.push(site::BACKOFF_MS, value);
-                note_backoff(shared, &id, value);
+                record_backoff(shared, &id, value);
             }
         }
         Behaviour::RefuseAnother => {
@@ -94,7 +94,7 @@
         || request.target.starts_with("/events");
     if is_stream && matches!(behaviour, Behaviour::FallSilentAfter(_) | Behaviour::Flood) {
         stream_until_dropped(connection, head, &behaviour).await;
-        shared.notes.lock().expect("notes").dropped += 1;
+        shared.recorded.lock().expect("notes").dropped += 1;
         let _ = shared.seen.try_send(());
         return;
     }
@@ -118,12 +118,12 @@
     let _ = connection.write_all(&message).await;
 }
 
-fn note_backoff(shared: &Shared, id: &str, value: &str) {
+fn record_backoff(shared: &Shared, id: &str, value: &str) {
     let Ok(duration_ms) = value.parse() else {
         return;
     };
-    let mut notes = shared.notes.lock().expect("notes");
-    notes.backoffs.push(NamedBackoff {
+    let mut recorded = shared.recorded.lock().expect("notes");
+    recorded.backoffs.push(NamedBackoff {
         id: id.to_owned(),
         at: Instant::now(),
         duration: Duration::from_millis(duration_ms),
--- a/crates/gateway/tests/support/engine/connection.rs
+++ b/crates/gateway/tests/support/engine/connection.rs
@@ -37,7 +37,7 @@
         }
         if let Some(since) = head.path().strip_prefix("/cache/") {
             let since = since.parse().expect("a position");
-            if tell_cache_events(&shared, &mut connection, since)
+            if send_cache_events(&shared, &mut connection, since)
                 .await
                 .is_none()
             {
@@ -50,12 +50,12 @@
             return;
         }
         if requests == 1 {
-            shared.notes.lock().expect("notes").connections += 1;
+            shared.recorded.lock().expect("notes").connections += 1;
         }
         // Decided before the request is told of: whoever hears of it may set another one.
         let answers = shared.behaviour.lock().expect("behaviour").clone();
         let ends = matches!(answers, Behaviour::EndsUnder(marked) if marked == body);
-        note(&shared, &head, body);
+        record_request(&shared, &head, body);
         if ends {
             sleep(RUNS_BEFORE_END_MS).await;
             shared.end();
@@ -73,17 +73,17 @@
     }
 }
 
-fn note(shared: &Shared, head: &RequestHead, body: Vec<u8>) {
-    let mut notes = shared.notes.lock().expect("notes");
-    notes.arrived.push(Instant::now());
-    notes.heads.push(head.clone());
-    notes.bodies.push(body);
+fn record_request(shared: &Shared, head: &RequestHead, body: Vec<u8>) {
+    let mut recorded = shared.recorded.lock().expect("notes");
+    recorded.arrived.push(Instant::now());
+    recorded.heads.push(head.clone());
+    recorded.bodies.push(body);
     let _ = shared.seen.try_send(());
 }
 
 /// Tells the events after a position, when there are some. Positions begin at 1: the first
 /// call, from 0, is answered at once.
-async fn tell_cache_events(
+async fn send_cache_events(
     shared: &Shared,
     connection: &mut BufferedStream,
     since: usize,
@@ -113,7 +113,7 @@
     head: &RequestHead,
     body: &[u8],
 ) -> Option<()> {
-    let orders = shared.notes.lock().expect("notes").orders.len() as u64;
+    let orders = shared.recorded.lock().expect("notes").orders.len() as u64;
     let mut answer = ResponseHead::new(200);
     let mut text = String::new();
     if head.path() == "/control/report" {
@@ -124,15 +124,15 @@
         let order: Value = serde_json::from_slice(body).expect("an order");
         let token = order["token"].as_u64().unwrap_or(0);
         if token < *shared.lowest_token.lock().expect("token") {
-            let mut notes = shared.notes.lock().expect("notes");
-            notes.refused_tokens.push(token);
+            let mut recorded = shared.recorded.lock().expect("notes");
+            recorded.refused_tokens.push(token);
             answer.status = 412;
         } else if order["expected"].as_u64() != Some(orders) {
             answer.status = 409;
         } else {
             *shared.weights.lock().expect("weights") = order["version"].as_u64().unwrap_or(0);
             shared.begin_load();
-            shared.notes.lock().expect("notes").take_order(order);
+            shared.recorded.lock().expect("notes").record_order(order);
             let _ = shared.seen.try_send(());
             if !*shared.answers_orders.lock().expect("answers") {
                 return None;
--- a/crates/gateway/tests/support/engine/mod.rs
+++ b/crates/gateway/tests/support/engine/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in engine whose behaviour a test sets, and that notes what it got.
+//! A stand-in engine whose behaviour a test sets, and that recorded what it got.
 
 mod answers;
 mod connection;
@@ -19,7 +19,7 @@
 
 /// Wait after which a connection to a full accept queue is known not to come about, in
 /// milliseconds.
-const QUEUE_IS_FULL_MS: u64 = 60;
+const FULL_QUEUE_TIMEOUT_MS: u64 = 60;
 
 /// What the engine does with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -78,7 +78,7 @@
 pub const EVENTS: u64 = 6;
 
 #[derive(Default)]
-struct Notes {
+struct RecordedCalls {
     heads: Vec<RequestHead>,
     bodies: Vec<Vec<u8>>,
     orders: Vec<Value>,
@@ -117,7 +117,7 @@
     answers_orders: Mutex<bool>,
     /// The lowest fencing token that it takes orders with.
     lowest_token: Mutex<u64>,
-    notes: Mutex<Notes>,
+    recorded: Mutex<RecordedCalls>,
     /// The rate limit that its answers name.
     limit: Mutex<Option<String>>,
     /// What its answers say of its leaving.
@@ -142,7 +142,7 @@
     shared: Arc<Shared>,
     listener: Arc<TcpListener>,
     /// Connections that fill the accept queue of an engine without power.
-    fillers: Vec<TcpStream>,
+    queue_fillers: Vec<TcpStream>,
     accepting: Option<smol::Task<()>>,
     _ending: smol::Task<()>,
 }
@@ -162,7 +162,7 @@
             loads_until: Mutex::default(),
             answers_orders: Mutex::new(true),
             lowest_token: Mutex::new(0),
-            notes: Mutex::default(),
+            recorded: Mutex::default(),
             limit: Mutex::default(),
             leaving: Mutex::default(),
             backoff_ms: Mutex::default(),
@@ -183,7 +183,7 @@
             happened,
             shared,
             listener,
-            fillers: Vec::new(),
+            queue_fillers: Vec::new(),
             accepting: Some(accepting),
             _ending: ending,
         }
@@ -218,15 +218,15 @@
         }
         SockRef::from(&*self.listener).listen(0).expect("listen");
         let connect = || TcpStream::connect(self.address);
-        while let Some(filler) = within(QUEUE_IS_FULL_MS, connect()).await {
-            self.fillers.push(filler.expect("a connection"));
+        while let Some(filler) = within(FULL_QUEUE_TIMEOUT_MS, connect()).await {
+            self.queue_fillers.push(filler.expect("a connection"));
         }
     }
 
     /// Its machine has power again: connections that wait are taken.
     pub fn regain_power(&mut self) {
         SockRef::from(&*self.listener).listen(128).expect("listen");
-        self.fillers.clear();
+        self.queue_fillers.clear();
         self.accepting = Some(accept(&self.shared, &self.listener));
     }
 
@@ -267,7 +267,7 @@
 
     /// When each request was read.
     pub fn arrival_times(&self) -> Vec<Instant> {
-        self.shared.notes.lock().expect("notes").arrived.clone()
+        self.shared.recorded.lock().expect("notes").arrived.clone()
     }
 
     pub fn set_weights(&self, version: u64) {
@@ -294,8 +294,8 @@
 
     /// Fencing tokens of the orders that it refused for them.
     pub fn refused_tokens(&self) -> Vec<u64> {
-        let notes = self.shared.notes.lock().expect("notes");
-        notes.refused_tokens.clone()
+        let recorded = self.shared.recorded.lock().expect("notes");
+        recorded.refused_tokens.clone()
     }
 
     /// Its cache keeps so many tokens of a part from now on.
@@ -307,12 +307,12 @@
 
     /// Heads of the requests that it read.
     pub fn heads(&self) -> Vec<RequestHead> {
-        self.shared.notes.lock().expect("notes").heads.clone()
+        self.shared.recorded.lock().expect("notes").heads.clone()
     }
 
     /// Its refusals that named a time to back off.
     pub fn backoffs(&self) -> Vec<NamedBackoff> {
-        self.shared.notes.lock().expect("notes").backoffs.clone()
+        self.shared.recorded.lock().expect("notes").backoffs.clone()
     }
 
     /// Ids of the requests that it read.
@@ -324,35 +324,40 @@
 
     /// Requests that it read.
     pub fn arrivals(&self) -> usize {
-        self.shared.notes.lock().expect("notes").heads.len()
+        self.shared.recorded.lock().expect("notes").heads.len()
     }
 
     pub fn bodies(&self) -> Vec<Vec<u8>> {
-        self.shared.notes.lock().expect("notes").bodies.clone()
+        self.shared.recorded.lock().expect("notes").bodies.clone()
     }
 
     pub fn orders(&self) -> Vec<Value> {
-        self.shared.notes.lock().expect("notes").orders.clone()
+        self.shared.recorded.lock().expect("notes").orders.clone()
     }
 
     /// When each order came.
     pub fn order_times(&self) -> Vec<Instant> {
-        self.shared.notes.lock().expect("notes").order_times.clone()
+        self.shared
+            .recorded
+            .lock()
+            .expect("notes")
+            .order_times
+            .clone()
     }
 
     /// Connections on which requests came.
     pub fn connections(&self) -> usize {
-        self.shared.notes.lock().expect("notes").connections
+        self.shared.recorded.lock().expect("notes").connections
     }
 
     /// Requests whose connection was closed while it was silent.
     pub fn dropped(&self) -> usize {
-        self.shared.notes.lock().expect("notes").dropped
+        self.shared.recorded.lock().expect("notes").dropped
     }
 }
 
-impl Notes {
-    fn take_order(&mut self, order: Value) {
+impl RecordedCalls {
+    fn record_order(&mut self, order: Value) {
         self.orders.push(order);
         self.order_times.push(Instant::now());
     }
--- a/crates/gateway/tests/support/fleet.rs
+++ b/crates/gateway/tests/support/fleet.rs
@@ -27,7 +27,7 @@
     revision: (1 << 44) - 1,
 };
 /// Time between two looks at what a test waits for, in milliseconds.
-const LOOK_MS: u64 = 5;
+const POLL_MS: u64 = 5;
 
 /// Records in the store of a fleet that is large, though its other nodes are silent.
 pub fn list_silent_nodes(store: &StandInStore) {
@@ -89,10 +89,10 @@
     let nodes: Vec<RunningGateway> = names.map(start).collect();
     for node in &nodes {
         while caller::get_status(node.readiness).await != 200 {
-            sleep(LOOK_MS).await;
+            sleep(POLL_MS).await;
         }
         while node.gateway.address_book().listed_nodes() < count {
-            sleep(LOOK_MS).await;
+            sleep(POLL_MS).await;
         }
     }
     nodes
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -59,7 +59,7 @@
     /// How often it came back from a copy, plus one; told in all answers from when a test
     /// says so.
     era: u64,
-    tells_era: bool,
+    reports_era: bool,
     objects: Vec<Stored>,
     fault: StoreFault,
     calls: Vec<String>,
@@ -80,7 +80,7 @@
             revision: 0,
             history_from: 0,
             era: 1,
-            tells_era: false,
+            reports_era: false,
             objects: Vec::new(),
             fault: StoreFault::None,
             calls: Vec::new(),
@@ -144,7 +144,7 @@
 
     /// Its answers tell from now on how often it came back from a copy.
     pub fn tell_era(&self) {
-        self.state.lock().expect("state").tells_era = true;
+        self.state.lock().expect("state").reports_era = true;
     }
 
     pub fn content(&self, kind: &str, name: &str) -> Option<Value> {
@@ -287,7 +287,7 @@
         };
         let body = value.to_string();
         let mut head = ResponseHead::new(status);
-        if let Some(era) = told_era(&state) {
+        if let Some(era) = reported_era(&state) {
             head.headers.push(STORE_ERA, era.to_string());
         }
         head.headers.push("content-length", body.len().to_string());
@@ -299,32 +299,32 @@
     }
 }
 
-fn told_era(state: &Mutex<State>) -> Option<u64> {
+fn reported_era(state: &Mutex<State>) -> Option<u64> {
     let state = state.lock().expect("state");
-    state.tells_era.then_some(state.era)
+    state.reports_era.then_some(state.era)
 }
 
 async fn answer(state: &Arc<Mutex<State>>, call: &Value) -> Option<(u16, Value)> {
-    let what = call["do"].as_str().unwrap_or_default();
+    let operation = call["do"].as_str().unwrap_or_default();
     let kind = call["kind"].as_str().unwrap_or_default();
     state
         .lock()
         .expect("state")
         .calls
-        .push(format!("{what} {kind}"));
+        .push(format!("{operation} {kind}"));
     let wait_ms = call["wait_ms"].as_u64().unwrap_or(0);
     let until = Instant::now() + Duration::from_millis(wait_ms);
     let fault = state.lock().expect("state").fault;
-    if let (StoreFault::SlowLists { ms }, "list") = (fault, what) {
+    if let (StoreFault::SlowLists { ms }, "list") = (fault, operation) {
         let answer = state.lock().expect("state").answer(call);
         ploverlift_gateway::time::sleep(ms).await;
         return Some(answer);
     }
-    let is_deaf = matches!(
+    let has_silent_watches = matches!(
         fault,
         StoreFault::DeafWatches | StoreFault::SlowLists { .. }
     );
-    if what == "watch" && is_deaf {
+    if operation == "watch" && has_silent_watches {
         ploverlift_gateway::time::sleep(wait_ms).await;
         return Some((410, Value::Null));
     }
@@ -340,13 +340,13 @@
                 StoreFault::LacksOrders if kind == "Rollouts" => {
                     return Some((404, Value::Null));
                 }
-                StoreFault::LosesWriteAnswers if what.starts_with("put") => {
+                StoreFault::LosesWriteAnswers if operation.starts_with("put") => {
                     state.answer(call);
                     return None;
                 }
                 _ => {}
             }
-            if what != "watch" {
+            if operation != "watch" {
                 return Some(state.answer(call));
             }
             let revision = call["revision"].as_u64().unwrap_or(0);
