--- a/crates/gateway/src/assembly.rs
+++ b/crates/gateway/src/assembly.rs
@@ -36,16 +36,17 @@
 use std::sync::Arc;
 use std::time::SystemTime;
 
-/// Time between two looks at the settings file, in milliseconds.
+/// Interval between two checks of the settings file, in milliseconds.
 const SETTINGS_PERIOD_MS: u64 = 2_000;
-/// Time from the beginning of a planned stop in which requests are still taken,
-/// in milliseconds. The load balancer needs it to notice; one that sends callers
-/// here even so is answered that the request has not run, because a request
-/// taken later could not be finished within the bound.
+/// Time from the start of a planned stop during which requests are still accepted,
+/// in milliseconds: the load balancer needs it to notice that the node is not ready.
+/// Later requests are answered as not run, because they could not be finished within
+/// the bound on the stop.
 const ACCEPT_WHILE_STOPPING_MS: u64 = 2_900;
-/// Time without a request after which a stopping node ends, in milliseconds.
+/// Time without a request after which a stopping node exits, in milliseconds.
 const IDLE_BEFORE_STOP_MS: u64 = 300;
-/// Part of the bound on a planned stop that is used; the rest is for ending.
+/// Fraction of the bound on a planned stop that is used for draining; the rest is for
+/// ending the tasks.
 const STOP_SHARE: f64 = 0.95;
 
 /// Why a node could not start.
@@ -56,20 +57,20 @@
     Listen {
         /// The address in the settings.
         address: SocketAddr,
-        /// Whom the listener is for.
+        /// What the listener serves.
         purpose: &'static str,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// A node that runs.
+/// A running node.
 pub struct RunningGateway {
     /// Its state.
     pub gateway: Arc<Gateway>,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub callers: SocketAddr,
-    /// Where readiness is asked.
+    /// Address of the readiness probe.
     pub readiness: SocketAddr,
     tasks: Vec<Task<()>>,
 }
@@ -86,7 +87,7 @@
     start_with_clock(settings, site, log, Clock::default())
 }
 
-/// Starts a node with a clock that is handed in.
+/// Starts a node with the given clock.
 ///
 /// # Errors
 /// When a listener cannot be bound.
@@ -178,11 +179,11 @@
     Ok((bound, local))
 }
 
-/// Attempts to find a port that is free for both UDP and TCP, where the settings
-/// leave the port open.
+/// Maximum attempts to find a port that is free for both UDP and TCP when the settings
+/// leave the port open (port 0).
 const PORT_ATTEMPTS: usize = 16;
 
-/// Binds one port twice: UDP for reports, TCP for snapshots.
+/// Binds the same port number for UDP (reports) and for TCP (snapshots).
 fn listen_for_peers(
     address: SocketAddr,
 ) -> Result<(Arc<UdpSocket>, TcpListener, SocketAddr), StartError> {
@@ -215,9 +216,9 @@
 }
 
 impl RunningGateway {
-    /// A planned stop: readiness is taken back at once; requests go on being
-    /// taken until the load balancer sends no more; the node ends when none is
-    /// under way, at the latest within the bound.
+    /// Stops the node as planned: it is no longer ready from now on, accepts requests for
+    /// `ACCEPT_WHILE_STOPPING_MS` so that the load balancer can notice, and ends when no
+    /// request is in flight, at the latest within the bound on a planned stop.
     pub async fn stop(self) {
         let gateway = &self.gateway;
         let began = gateway.clock.now();
@@ -239,7 +240,7 @@
     }
 }
 
-/// Waits until no request was under way for a moment.
+/// Waits until no request has been in flight for `IDLE_BEFORE_STOP_MS`.
 async fn wait_until_drained(gateway: &Gateway) {
     loop {
         let ended = gateway.work_ended.listen();
@@ -253,7 +254,7 @@
     }
 }
 
-/// Reads the settings file again, and puts it in force if it fits.
+/// Reads the settings file again, and applies it if it is valid.
 pub fn reload(gateway: &Gateway, file: &Path) {
     match GatewaySettings::read(file) {
         Ok(settings) => {
@@ -268,7 +269,7 @@
     slog::warn!(gateway.log, "settings not reloaded"; "error" => error.to_string());
 }
 
-/// Reloads the settings whenever the file's time changes, until dropped.
+/// Reloads the settings whenever the file's modification time changes, until dropped.
 pub async fn follow_settings(gateway: Arc<Gateway>, file: PathBuf) {
     let mut known = modified(&file);
     loop {
--- a/crates/gateway/src/beliefs.rs
+++ b/crates/gateway/src/beliefs.rs
@@ -1,4 +1,5 @@
-//! What a node believes of its site, from the store, its traffic and other nodes.
+//! A node's view of its site, from the store, its own traffic and other nodes. Any part of
+//! it may be outdated.
 
 use crate::catalogue_log::CatalogueLog;
 use crate::cut_requests::EngineEnds;
@@ -43,25 +44,25 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// Time for which reports tell that an engine has loaded, in milliseconds: some
-/// reports are lost.
+/// Time during which each report repeats that an engine has loaded weights, in
+/// milliseconds: some reports are lost.
 const LOADED_REPORT_MS: u64 = 2_000;
-/// Loaded engines in one report: the latest ones.
+/// Maximum number of loaded engines in one report; the latest ones are reported.
 const MAX_LOADED_REPORTS: usize = 12;
 
-/// A configuration that was taken in, with what is looked up in it.
+/// A configuration in force, with its lookup tables.
 #[derive(Debug, Default)]
 pub struct ActiveConfiguration {
     /// As the operator wrote it.
     pub document: Configuration,
-    /// Its routes.
+    /// Route table.
     pub routes: RouteTable,
-    /// Its tenants; nothing when requests need no key.
+    /// Tenants; `None` when requests need no key.
     pub tenants: Option<TenantDirectory>,
 }
 
 impl ActiveConfiguration {
-    /// Prepares a configuration for look-ups.
+    /// Builds the lookup tables of a configuration.
     pub fn new(document: Configuration) -> Self {
         let routes = RouteTable::new(&document.routes);
         let tenants = document.tenants.as_deref().map(TenantDirectory::new);
@@ -73,86 +74,88 @@
     }
 }
 
-/// What this node believes of the site.
+/// This node's view of the site.
 #[derive(Debug, Default)]
 pub struct Beliefs {
-    /// The newest configuration seen in this life of the process.
+    /// The newest configuration received since the process started.
     pub configuration: Option<Arc<ActiveConfiguration>>,
-    /// The same as it is stored, for nodes that ask for it.
+    /// The same configuration in stored form, for nodes that request it.
     pub stored_configuration: Option<Arc<StoredConfiguration>>,
-    /// When it was last proven to be the newest.
+    /// When the configuration was last proven to be the newest.
     pub freshness: Freshness,
-    /// When this node last read it from the store.
+    /// When this node last read the configuration from the store.
     pub store_reached_at: Option<Millis>,
-    /// Engines.
+    /// Known engines.
     pub engines: EngineCatalogue,
-    /// Their changes, numbered.
+    /// Numbered changes of the engines.
     pub catalogue_log: CatalogueLog,
-    /// What proves that this node knows them all.
+    /// Proof that this node's list of engines is complete, and its age.
     pub engines_proof: EnginesProof,
-    /// Revision of the store up to which they are known.
+    /// Revision of the store up to which the engines are known.
     pub engines_revision: u64,
-    /// Revision of the last list of all engines that this node read by itself; 0 before.
+    /// Revision of the last list of all engines that this node read from the store itself;
+    /// 0 before the first.
     pub listed_revision: u64,
-    /// Relays that this node hears.
+    /// Relays that this node follows.
     pub followed: FollowedRelays,
-    /// Nodes that take this one for a relay.
+    /// Duties towards the nodes that follow this one as a relay.
     pub relaying: RelayForwarding,
-    /// Outages of the store, as calls showed them.
+    /// Outages of the store, as observed in calls.
     pub store_outage: StoreOutage,
-    /// Whether the engines were listed once.
+    /// Whether the engines were listed at least once.
     pub has_listed_engines: bool,
-    /// Limits of tenants.
+    /// Rate limits of tenants.
     pub limiter: RateLimiter,
     /// Rollouts of engines' software.
     pub rollouts: RolloutBeliefs,
     /// Named weights, and the proofs of which are the newest.
     pub weights: NamedWeights,
-    /// What was sent and heard to tell others of them.
+    /// Exchange of reports on the newest weights with other nodes.
     pub weights_exchange: WeightsExchange,
-    /// Splits of routes.
+    /// Weighted splits of routes.
     pub splitter: WeightedSplitter,
     /// The KV cache stores.
     pub cache_stores: CacheStores,
-    /// Moves of KV cache that this node's requests have begun.
+    /// KV cache transfers that this node's requests have started.
     pub moves: MovesUnderWay,
-    /// How long round trips from this node to other zones take.
+    /// Measured round-trip times from this node to other zones.
     pub round_trips: RoundTrips,
-    /// Requests of the other nodes.
+    /// Loads that the other nodes report.
     pub peer_loads: PeerLoads,
-    /// Where shared parts of prompts were sent.
+    /// Engines that shared parts of prompts were sent to.
     pub holders: PrefixHolders,
-    /// What the engines whose events are followed keep.
+    /// Cache contents of the engines whose cache events are followed.
     pub engine_caches: EngineCaches,
-    /// What this node gave engines to read lately.
+    /// Prompt tokens that this node recently sent to engines for prefill.
     pub assigned_prefill: RecentPrefill,
-    /// Engines that load weights by this node's order.
+    /// Engines that are loading weights by this node's order.
     pub loading: Vec<InstanceId>,
-    /// Engines that loaded weights by this node's order, and when.
+    /// Engines whose completed load of weights is reported to other nodes, and when it was
+    /// queued.
     pub loaded: Vec<(Millis, LoadedWeights)>,
-    /// Leases, as far as this node holds them or their holders told it.
+    /// Leases that this node holds or that their holders reported.
     pub leases: LeaseBeliefs,
-    /// What answers have shown of overload, by service.
+    /// Overload observed in engines' answers, by service.
     pub overloads: BTreeMap<ServiceName, Overload>,
-    /// Engines that ended a connection, and what they were sent on it.
+    /// Engines that ended a connection, and the requests that they were running.
     pub engine_ends: EngineEnds,
-    /// Requests under which engines ended.
+    /// Requests during which engines terminated.
     pub quarantine: Quarantine,
     /// Rate limits that engines advertise.
     pub engine_limits: EngineLimits,
-    /// Whether another node has told what engines said of themselves.
+    /// Whether another node has sent its engine signals to this one.
     pub has_received_signals: bool,
-    /// Headers of engines, and values, that this release does not read.
+    /// Headers of engines, and values, that this release does not know; each is logged once.
     pub unread_signals: BTreeSet<String>,
-    /// Engines that take no connection any more.
+    /// Engines that accept no connections any more.
     pub losses: EngineLosses,
     retry_budgets: BTreeMap<ServiceName, RetryBudget>,
     prefill_rates: BTreeMap<ServiceName, PrefillRate>,
 }
 
 impl Beliefs {
-    /// What is known of the fleet, for the choice of an engine. `stores` are the KV
-    /// cache stores that may be used.
+    /// View of the fleet for the choice of an engine. `stores` are the KV cache stores that
+    /// may be used.
     pub fn fleet<'a>(
         &'a self,
         topology: &'a Topology,
@@ -171,7 +174,7 @@
         }
     }
 
-    /// An engine has loaded weights by this node's order.
+    /// Records that an engine has loaded weights by this node's order.
     pub fn note_loaded(&mut self, instance: &InstanceId, model: &str, version: u64, now: Millis) {
         self.engines.note_weights(instance, model, version);
         self.engines.note_loaded(instance);
@@ -183,7 +186,7 @@
         self.queue_loaded_report(loaded, now);
     }
 
-    /// Engines of which the other nodes should hear that they have loaded.
+    /// Engines whose recent load of weights is to be reported to the other nodes.
     pub fn recently_loaded(&self, now: Millis) -> Vec<LoadedWeights> {
         let lately = self.loaded.iter().rev();
         let lately = lately.filter(|(at, _)| now.since(*at) < LOADED_REPORT_MS);
@@ -191,7 +194,7 @@
         lately.map(|(_, loaded)| *loaded).collect()
     }
 
-    /// An engine was loaded by another node's order, and others should hear of it.
+    /// Queues a load of weights for this node's reports to the other nodes.
     pub fn queue_loaded_report(&mut self, loaded: LoadedWeights, now: Millis) {
         self.loaded
             .retain(|(at, _)| now.since(*at) < LOADED_REPORT_MS);
@@ -204,7 +207,7 @@
         known.map(|known| known.document.version)
     }
 
-    /// Takes in what a report tells besides loads, at a node that passes nothing on.
+    /// Applies the parts of a report other than loads, at a node that is no relay.
     pub fn note_reported(
         &mut self,
         placements: &[Placement],
@@ -240,20 +243,20 @@
         budgets.or_insert_with(|| RetryBudget::new(limits))
     }
 
-    /// Prompt tokens that an engine of a service reads in a millisecond; `usual` until
-    /// its answers have shown it.
+    /// Prefill rate of a service's engines, in prompt tokens per millisecond; `usual` until
+    /// it was learned from their answers.
     pub fn tokens_per_ms(&self, service: &ServiceName, usual: f64) -> f64 {
         let learned = self.prefill_rates.get(service);
         learned.map_or(usual, |rate| rate.tokens_per_ms(usual))
     }
 
-    /// What the answers of a service's engines have shown of their reading.
+    /// The prefill rate of a service, as learned from its engines' answers.
     pub fn prefill_rate(&mut self, service: &ServiceName) -> &mut PrefillRate {
         self.prefill_rates.entry(service.clone()).or_default()
     }
 
-    /// Takes in an order of a rollout, or its status; nothing when it is no news. Engines
-    /// of the versions that served before a rollout that is complete have been stopped.
+    /// Applies a rollout order or its status; `None` when nothing changed. When the rollout
+    /// is complete, the engines of the earlier versions have been stopped and are removed.
     pub fn apply_rollout_order(
         &mut self,
         order: RolloutOrder,
@@ -273,9 +276,8 @@
         Some(news)
     }
 
-    /// Takes in how an attempt at an engine went, for all that learn from it: the
-    /// health of the engine, whether it is there at all, and the evidence on a version
-    /// of its software.
+    /// Records the outcome of an attempt at an engine in everything that depends on it: the
+    /// engine's health, whether it is reachable, and the evidence on its software version.
     pub fn observe(&mut self, attempt: &ObservedAttempt, now: Millis) {
         let engine = self.engines.get(&attempt.instance);
         let condition = EngineCondition::of(engine, now);
@@ -283,8 +285,8 @@
         self.note_outcome(&attempt.instance, attempt.outcome, now);
     }
 
-    /// Takes in how a request or a call at an engine went, for its health and for
-    /// whether it is there at all.
+    /// Records the outcome of a request to an engine or a call of it, for its health and
+    /// for whether it is reachable.
     pub fn note_outcome(&mut self, instance: &InstanceId, outcome: Outcome, now: Millis) {
         self.engines.note_outcome(instance, outcome, now);
         match outcome {
@@ -297,13 +299,13 @@
             Outcome::Answered | Outcome::Failed | Outcome::Refused => {
                 self.losses.note_reached(instance, now);
             }
-            // A connection that breaks off shows neither.
+            // A broken connection does not show whether the engine is reachable.
             Outcome::Broken => {}
         }
     }
 
-    /// Another node or a relay told of engines that are lost: this node checks those
-    /// that it knows.
+    /// Applies another node's or a relay's report of lost engines: this node checks the
+    /// ones that it knows.
     pub fn apply_reported_losses(
         &mut self,
         source: ReportSource,
@@ -321,7 +323,7 @@
         }
     }
 
-    /// Takes in a configuration if it is newer; tells whether it was.
+    /// Applies a configuration if it is newer than the known one; returns whether it was.
     pub fn apply_configuration(
         &mut self,
         document: Configuration,
@@ -346,6 +348,6 @@
     limits.collect()
 }
 
-/// Part of the site's retry ratio that is used: nodes count requests and repeats
-/// in windows of their own.
+/// Fraction of the site's retry ratio that a node uses: nodes count requests and retries
+/// in separate windows, which are not aligned.
 const RETRY_RATIO_SHARE: f64 = 0.8;
--- a/crates/gateway/src/catalogue_log.rs
+++ b/crates/gateway/src/catalogue_log.rs
@@ -1,13 +1,13 @@
-//! Changes of the engines, numbered, for those who follow this node.
+//! Numbered log of changes of the engines, for the followers of this node.
 //!
-//! A relay sends the changes of the last moments with each of its reports. A node
-//! that misses a number asks for all engines.
+//! A relay sends its recent changes with each of its reports. A follower that misses a
+//! number requests a snapshot of all engines.
 
 use crate::peers::relay_messages::EngineChange;
 use ploverlift_policy::ids::Millis;
 use std::collections::VecDeque;
 
-/// Changes that are kept: those of a roll-out over hundreds of engines.
+/// Maximum number of changes in the log: enough for a rollout over hundreds of engines.
 const MAX_CHANGES: usize = 512;
 
 #[derive(Clone, Debug)]
@@ -16,7 +16,7 @@
     change: EngineChange,
 }
 
-/// The last changes, in order.
+/// The latest changes, in order.
 #[derive(Clone, Debug, Default)]
 pub struct CatalogueLog {
     changes: VecDeque<NumberedChange>,
@@ -26,9 +26,9 @@
 /// A part of the log: the changes with the numbers after `after` up to `through`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogPart {
-    /// Number of the change before the first one.
+    /// Number of the change before the first one in this part.
     pub after: u64,
-    /// Number of the last one.
+    /// Number of the last change in this part.
     pub through: u64,
     /// The changes.
     pub changes: Vec<EngineChange>,
@@ -52,7 +52,7 @@
         self.through
     }
 
-    /// The changes with the numbers after this one, as far as they are kept.
+    /// The changes with numbers above `number`, as far as they are still in the log.
     pub fn after(&self, number: u64) -> Vec<EngineChange> {
         let count = self.through.saturating_sub(number) as usize;
         let known = self.changes.len().saturating_sub(count);
@@ -60,9 +60,9 @@
         changes.map(|known| known.change.clone()).collect()
     }
 
-    /// The changes of the last so many milliseconds. None when there were more than are
-    /// kept, as with a first list: whoever follows lacks some before them, and asks for all
-    /// engines at once.
+    /// The changes of the last `window_ms` milliseconds. The part is empty when there were
+    /// more than the log holds, as after a first list: followers lack earlier ones anyway, and
+    /// request a snapshot of all engines at once.
     pub fn latest(&self, window_ms: u64, now: Millis) -> LogPart {
         let is_old = |known: &&NumberedChange| now.since(known.noted_at) > window_ms;
         let old = self.changes.iter().take_while(is_old).count();
@@ -83,8 +83,8 @@
 }
 
 impl LogPart {
-    /// The part in pieces of at most so many changes; one empty piece when there
-    /// are none.
+    /// Splits the part into pieces of at most `size` changes; one empty piece when there are
+    /// none.
     pub fn pieces(&self, size: usize) -> Vec<LogPart> {
         if self.changes.is_empty() {
             return vec![self.clone()];
--- a/crates/gateway/src/cut_requests.rs
+++ b/crates/gateway/src/cut_requests.rs
@@ -1,5 +1,5 @@
-//! Requests whose connections an engine ended, until it is found out whether the engine has
-//! ended.
+//! Requests whose connections an engine ended, until a probe has shown whether the engine
+//! has terminated.
 
 use ploverlift_balancing::catalogue::InstanceId;
 use ploverlift_policy::ids::Millis;
@@ -10,35 +10,35 @@
 /// A request whose connection its engine ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CutRequest {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// Its tenant.
+    /// Tenant of the request.
     pub tenant: TenantTag,
-    /// When it was sent there.
+    /// When the request was sent to the engine.
     pub begun: Millis,
     /// When the connection ended.
     pub ended: Millis,
-    /// Time from the first event of its answer to the end, in milliseconds; 0 without one.
+    /// Time from the first event of the answer to the end of the connection, in
+    /// milliseconds; 0 without an event.
     pub streamed_ms: u64,
 }
 
-/// Engines that ended a connection, and of which it is being found out whether they have
-/// ended.
+/// Engines that ended a connection and are being probed for whether they have terminated.
 #[derive(Clone, Debug, Default)]
 pub struct EngineEnds {
     open: HashMap<InstanceId, Vec<CutRequest>>,
 }
 
 impl EngineEnds {
-    /// An engine ended the connection of a request; tells whether it is the first one of
-    /// which this node has to find out.
+    /// Records that an engine ended the connection of a request; returns whether it is the
+    /// first one, so that a probe has to be started.
     pub(crate) fn note(&mut self, instance: &InstanceId, cut: CutRequest) -> bool {
         let open = self.open.entry(instance.clone()).or_default();
         open.push(cut);
         open.len() == 1
     }
 
-    /// It was found out; tells which requests were cut.
+    /// Ends the probe of an engine; returns the requests whose connections were cut.
     pub(crate) fn close(&mut self, instance: &InstanceId) -> Vec<CutRequest> {
         self.open.remove(instance).unwrap_or_default()
     }
--- a/crates/gateway/src/engine_beliefs.rs
+++ b/crates/gateway/src/engine_beliefs.rs
@@ -1,4 +1,4 @@
-//! What becomes of a node's beliefs when an engine's record comes, changes or goes.
+//! Updates a node's beliefs when an engine's record appears, changes or is removed.
 
 use crate::beliefs::Beliefs;
 use crate::peers::relay_messages::EngineChange;
@@ -7,7 +7,7 @@
 use ploverlift_policy::ids::Millis;
 
 impl Beliefs {
-    /// Takes in a new or changed engine; tells whether it was news.
+    /// Adds or updates an engine; returns whether the record was new.
     pub fn upsert_engine(&mut self, record: EngineRecord, now: Millis) -> bool {
         if self.rollouts.is_retired(&record) {
             return false;
@@ -37,23 +37,23 @@
         is_new
     }
 
-    /// Takes in a record that a relay tells. One that this node's own list lacked at a
-    /// later revision is that of an engine that is gone: the relay lags behind.
+    /// Applies a record from a relay. If this node does not know the engine and its own list
+    /// is at the same or a later revision, the engine is gone and the relay lags behind.
     fn upsert_relayed(&mut self, record: EngineRecord, now: Millis) -> bool {
         let is_known = self.engines.get(&record.instance).is_some();
         let is_gone = !is_known && record.revision <= self.listed_revision;
         !is_gone && self.upsert_engine(record, now)
     }
 
-    /// The engine itself told when its present life began.
+    /// Records the start of an engine's current incarnation, as the engine reported it.
     pub fn note_engine_incarnation(&mut self, instance: &InstanceId, born_ms: u64) {
         if self.engines.note_life(instance, born_ms) {
             self.reset_after_restart(instance);
         }
     }
 
-    /// An engine that starts again under its name holds nothing and knows nothing of
-    /// before: what was seen of its former life must not outlive it.
+    /// Removes everything that was observed of an engine's former incarnation: an engine that
+    /// restarts under its name has an empty cache and no state from before.
     fn reset_after_restart(&mut self, instance: &InstanceId) {
         let tag = EngineTag::of(instance);
         self.holders.forget_engine(tag);
@@ -64,7 +64,7 @@
         self.loaded.retain(|(_, loaded)| loaded.engine != tag);
     }
 
-    /// Forgets an engine that is gone since a revision; tells whether it was news.
+    /// Removes an engine that is gone since `revision`; returns whether that was new.
     pub fn remove_engine(&mut self, instance: &InstanceId, revision: u64, now: Millis) -> bool {
         let known = self.engines.get(instance);
         let record = known.map(|engine| engine.record.clone());
@@ -88,7 +88,7 @@
         is_new
     }
 
-    /// Takes in a change of an engine that a relay told.
+    /// Applies a change of an engine that a relay reported; returns whether it was new.
     pub fn apply_engine_change(&mut self, change: EngineChange, now: Millis) -> bool {
         match change.record {
             Some(record) => self.upsert_relayed(record, now),
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Takes over all engines as a relay knows them at a revision of the store; tells
-    /// which of them are news, and which are gone.
+    /// Replaces all engines by a relay's list at a revision of the store; returns the
+    /// engines that were added, changed or removed.
     pub fn replace_engines(
         &mut self,
         records: Vec<EngineRecord>,
--- a/crates/gateway/src/engine_checks.rs
+++ b/crates/gateway/src/engine_checks.rs
@@ -1,8 +1,8 @@
-//! Finding out by connections alone whether an engine still is there.
+//! Checks by connections alone whether an engine is still reachable.
 //!
-//! A check carries no request, so no caller waits for it, and a machine that is gone
-//! takes no connection that could be priced. While an engine is checked, requests go
-//! elsewhere as long as there is an elsewhere.
+//! A check sends no request, so no caller waits for it, and a lost machine accepts no
+//! connection that could be charged for. While an engine is checked, requests go to other
+//! engines as long as there are any.
 
 use crate::http_call::{connect, ConnectFailure};
 use crate::state::Gateway;
@@ -13,20 +13,21 @@
 use ploverlift_policy::ids::Millis;
 use std::sync::Arc;
 
-/// Time to the first check and between the first few, in milliseconds.
+/// Time before the first check and between the first few checks, in milliseconds.
 const FIRST_PAUSE_MS: u64 = 250;
-/// Longest time between two checks, in milliseconds.
+/// Maximum time between two checks, in milliseconds.
 const LONGEST_PAUSE_MS: u64 = 2_000;
-/// Checks at the first pause; then it doubles.
+/// Number of checks at the first pause; after them, the pause doubles each time.
 const CHECKS_AT_FIRST_PAUSE: u32 = 3;
-/// Checks of an engine after its record has gone.
+/// Maximum checks of an engine after its record was removed.
 const CHECKS_WITHOUT_RECORD: u32 = 5;
-/// Time beyond a check for which the engine is put aside, in milliseconds.
+/// Time beyond the end of the next check for which the engine stays ejected, in
+/// milliseconds.
 const EJECTION_SLACK_MS: u64 = 100;
-/// Time between two looks for news that is too old, in milliseconds.
+/// Interval between two removals of expired losses and notices, in milliseconds.
 const EXPIRE_PERIOD_MS: u64 = 1_000;
 
-/// Begins checks that are due, until the task is dropped.
+/// Starts checks that are due, until the task is dropped.
 pub async fn check_engines(gateway: Arc<Gateway>) {
     loop {
         let due = gateway.engine_check_due.listen();
@@ -37,7 +38,7 @@
             beliefs.engines.expire_notices(now);
             beliefs.losses.take_due()
         };
-        // A record that has gone since, or another node's word, may confirm a loss.
+        // The removal of a record or another node's report may have confirmed a loss.
         if gateway.beliefs().losses.has_lost() {
             gateway.engine_lost.notify(usize::MAX);
         }
@@ -48,7 +49,8 @@
     }
 }
 
-/// Tries to connect until that succeeds or nobody needs to know any more.
+/// Tries to connect until that succeeds, the check is obsolete, or the engine's record has
+/// been gone for `CHECKS_WITHOUT_RECORD` checks.
 async fn check_engine(gateway: Arc<Gateway>, check: DueCheck) {
     let began = gateway.clock.now();
     let mut was_lost = false;
@@ -94,7 +96,7 @@
     }
 }
 
-/// The connection that an engine has taken serves the next request.
+/// Keeps the open connection to an engine for its next request.
 pub(crate) fn keep_connection(
     gateway: &Gateway,
     instance: &InstanceId,
@@ -124,16 +126,16 @@
         "engine" => &check.instance.0, "after_ms" => now.since(began));
 }
 
-/// A check whose connection did not come about.
+/// A check that failed to connect.
 #[derive(Clone, Copy)]
 struct FailedCheck {
     failure: ConnectFailure,
     began: Millis,
-    /// Time for which the engine is put aside, in milliseconds.
+    /// Time for which the engine is ejected, in milliseconds.
     ejection_ms: u64,
 }
 
-/// Notes a check that failed; tells whether the engine is lost.
+/// Records a failed check; returns whether the engine is lost.
 fn record_failed_check(
     gateway: &Gateway,
     check: &DueCheck,
@@ -141,8 +143,8 @@
     now: Millis,
 ) -> bool {
     let mut beliefs = gateway.beliefs();
-    // The engine may have answered a request meanwhile; and what this node lacks says
-    // nothing about it.
+    // The engine may have answered a request meanwhile, and a local error (no descriptors,
+    // ports or memory) is no evidence against it.
     if !beliefs.losses.is_current(check) || failed.failure == ConnectFailure::Local {
         return false;
     }
@@ -158,7 +160,7 @@
     let is_lost = losses.is_lost_since(&check.instance, Millis(0), engines);
     drop(beliefs);
     if is_lost {
-        // Told again after each check: others may confirm it by now.
+        // Notified after each check, because other nodes may have confirmed the loss by now.
         gateway.engine_lost.notify(usize::MAX);
     }
     is_lost
--- a/crates/gateway/src/engine_connection.rs
+++ b/crates/gateway/src/engine_connection.rs
@@ -1,9 +1,9 @@
-//! One request to an engine, on a new connection or on a kept one.
+//! One request to an engine, on a new connection or on a reused one.
 //!
-//! A kept connection may be closed by the engine at the moment it is used, and
-//! then nobody knows whether the request ran; an answer too many that comes late
-//! carries another request's id. A new connection has neither fault. Dropping the
-//! answer closes the connection, and so cancels the request.
+//! A reused connection has two faults that a new one has not: the engine may close it at
+//! the moment it is used, which leaves unknown whether the request ran, and a late surplus
+//! answer on it carries the id of an earlier request. Dropping the answer closes the
+//! connection, and so cancels the request.
 
 use crate::time::within;
 use ploverlift_http1::{
@@ -14,23 +14,23 @@
 use std::fmt;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Largest head of an answer, in bytes.
+/// Maximum size of an answer's head, in bytes.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 
-/// The head of an engine's answer, and its body not yet read. Dropping it
-/// closes the connection, and so cancels the request.
+/// The head of an engine's answer, with its body still unread. Dropping it closes the
+/// connection, and so cancels the request.
 pub struct EngineAnswer {
     /// Head.
     pub head: ResponseHead,
     decoder: BodyDecoder,
     stream: BufferedStream,
-    /// Whether the whole request was written. An engine that answered before reads
-    /// the rest of the body where another request would stand.
+    /// Whether the whole request was written. An engine that answered before that would
+    /// read the rest of the body as the start of the next request.
     request_is_written: bool,
 }
 
 impl EngineAnswer {
-    /// The connection, when the answer is over and another request may follow on it.
+    /// The connection, if the answer is complete and another request may be sent on it.
     pub fn into_idle_connection(self) -> Option<BufferedStream> {
         let closes = self.head.headers.has_token("connection", "close");
         let is_over = self.decoder.is_over() && !self.decoder.ends_with_connection();
@@ -38,7 +38,8 @@
         (is_over && is_clean && !closes).then_some(self.stream)
     }
 
-    /// Appends the next bytes of the body; false at its proper end.
+    /// Appends the next bytes of the body to `output`; returns false at the regular end of
+    /// the body.
     ///
     /// # Errors
     /// When the connection breaks before the end.
@@ -47,7 +48,7 @@
     }
 }
 
-/// Why there is no head of an answer.
+/// Why no head of an answer was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExchangeFailure {
     /// How far the attempt got.
@@ -56,14 +57,14 @@
     pub reason: FailureReason,
 }
 
-/// What kept an answer from coming; displayed in logs and to callers.
+/// Reason why no answer was received; displayed in logs and to callers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FailureReason {
-    /// The engine said nothing within the limit.
+    /// The engine did not answer within the limit.
     NoAnswerInTime,
     /// The engine was found to be lost during the wait.
     EngineLost,
-    /// The request could yet have begun on outdated weights.
+    /// The request might still have begun on outdated weights.
     WeightsOutdated,
     /// The engine closed or reset the connection.
     ConnectionEnded(String),
@@ -72,7 +73,7 @@
 }
 
 impl FailureReason {
-    /// What an error on a connection to an engine says.
+    /// The reason for an error on a connection to an engine.
     pub fn of(error: &HttpError) -> Self {
         match error {
             HttpError::Closed | HttpError::Truncated | HttpError::Io { .. } => {
@@ -89,8 +90,8 @@
         matches!(self, Self::ConnectionEnded(_))
     }
 
-    /// Whether the wait was ended while the connection still stood. Otherwise the
-    /// engine may merely have closed a connection that was kept too long.
+    /// Whether this node stopped waiting while the connection was still open. Otherwise the
+    /// engine may only have closed a connection that was idle for too long.
     pub fn is_abandoned_wait(&self) -> bool {
         match self {
             Self::NoAnswerInTime | Self::EngineLost | Self::WeightsOutdated => true,
@@ -113,17 +114,17 @@
 /// Limits of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct ExchangeLimits {
-    /// Longest wait for the connection, in milliseconds.
+    /// Maximum wait for the connection, in milliseconds.
     pub connect_ms: u64,
-    /// Longest wait for the head of the answer, in milliseconds.
+    /// Maximum wait for the head of the answer, in milliseconds.
     pub head_ms: u64,
 }
 
-/// Sends a request on a connection and waits for the head of the answer. An answer
-/// that comes before the whole body was sent ends the sending.
+/// Sends a request on a connection and waits for the head of the answer. If the answer
+/// arrives before the whole body was sent, the rest of the body is not sent.
 ///
 /// # Errors
-/// When no head comes in time, or the answer is malformed.
+/// When no head arrives in time, or the answer is malformed.
 pub async fn exchange_on(
     mut stream: BufferedStream,
     head: &RequestHead,
@@ -134,8 +135,8 @@
     let encoded = head.encode();
     let request_is_written = AtomicBool::new(false);
     let write = async {
-        // An engine that stopped to read may have answered, so an error here
-        // is left to the reader to judge.
+        // An engine that stopped reading may have answered already, so a write error is not
+        // reported here: the read decides.
         let written = write_message(&mut writer, &encoded, body).await;
         request_is_written.store(written.is_ok(), Ordering::Relaxed);
         std::future::pending().await
--- a/crates/gateway/src/engine_ends.rs
+++ b/crates/gateway/src/engine_ends.rs
@@ -1,13 +1,14 @@
-//! Engines that ended under requests of this node, and what ran there.
+//! Detects engines that terminated while they ran requests of this node, and records
+//! these requests.
 //!
-//! An engine that resets one connection, or spoils one answer, lives on. One that has
-//! ended takes no new connection, and ends all others at that moment. So the first
-//! connection that an engine ends is followed by an attempt to open another one, on which
-//! nothing is sent.
+//! An engine that resets one connection or sends one malformed answer is still alive. An
+//! engine that has terminated accepts no new connection, and all its open connections end
+//! at that moment. So after the first connection that an engine ends, this node tries to
+//! open another one, on which nothing is sent.
 //!
 //! ```text
-//! connection ended ─▶ a new one is refused ─▶ ended, under all that was cut there
-//!                  └▶ it is taken, or nobody answers ─▶ nothing is known
+//! connection ended ─▶ new connection refused ─▶ terminated, during all requests cut there
+//!                  └▶ accepted, or no answer ─▶ nothing is known
 //! ```
 
 use crate::cut_requests::CutRequest;
@@ -22,17 +23,18 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Requests that one log line names.
+/// Maximum number of requests that one log line lists.
 const MAX_LOGGED_REQUESTS: usize = 16;
 
-/// What was found out of an engine.
+/// Result of the connection attempt to an engine that ended a connection.
 enum ProbeResult {
     Ended,
     Alive(BufferedStream),
     Unknown(String),
 }
 
-/// An engine ended the connection of a request of this node.
+/// Records that an engine ended the connection of a request of this node, and starts a
+/// probe of the engine unless one is running.
 pub fn note_cut(
     gateway: &Arc<Gateway>,
     instance: &InstanceId,
@@ -87,7 +89,7 @@
     }
 }
 
-/// Takes in what was found out for one request that was cut.
+/// Records the result of the probe for one request whose connection was cut.
 fn apply_probe_result(gateway: &Gateway, instance: &InstanceId, cut: &CutRequest, has_ended: bool) {
     let now = gateway.clock.now();
     let mut beliefs = gateway.beliefs();
--- a/crates/gateway/src/engine_limits.rs
+++ b/crates/gateway/src/engine_limits.rs
@@ -1,4 +1,4 @@
-//! The rate limits of engines, as one node knows them: log lines and metrics.
+//! Log lines and metrics on the rate limits that engines advertise.
 
 use crate::beliefs::Beliefs;
 use crate::metrics::LimitedEngineLabel;
@@ -7,7 +7,7 @@
 use ploverlift_enginelimit::node_messages::{TokenAnswer, TokenRequest};
 use ploverlift_policy::ids::Millis;
 
-/// An engine's limit is another one from now on; `source` told it.
+/// Logs that an engine's limit has changed, as reported by `source`.
 pub(crate) fn log_limit(
     gateway: &Gateway,
     beliefs: &Beliefs,
@@ -26,7 +26,7 @@
         "limited" => limits.limited().count());
 }
 
-/// Brings the metrics of limited engines up to date, before they are read.
+/// Updates the metrics of engines with a rate limit, before the metrics are read.
 pub(crate) fn publish_limits(gateway: &Gateway) {
     let beliefs = gateway.beliefs();
     let limited = beliefs.engine_limits.limited();
@@ -37,7 +37,7 @@
     gateway.metrics.set_engine_limits(named);
 }
 
-/// Answers a question for a token, of another node or of this one.
+/// Answers a token request of another node or of this one.
 pub(crate) fn answer_request(
     gateway: &Gateway,
     request: &TokenRequest,
--- a/crates/gateway/src/engine_log.rs
+++ b/crates/gateway/src/engine_log.rs
@@ -1,16 +1,16 @@
-//! Log lines on when a node learned of a change of an engine, and from where.
+//! Log lines on changes of engines: when a node received a change, and from which source.
 
 use crate::peers::relay_messages::EngineChange;
 use crate::state::Gateway;
 
-/// Where an update comes from.
+/// Source of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateSource {
     /// A list or a watch of the store.
     Store,
     /// A report of a relay.
     Relay,
-    /// All engines, as a relay knew them.
+    /// A snapshot of all engines from a relay.
     Snapshot,
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Logs changes of engines that this node did not know.
+/// Logs changes of engines that are new to this node.
 pub fn log_engine_updates(gateway: &Gateway, changes: &[EngineChange], from: UpdateSource) {
     for change in changes {
         log_change(gateway, change, from);
@@ -39,7 +39,8 @@
             "revision" => change.revision);
         return;
     };
-    // A follower logs departures alone: hundreds of them would repeat each line of a relay.
+    // Followers log only engines that leave or are gone: otherwise hundreds of followers
+    // would repeat each line of a relay.
     if from != UpdateSource::Store && !record.is_leaving {
         return;
     }
--- a/crates/gateway/src/engine_signals.rs
+++ b/crates/gateway/src/engine_signals.rs
@@ -1,8 +1,8 @@
-//! Takes in what engines say of themselves in the heads of their answers, whatever they answer:
-//! to requests and to orders.
+//! Applies the signals that engines set in the heads of their answers to requests and to
+//! orders, whatever the status of the answer.
 //!
-//! Answers to calls for reports and cache events name no engine, and another one may have
-//! come to the address: nothing is taken from them.
+//! Answers to calls for reports and cache events do not identify the engine, and another
+//! engine may have taken over the address: their signals are ignored.
 
 use crate::engine_limits::log_limit;
 use crate::peers::engine_limit_messages::ReportedObservation;
@@ -17,18 +17,19 @@
 use ploverlift_enginelimit::observation::Observation;
 use ploverlift_policy::ids::Millis;
 
-/// Headers and values that are remembered as not read.
+/// Maximum number of unknown headers and values that are remembered, so that each is logged
+/// only once.
 const MAX_UNREAD: usize = 64;
 
-/// An answer that is proven to be of this engine.
+/// Origin of an answer that is proven to come from this engine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AnswerOrigin<'a> {
     pub(crate) instance: &'a InstanceId,
-    /// When the request was sent that it answers.
+    /// When the request for this answer was sent.
     pub(crate) sent_at: Millis,
 }
 
-/// Takes in what an engine says of itself.
+/// Applies the signals in one answer of an engine.
 pub(crate) fn apply_signals(gateway: &Gateway, origin: AnswerOrigin<'_>, signals: &EngineSignals) {
     apply_limit(gateway, origin, &signals.limit);
     apply_leaving(gateway, origin, &signals.leaving);
@@ -133,7 +134,7 @@
     let notices = &mut beliefs.engines.notices;
     notices.note_backoff(life, duration_ms, draw, now);
     drop(beliefs);
-    slog::debug!(gateway.log, "engine asked this node to back off";
+    slog::debug!(gateway.log, "engine requested backoff";
         "engine" => &origin.instance.0, "for_ms" => duration_ms);
 }
 
@@ -155,8 +156,8 @@
     }
 }
 
-/// Whether something that is not read is seen for the first time: it is logged once, and
-/// counted each time.
+/// Whether an unreadable signal or unknown header occurs for the first time: each is logged
+/// once and counted every time.
 fn is_first_seen(gateway: &Gateway, signal: String) -> bool {
     let seen = &mut gateway.beliefs().unread_signals;
     seen.len() < MAX_UNREAD && seen.insert(signal)
--- a/crates/gateway/src/engines_proof.rs
+++ b/crates/gateway/src/engines_proof.rs
@@ -1,24 +1,23 @@
-//! How recent this node's knowledge of the engines is, and who proved it.
+//! Age and source of this node's list of engines.
 //!
-//! The bound on leaving engines runs from what the store acknowledged, whoever tells this
-//! node of it and however late. So each belief carries the moment as of which it was
-//! complete, also on its way from node to node.
+//! The bound on leaving engines counts from the store's acknowledgement, regardless of the
+//! path and delay by which this node receives the change. So a list of engines carries the
+//! time as of which it was complete, also when it is passed from node to node.
 
 use crate::settings::GatewaySettings;
 use ploverlift_balancing::catalogue::InstanceId;
 use ploverlift_policy::ids::Millis;
 use std::collections::BTreeMap;
 
-/// Part of the bound on leaving engines that knowledge of the engines may be old, a
-/// relay's or a node's own. The rest is for a change on its way and for reading the
-/// store.
+/// Maximum age of the list of engines (a relay's or a node's own), as a fraction of the
+/// bound on leaving engines. The rest is for a change in transit and for reading the store.
 const ENGINES_AGE_SHARE: f64 = 0.65;
-/// Age from which knowledge of the engines is too old and read anew, in milliseconds.
+/// Age from which the list of engines is too old and read again, in milliseconds.
 pub fn engines_age_limit_ms(settings: &GatewaySettings) -> u64 {
     (settings.bounds.leaving_engine_ms as f64 * ENGINES_AGE_SHARE) as u64
 }
 
-/// Where this node's knowledge of the engines comes from.
+/// Source of this node's list of engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EnginesSource {
     /// The store, in answer to a call of this node.
@@ -40,26 +39,26 @@
 /// The last update of the engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LastUpdate {
-    /// As of when: the moment of an answer of the store, or the moment as of which a
-    /// relay vouches.
+    /// Time of the update: when the store answered, or the time as of which a relay's proof
+    /// is valid.
     pub at: Millis,
-    /// Where from.
+    /// Source of the update.
     pub source: EnginesSource,
 }
 
-/// What proves that this node knows the engines.
+/// Proof that this node's list of engines is complete.
 #[derive(Clone, Debug, Default)]
 pub struct EnginesProof {
     known_at: Option<Millis>,
     last_update: Option<LastUpdate>,
-    /// Engines whose records are gone and that are kept, and since when.
+    /// Engines that stay in the list though their records were removed, and since when.
     retained: BTreeMap<InstanceId, Millis>,
 }
 
 impl EnginesProof {
-    /// The store answered a call that was sent at `sent`: it told all that had changed
-    /// before. An answer that took longer than any call waits, in milliseconds, lay unread
-    /// while this node stood still, and tells what held when it was asked for.
+    /// Records that the store answered a call sent at `sent`: the answer covers all changes
+    /// before that time. An answer that took longer than `longest_ms`, the longest wait of a
+    /// call, lay unread while this node was suspended, so it counts as of `sent`.
     pub fn note_store_read(&mut self, sent: Millis, now: Millis, longest_ms: u64) {
         self.known_at = self.known_at.max(Some(sent));
         let at = match now.since(sent) > longest_ms {
@@ -69,7 +68,8 @@
         self.note_update(at, EnginesSource::Store);
     }
 
-    /// A relay, all of whose changes were taken in, vouches for what held at `proven_at`.
+    /// Records that a relay, all of whose changes were applied, has proven its list as of
+    /// `proven_at`.
     pub fn note_relay_proof(&mut self, proven_at: Millis) {
         self.known_at = self.known_at.max(Some(proven_at));
         self.note_update(proven_at, EnginesSource::Relay);
@@ -86,23 +86,25 @@
         self.last_update
     }
 
-    /// The record of an engine is gone, and the engine is kept for a time.
+    /// Records that an engine's record was removed and that the engine stays in the list for
+    /// a time.
     pub fn retain_removed(&mut self, instance: InstanceId, now: Millis) {
         self.retained.entry(instance).or_insert(now);
     }
 
-    /// The engine's record is back, or it is kept no longer.
+    /// Records that the engine's record is back, or that the engine was removed from the list.
     pub fn stop_retaining(&mut self, instance: &InstanceId) {
         self.retained.remove(instance);
     }
 
-    /// Whether the engine is kept though its record is gone.
+    /// Whether the engine stays in the list though its record was removed.
     pub fn is_retained(&self, instance: &InstanceId) -> bool {
         self.retained.contains_key(instance)
     }
 
-    /// Age of what this node reports of the engines to others, in milliseconds: an engine
-    /// that it keeps though its record is gone is as old as that removal.
+    /// Age of the list of engines that this node reports to others, in milliseconds. While
+    /// an engine is retained after the removal of its record, the list is at least as old as
+    /// that removal.
     pub fn reported_age_ms(&self, now: Millis) -> Option<u64> {
         let oldest_removal = self.retained.values().min().copied();
         let known_at = self.known_at?;
--- a/crates/gateway/src/http_call.rs
+++ b/crates/gateway/src/http_call.rs
@@ -1,4 +1,5 @@
-//! One call on a kept connection, with a deadline and a truthful error.
+//! HTTP calls on a persistent connection, with a time-out and an error that shows whether
+//! the call may have been carried out.
 
 use crate::time::within;
 use ploverlift_http1::{read_response_head, BufferedStream, HttpError, RequestHead, ResponseHead};
@@ -9,46 +10,45 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Largest head of an answer, in bytes.
+/// Maximum size of an answer's head, in bytes.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// Largest body of an answer, in bytes.
+/// Maximum size of an answer's body, in bytes.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
-/// Bounds on connections that this node opens.
+/// Liveness options of connections that this node opens.
 const SERVER_LIVENESS: PeerLiveness = PeerLiveness {
     keepalive: Duration::from_secs(1),
     probes: 3,
     timeout: Duration::from_millis(2_500),
 };
-/// Errors of this machine itself (`EMFILE`, `ENFILE`, `EADDRNOTAVAIL`, `ENOBUFS`,
-/// `ENOMEM`), which say nothing about the peer.
+/// Error codes of the local machine (`EMFILE`, `ENFILE`, `EADDRNOTAVAIL`, `ENOBUFS`,
+/// `ENOMEM`), which are no evidence about the peer.
 const LOCAL_ERRORS: [i32; 5] = [24, 23, 99, 105, 12];
 
-/// When the kernel takes the peer of a connection to be gone.
+/// When the kernel considers the peer of a connection to be gone.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerLiveness {
-    /// Silence after which the kernel asks whether the peer still is there, and time
-    /// between two questions.
+    /// Idle time before the first keep-alive probe, and interval between two probes.
     pub keepalive: Duration,
-    /// Questions without an answer that end a connection.
+    /// Number of unanswered keep-alive probes that end a connection.
     pub probes: u32,
-    /// Time after which unanswered bytes or questions end a connection. Without it
-    /// a connection to a machine without power hangs for minutes.
+    /// Time after which unacknowledged bytes or probes end a connection. Without it a
+    /// connection to a machine that lost power hangs for minutes.
     pub timeout: Duration,
 }
 
-/// Why no connection came about.
+/// Why no connection could be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFailure {
-    /// Nobody answered: it timed out, or the peer's host or network is unreachable.
+    /// No answer: the attempt timed out, or the peer's host or network is unreachable.
     NoAnswer,
-    /// The peer's machine refused it or reset it, and so is there.
+    /// The peer's machine refused or reset the connection, so the machine is running.
     Refused,
     /// This machine is out of descriptors, ports or memory.
     Local,
 }
 
 impl ConnectFailure {
-    /// What an error of opening a connection says.
+    /// Classifies an error of opening a connection.
     pub fn of(error: &io::Error) -> Self {
         if error
             .raw_os_error()
@@ -65,7 +65,7 @@
     }
 }
 
-/// Why a call has no answer.
+/// Why a call got no answer.
 #[derive(Debug, Snafu)]
 pub enum CallError {
     /// Nothing was sent.
@@ -73,7 +73,7 @@
     Unreachable {
         /// What happened.
         reason: String,
-        /// What that says about the peer.
+        /// Kind of failure.
         failure: ConnectFailure,
     },
     /// The call may have been carried out, or may still be.
@@ -84,17 +84,17 @@
     },
 }
 
-/// A connection that is opened when it is needed and kept between calls.
+/// A connection that is opened on demand and kept open between calls.
 pub struct CallConnection {
     address: SocketAddr,
     stream: Option<BufferedStream>,
 }
 
-/// An answer, whole.
+/// A complete answer: head and body.
 pub type WholeAnswer = (ResponseHead, Vec<u8>);
 
 impl CallError {
-    /// Why no connection came about, where none did.
+    /// Why no connection could be opened; `None` if there was a connection.
     pub fn connect_failure(&self) -> Option<ConnectFailure> {
         match self {
             Self::Unreachable { failure, .. } => Some(*failure),
@@ -104,7 +104,7 @@
 }
 
 impl CallConnection {
-    /// A connection to this address; nothing is opened yet.
+    /// A connection to `address`, not opened yet.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -112,15 +112,16 @@
         }
     }
 
-    /// Closes the connection; the next call opens another.
+    /// Closes the connection; the next call opens a new one.
     pub fn reset(&mut self) {
         self.stream = None;
     }
 
-    /// Opens the connection unless it is open, so that the next call is sent at once.
+    /// Opens the connection unless it is open, so that the next call needs no connection
+    /// set-up.
     ///
     /// # Errors
-    /// When none comes about within `timeout_ms`.
+    /// When no connection is established within `timeout_ms`.
     pub async fn open(&mut self, timeout_ms: u64) -> Result<(), CallError> {
         if self.stream.is_none() {
             self.stream = Some(connect(self.address, timeout_ms).await?);
@@ -128,8 +129,8 @@
         Ok(())
     }
 
-    /// Sends a call and reads the whole answer. Without an answer the
-    /// connection is closed: what comes on it later belongs to no other call.
+    /// Sends a call and reads the whole answer. Without an answer the connection is closed,
+    /// so that a late answer cannot be taken for that of another call.
     ///
     /// # Errors
     /// When there is no answer within `timeout_ms`.
@@ -148,7 +149,8 @@
             Some(stream) => stream,
             None => connect(self.address, timeout_ms).await?,
         };
-        // Connecting counts: a call that took twice its time would pass its caller's bound.
+        // Connecting counts towards the time-out: otherwise a call could take twice its limit
+        // and exceed its caller's bound.
         let passed_ms = began.elapsed().as_millis() as u64;
         let left_ms = timeout_ms.saturating_sub(passed_ms).max(1);
         let exchange = exchange(&mut stream, &head.method, &message);
@@ -191,10 +193,10 @@
     Ok(((head, body), is_kept))
 }
 
-/// Opens a connection that notices a peer without power.
+/// Opens a connection that detects a peer that lost power.
 ///
 /// # Errors
-/// [`CallError::Unreachable`] when none comes about in time.
+/// [`CallError::Unreachable`] when no connection is established in time.
 pub async fn connect(address: SocketAddr, timeout_ms: u64) -> Result<BufferedStream, CallError> {
     let connecting = within(timeout_ms, TcpStream::connect(address)).await;
     let connected = connecting.ok_or_else(|| CallError::Unreachable {
@@ -209,9 +211,10 @@
     Ok(BufferedStream::new(stream))
 }
 
-/// Sets the options that end a connection whose peer is gone without a word, so long
-/// after the first byte or question that it left unanswered. A system that lacks one
-/// of them still works, only slower.
+/// Sets the socket options that end a connection whose peer disappeared without closing
+/// it, `liveness.timeout` after the first byte or probe that was not acknowledged. A
+/// failure to set one is ignored: the connection still works, but a lost peer is detected
+/// later.
 pub fn set_liveness_options(stream: &TcpStream, liveness: PeerLiveness) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
--- a/crates/gateway/src/kept_connections.rs
+++ b/crates/gateway/src/kept_connections.rs
@@ -1,36 +1,37 @@
-//! Connections to engines that are kept for a short time after a whole answer.
+//! Idle connections to engines, kept open for a short time after a complete answer.
 //!
-//! An engine may close or forget an idle connection at the moment it is used, and
-//! then nobody knows whether a request on it ran. So only requests that may run
-//! again are sent on a kept connection, and it is closed on any doubt: when bytes
-//! came that nobody asked for, when the engine announced its close, or when it is
-//! older than a part of the time for which the engine keeps it.
+//! An engine may close or drop an idle connection at the moment it is used, which leaves
+//! unknown whether a request on it ran. So only requests that may run again are sent on a
+//! kept connection, and it is closed in any doubt: when unexpected bytes arrived, when the
+//! engine announced that it closes, or when the connection is idle for longer than a
+//! fraction of the engine's own idle time-out.
 
 use ploverlift_balancing::catalogue::InstanceId;
 use ploverlift_http1::{BufferedStream, Headers};
 use ploverlift_policy::ids::Millis;
 use std::collections::HashMap;
 
-/// Kept connections to one engine; the oldest ones go first.
+/// Maximum number of idle connections to one engine; the oldest is closed first.
 const MAX_PER_ENGINE: usize = 4;
-/// Part of the time that an engine says it keeps idle connections for.
+/// Fraction of the idle time-out that an engine announces during which its connection is
+/// reused.
 const ANNOUNCED_SHARE: f64 = 0.5;
 
-/// A connection on which nothing is under way.
+/// A connection without a request in flight.
 pub struct IdleConnection {
     stream: BufferedStream,
     use_before: Millis,
 }
 
-/// Kept connections by engine.
+/// Idle connections by engine.
 #[derive(Default)]
 pub struct KeptConnections {
     by_engine: HashMap<InstanceId, Vec<IdleConnection>>,
 }
 
 impl KeptConnections {
-    /// Keeps a connection after a whole answer with these headers, for `longest_ms`
-    /// at most.
+    /// Keeps a connection after a complete answer with these headers, for at most
+    /// `longest_ms` milliseconds.
     pub fn keep(
         &mut self,
         instance: &InstanceId,
@@ -52,19 +53,19 @@
         kept.push(connection);
     }
 
-    /// Takes the connection to an engine that was used last.
+    /// Removes and returns the most recently used idle connection to an engine.
     pub fn take(&mut self, instance: &InstanceId, now: Millis) -> Option<BufferedStream> {
         self.expire(now);
         let kept = self.by_engine.get_mut(instance)?;
         kept.pop().map(|connection| connection.stream)
     }
 
-    /// Closes the connections to an engine: one of them had fallen silent.
+    /// Closes all idle connections to an engine, after one of them got no answer.
     pub fn forget(&mut self, instance: &InstanceId) {
         self.by_engine.remove(instance);
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections whose time for reuse is over.
     fn expire(&mut self, now: Millis) {
         self.by_engine.retain(|_, kept| {
             kept.retain(|connection| now < connection.use_before);
@@ -72,19 +73,19 @@
         });
     }
 
-    /// Connections that are kept.
+    /// Number of idle connections.
     pub fn len(&self) -> usize {
         self.by_engine.values().map(Vec::len).sum()
     }
 
-    /// Whether no connection is kept.
+    /// Whether there is no idle connection.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// Time for which a connection is used again after an answer that says how long
-/// the engine keeps it (`Keep-Alive: timeout=SECONDS`), in milliseconds.
+/// Time for which a connection is reused after an answer that announces the engine's idle
+/// time-out (`Keep-Alive: timeout=SECONDS`), in milliseconds.
 fn announced_ms(headers: &Headers) -> Option<u64> {
     let announced = headers.get("keep-alive")?;
     let mut parameters = announced.split(',').map(str::trim);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,33 +1,33 @@
-//! The gateway: forwards callers' HTTP requests to engines, by the operator's
-//! configuration from an object store.
+//! The gateway: forwards callers' HTTP requests to engines according to the
+//! operator's configuration, which is read from an object store.
 //!
-//! Every node is the same program and needs no other node. What must last lies
-//! in the store; a node holds copies whose age it knows.
+//! All nodes run the same program, and each can work without the others. Durable
+//! state is in the store; a node holds copies of it and tracks their staleness.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | [`ports`] | what a site's adapter translates |
+//! | [`ports`] | interfaces that a site's adapter implements |
 //! | [`settings`] | the settings file |
-//! | [`state`] | what the tasks of a node share |
-//! | [`beliefs`] | what a node believes of its site |
+//! | [`state`] | state shared by the tasks of a node |
+//! | [`beliefs`] | a node's view of its site |
 //! | [`callers`] | connections of callers |
 //! | [`forward`] | one request, from its head to the end of its answer |
-//! | `engine_signals` | what engines say of themselves in their answers |
+//! | `engine_signals` | signals that engines set in the heads of their answers |
 //! | [`engine_connection`] | one request on one connection to an engine |
-//! | [`engine_ends`] | whether an engine that ended a connection has ended, and under which requests |
-//! | [`quarantine`] | requests under which engines ended, as they are stored |
-//! | [`engine_checks`] | whether an engine that took no connection still is there |
-//! | [`kept_connections`] | connections to engines between two requests |
+//! | [`engine_ends`] | detects that an engine has terminated, and the requests that it was running |
+//! | [`quarantine`] | stored list of requests during which engines terminated |
+//! | [`engine_checks`] | connection checks of engines that could not be reached |
+//! | [`kept_connections`] | idle connections to engines |
 //! | [`store`] | client of the object store and the copies that follow it |
-//! | [`peers`] | reports between nodes: loads, and who keeps which prompts |
-//! | [`cache_feeds`] | follows what engines and the KV cache store hold |
+//! | [`peers`] | reports between nodes: loads, and the engines that cache each prompt |
+//! | [`cache_feeds`] | follows the contents of engine caches and of the KV cache store |
 //! | [`rollouts`] | rollouts of engines' software |
-//! | [`engines_proof`] | how recent the knowledge of the engines is, and who proved it |
-//! | [`outcomes`] | how attempts at engines went |
-//! | [`leases`] | leases in the store, for duties that one node at a time has |
-//! | [`weights`] | bringing engines to new weights, by one holder of a lease |
-//! | [`suspension`] | noticing that this node stood still |
-//! | [`readiness`], [`metrics`], [`logging`] | what a node tells of itself |
+//! | [`engines_proof`] | age and source of the node's list of engines |
+//! | [`outcomes`] | outcomes of attempts at engines |
+//! | [`leases`] | leases in the store, for duties of one node at a time |
+//! | [`weights`] | loads new weights into engines, by one lease holder |
+//! | [`suspension`] | detects that this node was suspended |
+//! | [`readiness`], [`metrics`], [`logging`] | how a node reports its own state |
 //! | [`assembly`] | puts the parts together; start, reload, planned stop |
 
 pub mod assembly;
--- a/crates/gateway/src/logging.rs
+++ b/crates/gateway/src/logging.rs
@@ -1,5 +1,5 @@
-//! The gateway's logger: one JSON line on standard output for each decision that
-//! touches a request or changes what the node believes.
+//! The gateway's logger: one JSON line on standard output for each decision that affects
+//! a request or changes the node's view of the site.
 
 use crate::settings::LogLevel;
 use slog::{Level, Logger};
@@ -16,7 +16,7 @@
     }
 }
 
-/// A logger of a node.
+/// A JSON logger whose lines carry the name of the node.
 pub fn json_logger(node: &str, level: LogLevel) -> Logger {
     ploverlift_telemetry::json_logger(slog::o!("node" => node.to_owned()), level.into())
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -15,35 +15,35 @@
 use prometheus_client::registry::{Registry, Unit};
 use std::sync::atomic::AtomicU64;
 
-/// Start of every metric's name.
+/// Prefix of every metric's name.
 const PREFIX: &str = "ploverlift_gateway";
-/// Upper end of the first bucket of times, in seconds.
+/// Upper bound of the first bucket of durations, in seconds.
 const FIRST_BUCKET_SECONDS: f64 = 0.005;
-/// Buckets of times; each is twice as wide as the one before.
+/// Number of buckets of durations; each upper bound is twice the one before.
 const BUCKETS: u16 = 12;
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OutcomeLabel {
-    /// As in the log.
+    /// Name of the outcome, as in the log.
     pub outcome: &'static str,
 }
 
 /// A kind of call of the object store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct StoreCallLabel {
-    /// What it does: list, list_stale, get, watch, create or replace.
+    /// Operation: list, list_stale, get, watch, create or replace.
     pub call: &'static str,
     /// The kind of objects.
     pub kind: &'static str,
 }
 
-/// Requests of tenants that have a limit.
+/// Labels of requests of tenants that have a rate limit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct LimitLabel {
-    /// How large the limit is: tenants are too many for a label of their own.
+    /// Size class of the limit: there are too many tenants for one label each.
     pub class: &'static str,
-    /// By what it was decided.
+    /// Basis of the decision.
     pub basis: &'static str,
     /// Whether the request was admitted.
     pub decision: &'static str,
@@ -75,7 +75,7 @@
     pub engine: String,
 }
 
-/// What an engine said of itself in an answer.
+/// A signal that an engine sets in its answers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct SignalLabel {
     /// `limit`, `leaving` or `backoff`.
@@ -89,7 +89,7 @@
     pub lease: &'static str,
 }
 
-/// How a question for a token was answered.
+/// Answer to a token request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct TokenLabel {
     /// The answer.
@@ -110,115 +110,114 @@
 pub struct ArrivalLabel {
     /// The service.
     pub service: String,
-    /// Target, or established.
+    /// `target` or `established`.
     pub side: &'static str,
     /// The stage, as in the log.
     pub stage: &'static str,
-    /// The stage by its epoch.
+    /// Epoch of the stage.
     pub epoch: u64,
 }
 
-/// How far requests went.
+/// Distance to the engine or to the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct DistanceLabel {
     /// As in [`Distance::name`].
     pub distance: &'static str,
 }
 
-/// Shared tokens of prompts, as they were believed to be when an engine was chosen.
+/// Expected supply of the shared tokens of a prompt when an engine was chosen.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct SharedTokensLabel {
-    /// `held` by the engine, `moved` to it, or to be `read`.
+    /// `held`: in the engine's cache; `moved`: transferred to it; `read`: to be prefilled.
     pub supply: &'static str,
 }
 
 /// All metrics.
 #[derive(Debug)]
 pub struct Metrics {
-    /// Requests by how they ended.
+    /// Requests by outcome.
     pub requests: Family<OutcomeLabel, Counter>,
     /// Requests sent to engines.
     pub attempts: Counter,
-    /// Requests sent to engines, by how far these are.
+    /// Requests sent to engines, by distance.
     pub attempts_by_distance: Family<DistanceLabel, Counter>,
-    /// Bytes of requests' bodies, by how far they went.
+    /// Bytes of request bodies sent to engines, by distance.
     pub request_bytes: Family<DistanceLabel, Counter>,
-    /// Shared tokens of the prompts that were sent, by where they were expected.
+    /// Shared tokens of the prompts that were sent, by expected supply.
     pub shared_tokens: Family<SharedTokensLabel, Counter>,
-    /// Bytes of the answers to calls for cache events, by how far those are who gave
-    /// them.
+    /// Bytes of the answers to calls for cache events, by distance to the sender.
     pub cache_event_bytes: Family<DistanceLabel, Counter>,
-    /// Requests sent a second time.
+    /// Retries: requests sent again to an engine.
     pub repeats: Counter,
-    /// Requests that were not sent because engines ended under them.
+    /// Requests that were not sent because engines terminated while running them.
     pub withheld_requests: Counter,
-    /// Engines that ended under requests of this node.
+    /// Terminations of engines while they ran requests of this node.
     pub engine_ends: Counter,
-    /// Answers in which engines named a rate limit.
+    /// Answers in which engines advertised a rate limit.
     pub limited_answers: Counter,
     /// Engines that advertise a rate limit.
     pub limited_engines: Gauge,
-    /// Rate limits that engines advertise, in requests a second.
+    /// Rate limits that engines advertise, in requests per second.
     pub engine_limits: Family<LimitedEngineLabel, Gauge<f64, AtomicU64>>,
-    /// Requests that this node, as the one that counts, has granted at such engines.
+    /// Requests to such engines that this node has granted as the limit holder.
     pub granted_requests: Family<LimitedEngineLabel, Counter>,
-    /// Questions for tokens that this node answered, by the answer.
+    /// Token requests that this node answered, by answer.
     pub tokens: Family<TokenLabel, Counter>,
-    /// Questions for tokens that no other node answered.
+    /// Token requests that no other node answered.
     pub unanswered_tokens: Counter,
-    /// Requests that were rejected because all engines get as many as they take.
+    /// Requests that were rejected because all engines are at their rate limits.
     pub rejected_for_limits: Counter,
-    /// Answers in which engines said that they leave.
+    /// Answers in which engines announced that they leave.
     pub leaving_answers: Counter,
-    /// Answers in which engines asked this node to back off.
+    /// Answers in which engines requested a backoff.
     pub backoff_answers: Counter,
-    /// Signals of engines in answers that could not be read.
+    /// Signals in engines' answers that could not be parsed.
     pub invalid_signals: Family<SignalLabel, Counter>,
-    /// Headers of the engines' own family in answers that are not read.
+    /// Headers with the engines' own prefix that this release does not know.
     pub unread_headers: Counter,
-    /// Requests sent on a connection that was used before.
+    /// Requests sent on a reused connection.
     pub reused_connections: Counter,
-    /// Resting connections of callers that were closed to make room for others.
+    /// Idle connections of callers that were closed to free capacity for others.
     pub connections_closed_for_room: Counter,
-    /// Calls of the object store, by what they do and of which kind.
+    /// Calls of the object store, by operation and kind of objects.
     pub store_calls: Family<StoreCallLabel, Counter>,
     /// Calls of the object store that failed.
     pub store_failures: Counter,
-    /// Times that the store came back from a copy.
+    /// Number of times that the store was restored from a copy.
     pub store_restorations: Counter,
     /// The era of the store.
     pub store_era: Gauge,
-    /// Leases that were known and that the store lacked.
+    /// Known leases that were missing in the store.
     pub missing_leases: Counter,
     /// Fencing tokens that engines refused.
     pub refused_fencing_tokens: Counter,
-    /// The fencing token of this node, by lease; 0 while it does not hold it.
+    /// This node's fencing token, by lease; 0 while it does not hold the lease.
     pub fencing_tokens: Family<LeaseLabel, Gauge>,
     /// Orders to engines.
     pub orders: Counter,
-    /// Requests of tenants that have a limit.
+    /// Requests of tenants that have a rate limit.
     pub limited_requests: Family<LimitLabel, Counter>,
-    /// Units of limits that were asked for, in the same classes.
+    /// Units of rate limits that such requests asked for.
     pub limited_units: Family<LimitLabel, Counter>,
     /// Requests sent to engines of services that have a rollout.
     pub rollout_arrivals: Family<ArrivalLabel, Counter>,
-    /// Epoch of the present stage of a service's rollout.
+    /// Epoch of the current stage of a service's rollout.
     pub rollout_epoch: Family<RolloutLabel, Gauge>,
     /// Version of the configuration in force.
     pub configuration_version: Gauge,
-    /// Other nodes that were heard of lately.
+    /// Other nodes from which a report arrived recently.
     pub peers: Gauge,
     /// Engines in the catalogue.
     pub engines: Gauge,
     /// Engines whose cache events are followed.
     pub followed_caches: Gauge,
-    /// Engines whose cache this node began to follow.
+    /// Number of times that this node began to follow an engine's cache.
     pub begun_cache_feeds: Counter,
-    /// Log lines on requests that were left out.
+    /// Log lines on requests that were skipped.
     pub log_lines_skipped: Counter,
-    /// Requests that waited for news of the engines.
+    /// Requests that were held until the list of engines was up to date.
     pub held_requests: Counter,
-    /// Time from the head to the first byte of the answer.
+    /// Time from the request's head to the first byte of the answer.
     pub first_byte_seconds: Histogram,
 }
 
@@ -273,12 +272,12 @@
 }
 
 impl Metrics {
-    /// Counts a request by how it ended.
+    /// Counts a request by outcome.
     pub fn count_request(&self, outcome: &'static str) {
         self.requests.get_or_create(&OutcomeLabel { outcome }).inc();
     }
 
-    /// Counts a request with a body of so many bytes by how far it goes.
+    /// Counts a request with a body of `body_bytes` by the distance to its engine.
     pub fn count_distance(&self, distance: Distance, body_bytes: u64) {
         let label = DistanceLabel {
             distance: distance.name(),
@@ -310,7 +309,7 @@
         self.store_calls.get_or_create(&label).inc();
     }
 
-    /// A rollout of a service has come to a stage.
+    /// Records that a service's rollout has reached a stage.
     pub fn note_rollout_stage(&self, service: &str, stage: &'static str, epoch: u64) {
         let service = service.to_owned();
         let epoch = i64::try_from(epoch).unwrap_or(i64::MAX);
@@ -332,7 +331,7 @@
         self.rollout_arrivals.get_or_create(&label).inc();
     }
 
-    /// These engines advertise limits, and no other does.
+    /// Replaces the rate limits that engines advertise by the given ones.
     pub fn set_engine_limits(&self, limits: impl Iterator<Item = (String, f64)>) {
         self.engine_limits.clear();
         let mut count = 0;
@@ -343,12 +342,12 @@
         }
         self.limited_engines.set(count);
         if count == 0 {
-            // Else the labels of engines that are gone would add up.
+            // Otherwise the labels of engines that are gone would accumulate.
             self.granted_requests.clear();
         }
     }
 
-    /// This node's fencing token of a lease.
+    /// Sets this node's fencing token of a lease; `None` while it does not hold the lease.
     pub fn set_fencing_token(&self, lease: &'static str, token: Option<u64>) {
         let token = token.map_or(0, |token| i64::try_from(token).unwrap_or(i64::MAX));
         self.fencing_tokens
@@ -356,13 +355,13 @@
             .set(token);
     }
 
-    /// Counts a signal of an engine that could not be read.
+    /// Counts a signal of an engine that could not be parsed.
     pub fn count_invalid_signal(&self, signal: &'static str) {
         let label = SignalLabel { signal };
         self.invalid_signals.get_or_create(&label).inc();
     }
 
-    /// Counts a question for a token by its answer.
+    /// Counts a token request by its answer.
     pub fn count_token(&self, answer: &TokenAnswer) {
         let answer = match answer {
             TokenAnswer::Granted { .. } => "granted",
@@ -373,7 +372,7 @@
         self.tokens.get_or_create(&TokenLabel { answer }).inc();
     }
 
-    /// Counts a request of a tenant that has a limit.
+    /// Counts a request of a tenant that has a rate limit.
     pub fn count_limited(&self, standing: &Standing) {
         let label = LimitLabel::of(standing);
         self.limited_requests.get_or_create(&label).inc();
@@ -381,7 +380,7 @@
         units.inc_by(standing.cost);
     }
 
-    /// The page as it is now.
+    /// Encodes the current metrics as an OpenMetrics page.
     pub fn page(&self) -> String {
         let mut registry = Registry::with_prefix(PREFIX);
         registry.register(
--- a/crates/gateway/src/outcomes.rs
+++ b/crates/gateway/src/outcomes.rs
@@ -1,4 +1,4 @@
-//! How attempts at engines went. There is one place where this is taken in,
+//! Outcomes of attempts at engines. They are recorded in one place,
 //! [`crate::beliefs::Beliefs::observe`], for health, rollouts and admission alike.
 
 use ploverlift_balancing::catalogue::InstanceId;
@@ -6,23 +6,23 @@
 use ploverlift_routing::configuration::ServiceName;
 use ploverlift_routing::software::SoftwareVersion;
 
-/// An attempt at an engine, and how it went.
+/// An attempt at an engine, with its outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObservedAttempt {
-    /// The service.
+    /// Service of the engine.
     pub service: ServiceName,
     /// Name of the route.
     pub route: String,
-    /// The engine.
+    /// Engine that was tried.
     pub instance: InstanceId,
-    /// The version of its software.
+    /// Software version of the engine.
     pub software: SoftwareVersion,
     /// Whether another engine was tried before.
     pub is_repeat: bool,
-    /// How it went.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Time from the send to the first byte of the answer's content, in
-    /// milliseconds; nothing when none came.
+    /// Time from the send to the first byte of the answer's content, in milliseconds;
+    /// `None` if no such byte arrived.
     pub first_byte_ms: Option<u64>,
     /// Time from the send to the outcome, in milliseconds.
     pub duration_ms: u64,
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,8 +1,8 @@
-//! Refused requests as the store has them: what outlives all nodes.
+//! Stored list of refused requests, which outlives all nodes.
 //!
-//! One write for each refused request, by the node that found it out; the others write it
-//! if that one has not. Each node reads the list when it starts, before it takes callers.
-//! An operator releases a request by removing its object.
+//! Each refused request is written once, by the node that detected it; the other nodes
+//! write it only if that node has not. Each node reads the list when it starts, before it
+//! accepts callers. An operator releases a request by deleting its object.
 
 use crate::peers::roles::{are_engines_relayed, role, Role};
 use crate::ports::{StoreError, StoreKind, StoreObject};
@@ -19,23 +19,23 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Time between two lists while anything is refused, in milliseconds: how long it takes
-/// until what an operator has removed is sent again.
+/// Interval between two lists while any request is refused, in milliseconds. It is the
+/// maximum delay until a request that an operator has released is sent again.
 const LIST_PERIOD_MS: u64 = 30_000;
-/// Time within which a relay that tells of the engines tells how many requests are refused,
-/// in milliseconds: ten of its reports.
+/// Time within which a relay that reports the engines also reports the number of refused
+/// requests, in milliseconds: ten of its reports.
 const REPORTED_WITHIN_MS: u64 = 1_000;
-/// Time between two looks at what has to be stored, in milliseconds.
+/// Interval between two checks for changes that have to be stored, in milliseconds.
 const POLL_PERIOD_MS: u64 = 1_000;
 
-/// The document of a refused request; its name is the fingerprint.
+/// Stored document of a refused request; the object's name is the fingerprint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct RefusalDocument {
     /// Hash of the tenant's name, in hex.
     tenant: String,
-    /// Versions of the software of the engines that ended.
+    /// Software versions of the engines that terminated.
     software: Vec<String>,
-    /// Trials that it was given since.
+    /// Number of trials that the request was given since.
     trials: u32,
 }
 
@@ -65,7 +65,8 @@
     }
 }
 
-/// Reads what is refused, and stores what this node finds out, until the task is dropped.
+/// Reads the list of refused requests, and stores this node's own findings, until the task
+/// is dropped.
 pub async fn sync_quarantine(gateway: Arc<Gateway>) {
     load_refusals(&gateway).await;
     let mut client = StoreClient::new(&gateway);
@@ -81,7 +82,7 @@
         }
         let has_refused = gateway.beliefs().quarantine.refused() > 0;
         if !has_refused || role(&gateway, now) == Role::Follower {
-            // Followers are told by their relays.
+            // Relays report the refused requests to their followers.
             listed_at = now;
         } else if now.since(listed_at) >= LIST_PERIOD_MS {
             listed_at = now;
@@ -91,7 +92,7 @@
     }
 }
 
-/// Learns what the store has: from its list, or from a relay that knows it.
+/// Loads the refused requests: from the store, or from a relay that has the list.
 async fn load_refusals(gateway: &Arc<Gateway>) {
     let mut feed = Feed::new(Arc::clone(gateway), StoreKind::RefusedRequests);
     let mut backoff = Backoff::new();
@@ -109,7 +110,7 @@
         }
     };
     let unreported = async {
-        // Relays of an earlier release tell of the engines, and nothing of this.
+        // Relays of an earlier release report the engines, but not the refused requests.
         while !are_engines_relayed(gateway) {
             sleep(POLL_PERIOD_MS).await;
         }
@@ -125,7 +126,7 @@
     gateway.site_updated.notify(usize::MAX);
 }
 
-/// What the store has of refused requests, for an operator.
+/// Lists the refused requests in the store, for an operator.
 ///
 /// # Errors
 /// When the store does not answer properly.
@@ -135,14 +136,13 @@
     let mut client = StoreClient::new(gateway);
     match client.list(StoreKind::RefusedRequests).await {
         Ok((objects, _)) => Ok(objects.iter().filter_map(RefusalDocument::read).collect()),
-        // A store without the kind has none.
+        // A store that does not know this kind of object has no refused requests.
         Err(StoreError::NotFound) => Ok(Vec::new()),
         Err(error) => Err(error),
     }
 }
 
-/// Releases a request: nodes send it again once they have read the list, within half a
-/// minute.
+/// Releases a request: nodes send it again once they have read the list, within 30 s.
 ///
 /// # Errors
 /// When the store does not answer properly.
@@ -170,7 +170,7 @@
     let stored = objects.iter().filter_map(|object| {
         let read = RefusalDocument::read(object);
         if read.is_none() {
-            slog::warn!(gateway.log, "refused request does not fit"; "name" => &object.name);
+            slog::warn!(gateway.log, "refused request document is malformed"; "name" => &object.name);
         }
         read
     });
@@ -185,7 +185,8 @@
     }
 }
 
-/// Stores what is refused and not stored, and removes what is refused no longer.
+/// Writes refused requests that are not stored yet, and deletes those that are no longer
+/// refused.
 async fn store_changes(
     gateway: &Gateway,
     client: &mut StoreClient,
--- a/crates/gateway/src/readiness.rs
+++ b/crates/gateway/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Small listeners: whether this node takes callers, and its metrics.
+//! Listeners for the readiness probe and for metrics.
 
 use crate::engine_limits::publish_limits;
 use crate::peers::engine_signals::knows_signals;
@@ -9,22 +9,22 @@
 use smol::net::{TcpListener, TcpStream};
 use std::sync::Arc;
 
-/// Largest head of a question, in bytes.
+/// Maximum size of a request's head, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Longest rest of a connection between two questions, in milliseconds.
+/// Maximum idle time of a connection between two requests, in milliseconds.
 const IDLE_MS: u64 = 10_000;
-/// Pause when no more connections can be had, in milliseconds.
+/// Pause after a failed accept, in milliseconds.
 const ACCEPT_RETRY_MS: u64 = 20;
 
-/// Whether this node takes callers: it knows the configuration, the engines, the newest
-/// weights, the requests that are refused, the rate limits of engines and the orders of
-/// rollouts, and the present stage where it started in the midst of one; it may accept keys,
-/// and is not stopping.
+/// Whether this node accepts callers: it knows the configuration, the engines, the newest
+/// weights, the refused requests, the rate limits of engines and the rollout orders, and
+/// the current stage of a rollout that was running when it started; it may accept keys; and
+/// it is not stopping.
 pub fn is_ready(gateway: &Gateway) -> bool {
     knows_site(gateway) && !gateway.is_stopping()
 }
 
-/// Whether this node knows what it needs to serve callers.
+/// Whether this node has all the state that it needs to serve callers.
 pub fn knows_site(gateway: &Gateway) -> bool {
     let has_copies = {
         let beliefs = gateway.beliefs();
@@ -37,7 +37,7 @@
     has_copies && knows_signals(gateway) && gateway.accepts_keys()
 }
 
-/// Answers the load balancer until the task is dropped.
+/// Answers readiness probes of the load balancer until the task is dropped.
 pub async fn serve_readiness(gateway: Arc<Gateway>, listener: TcpListener) {
     serve_probes(gateway, listener, |gateway| match is_ready(gateway) {
         true => (200, "ready\n".to_owned()),
@@ -46,7 +46,7 @@
     .await;
 }
 
-/// Answers with the metrics until the task is dropped.
+/// Serves the metrics until the task is dropped.
 pub async fn serve_metrics(gateway: Arc<Gateway>, listener: TcpListener) {
     serve_probes(gateway, listener, |gateway| {
         publish_limits(gateway);
@@ -65,8 +65,8 @@
                 smol::spawn(serve_connection(gateway, stream, response_fn)).detach();
             }
             Err(error) => {
-                // Out of descriptors: asking again at once would only burn processor time.
-                slog::warn!(gateway.log, "question not accepted"; "error" => error.to_string());
+                // Typically out of descriptors: an immediate retry would only waste CPU time.
+                slog::warn!(gateway.log, "probe connection not accepted"; "error" => error.to_string());
                 sleep(ACCEPT_RETRY_MS).await;
             }
         }
--- a/crates/gateway/src/reliance.rs
+++ b/crates/gateway/src/reliance.rs
@@ -1,47 +1,49 @@
-//! Whether requests may go to the engines that this node knows, by how recent that is.
+//! Whether the list of engines is recent enough to send requests by it.
 
 use crate::engines_proof::engines_age_limit_ms;
 use crate::settings::GatewaySettings;
 use crate::state::Gateway;
 use ploverlift_policy::ids::Millis;
 
-/// Part of the bound that is left for sending a request once an engine is chosen, in
-/// milliseconds: 250 to connect, and a head and a short body over a link that others use.
+/// Part of the bound on leaving engines that is reserved for sending a request once an
+/// engine is chosen, in milliseconds: 250 to connect, the rest for a head and a short body
+/// over a shared link.
 const SENDING_MARGIN_MS: u64 = 450;
 
-/// Age beyond which nothing should be sent on knowledge of the engines, in milliseconds.
+/// Age of the list of engines beyond which no request should be sent by it, in
+/// milliseconds.
 fn longest_reliance_ms(settings: &GatewaySettings) -> u64 {
     let bound_ms = settings.bounds.leaving_engine_ms;
     let limit_ms = engines_age_limit_ms(settings);
     bound_ms.saturating_sub(SENDING_MARGIN_MS).max(limit_ms)
 }
 
-/// Whether requests may go to the engines that this node knows.
+/// How far the list of engines can be relied on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reliance {
-    /// What is known is recent enough.
+    /// The list is recent enough.
     Recent,
-    /// It is too old, and no call has shown yet why.
+    /// The list is too old, and no call has shown the cause yet.
     Unproven,
-    /// It is too old, and a relay knows more: the store is there.
+    /// The list is too old, and a relay has a newer one: the store is reachable.
     Behind,
-    /// It is too old, and the store answers no call. Engines stay in use: the bound
-    /// binds those who can reach the store.
+    /// The list is too old, and the store answers no call. The engines stay in use: the
+    /// bound on leaving engines applies only to nodes that can reach the store.
     StoreAway,
 }
 
 impl Reliance {
-    /// Whether a request need not wait: the knowledge is recent, or none is to be had.
+    /// Whether a request need not wait: the list is recent, or no newer one can be had.
     pub fn needs_no_wait(self) -> bool {
         matches!(self, Self::Recent | Self::StoreAway)
     }
 }
 
-/// Whether requests may go to the engines that this node knows now.
+/// How far the list of engines can be relied on now.
 pub fn reliance(gateway: &Gateway, now: Millis) -> Reliance {
     let limit_ms = longest_reliance_ms(&gateway.settings());
     let beliefs = gateway.beliefs();
-    // A node that was told of no engines yet has none to send to.
+    // Before the first update there are no engines to send to.
     let Some(last) = beliefs.engines_proof.last_update() else {
         return Reliance::Recent;
     };
--- a/crates/gateway/src/reservation.rs
+++ b/crates/gateway/src/reservation.rs
@@ -1,12 +1,12 @@
-//! What a request counts against its tenant's limit, from admission to the end of its
+//! Units of a tenant's rate limit that a request holds, from admission to the end of its
 //! last attempt.
 
 use crate::state::Gateway;
 use ploverlift_routing::rate_limit::TenantTag;
 use std::sync::Arc;
 
-/// Units of a tenant's limit that are taken for a request. What did not run by the end
-/// is given back.
+/// Units of a tenant's rate limit that a request holds. They are refunded on drop if the
+/// request did not run.
 pub struct Reservation {
     gateway: Arc<Gateway>,
     tenant: TenantTag,
@@ -15,7 +15,7 @@
 }
 
 impl Reservation {
-    /// Units that the limiter has taken for a request that it admitted.
+    /// Wraps the units that the limiter has charged for a request that it admitted.
     pub fn new(gateway: &Arc<Gateway>, tenant: TenantTag, units: u64) -> Self {
         Self {
             gateway: Arc::clone(gateway),
@@ -25,7 +25,8 @@
         }
     }
 
-    /// The request goes to an engine. Each engine that runs it counts.
+    /// Records that the request is sent to an engine. Each engine that runs it is charged:
+    /// from the second one on, the units are charged again.
     pub fn spend(&mut self) {
         if std::mem::replace(&mut self.is_spent, true) {
             let now = self.gateway.clock.now();
@@ -34,7 +35,8 @@
         }
     }
 
-    /// The engine did not run it: the next one may be sent the same units.
+    /// Records that the engine did not run the request: the next attempt uses the same
+    /// units.
     pub fn not_run(&mut self) {
         self.is_spent = false;
     }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a node share.
+//! State shared by the tasks of a node.
 
 use crate::beliefs::{ActiveConfiguration, Beliefs};
 use crate::engines_proof::engines_age_limit_ms;
@@ -36,60 +36,61 @@
     pub topology: Topology,
     /// Translates the site's protocols.
     pub site: Arc<dyn Site>,
-    /// The clock by which all ages count.
+    /// The clock that all ages are measured with.
     pub clock: Clock,
     /// Log.
     pub log: Logger,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Told whenever the store was reached again after a failure.
+    /// Notified whenever the store was reached again after a failure.
     pub store_recovered: Event,
-    /// Told when this node has stood still: what it follows may have told nothing since.
+    /// Notified when this node was suspended: watches may have missed changes meanwhile.
     pub suspension_detected: Event,
-    /// Told whenever a version of weights was named.
+    /// Notified whenever a version of weights was named in the store.
     pub weights_named: Event,
-    /// Told when the other nodes should hear at once which weights are the newest.
+    /// Notified when the newest weights should be reported to the other nodes at once.
     pub weights_report_due: Event,
-    /// Told when this node's watch was not the first to tell of a version.
+    /// Notified when another source reported a version of weights before this node's watch.
     pub weights_watch_lagged: Event,
-    /// Told when a relay knows something that this node lacks.
+    /// Notified when a relay has data that this node lacks.
     pub snapshot_due: Event,
-    /// Told when the configuration was read or proven, or the engines were listed.
+    /// Notified when the configuration was read or proven to be the newest, or the engines
+    /// were listed.
     pub site_updated: Event,
-    /// Told when an engine is to be checked.
+    /// Notified when a check of an engine is due.
     pub engine_check_due: Event,
     /// The era of the store.
     pub store_era: KnownEra,
-    /// Told when the store has come back from a copy.
+    /// Notified when the store was restored from a copy.
     pub store_restored: Event,
-    /// Told when an engine was found to be lost.
+    /// Notified when an engine was found to be lost.
     pub engine_lost: Event,
-    /// Told when the other nodes should hear from this one at once.
+    /// Notified when a report to the other nodes should be sent at once.
     pub report_due: Event,
-    /// Told when an engine came whose software version may belong to an order that is
-    /// not known yet.
+    /// Notified when an engine appeared whose software version may belong to a rollout order
+    /// that is not known yet.
     pub orders_due: Event,
-    /// Told when an order of a rollout, or its status, is news here.
+    /// Notified when a rollout order or its status changed at this node.
     pub order_changed: Event,
-    /// Told when something is news of requests under which engines ended.
+    /// Notified when the quarantine of requests during which engines terminated changed.
     pub quarantine_changed: Event,
-    /// Told when something is news of what engines said of themselves.
+    /// Notified when a signal that engines set in their answers changed.
     pub engine_signals_changed: Event,
-    /// Requests to other nodes for tokens of such engines.
+    /// Pending requests to other nodes for tokens of engines that have a rate limit.
     pub token_questions: PendingTokenRequests,
-    /// Messages to other nodes that wait to be sent.
+    /// Queue of messages to other nodes.
     pub outbox: Outbox,
-    /// Told when a planned stop begins.
+    /// Notified when a planned stop begins.
     pub stop_began: Event,
-    /// Told whenever a request or a connection has ended.
+    /// Notified whenever a request or a connection has ended.
     pub work_ended: Event,
-    /// This life of the node; a restarted node has a higher one.
+    /// Incarnation of this node; a restarted node has a higher one.
     pub life: u64,
-    /// When it started.
+    /// When this node started.
     pub started_at: Millis,
     /// Number of the next report to other nodes.
     pub report_sequence: AtomicU64,
-    /// Where the splits of this node begin, in 0 to 1.
+    /// Start of this node's weighted splits, from 0 to 1.
     pub split_start: f64,
     stopping: AtomicBool,
     refusing: AtomicBool,
@@ -101,7 +102,7 @@
     kept_connections: Mutex<KeptConnections>,
 }
 
-/// Log lines that were written in the present second.
+/// Log lines written in the current second.
 #[derive(Debug, Default)]
 struct LineAllowance {
     second: u64,
@@ -109,12 +110,12 @@
 }
 
 impl Gateway {
-    /// A node that believes nothing yet.
+    /// A node whose view of the site is still empty.
     pub fn new(settings: GatewaySettings, site: Arc<dyn Site>, log: Logger) -> Self {
         Self::with_clock(settings, site, log, Clock::default())
     }
 
-    /// The same with a clock that is handed in.
+    /// Like [`Self::new`], with the given clock.
     pub fn with_clock(
         settings: GatewaySettings,
         site: Arc<dyn Site>,
@@ -173,19 +174,19 @@
         Arc::clone(&settings.unwrap_or_else(|poisoned| poisoned.into_inner()))
     }
 
-    /// Puts other settings in force.
+    /// Replaces the settings in force.
     pub fn replace_settings(&self, settings: GatewaySettings) {
         let current = self.settings.lock();
         *current.unwrap_or_else(|poisoned| poisoned.into_inner()) = Arc::new(settings);
     }
 
-    /// Beliefs, locked. Never held over I/O.
+    /// Locks the beliefs. The guard must not be held over I/O.
     pub fn beliefs(&self) -> MutexGuard<'_, Beliefs> {
         let beliefs = self.beliefs.lock();
         beliefs.unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Takes in how a request or a call at an engine went.
+    /// Records the outcome of a request to an engine or a call of it.
     pub fn note_outcome(&self, instance: &InstanceId, outcome: Outcome) {
         let now = self.clock.now();
         self.beliefs().note_outcome(instance, outcome, now);
@@ -194,19 +195,20 @@
         }
     }
 
-    /// Addresses of the other nodes, locked. Never held over I/O.
+    /// Locks the addresses of the other nodes. The guard must not be held over I/O.
     pub fn address_book(&self) -> MutexGuard<'_, AddressBook> {
         let address_book = self.address_book.lock();
         address_book.unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// All engines, encoded for nodes that ask, locked. Beliefs are locked after it.
+    /// Locks the encoding of all engines that is sent to nodes on request. Lock order: the
+    /// beliefs are locked after it.
     pub fn engine_encoding(&self) -> MutexGuard<'_, EngineEncoding> {
         let encoding = self.engine_encoding.lock();
         encoding.unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Kept connections to engines, locked. Never held over I/O.
+    /// Locks the idle connections to engines. The guard must not be held over I/O.
     pub fn kept_connections(&self) -> MutexGuard<'_, KeptConnections> {
         let kept = self.kept_connections.lock();
         kept.unwrap_or_else(|poisoned| poisoned.into_inner())
@@ -228,7 +230,7 @@
         self.stop_began.notify(usize::MAX);
     }
 
-    /// Whether a planned stop is so far that new requests are refused.
+    /// Whether a planned stop has reached the phase in which new requests are refused.
     pub fn is_refusing(&self) -> bool {
         self.refusing.load(Ordering::Acquire)
     }
@@ -238,12 +240,12 @@
         self.refusing.store(true, Ordering::Release);
     }
 
-    /// Requests that were read and not answered yet.
+    /// Number of requests that were read and not answered yet.
     pub fn requests_in_flight(&self) -> usize {
         self.requests_in_flight.load(Ordering::Acquire)
     }
 
-    /// Counts a request as under way until the guard is dropped.
+    /// Counts a request as in flight until the guard is dropped.
     pub fn request_guard(self: &Arc<Self>) -> RequestGuard {
         self.requests_in_flight.fetch_add(1, Ordering::AcqRel);
         RequestGuard {
@@ -251,7 +253,7 @@
         }
     }
 
-    /// This node as the fleet counts it in rollouts.
+    /// Identity of this node among the nodes that rollouts count.
     pub fn own_seat(&self) -> OwnSeat {
         let node = PeerId::of(&self.settings().node.name);
         OwnSeat {
@@ -261,7 +263,8 @@
         }
     }
 
-    /// Whether keys may be accepted now: the configuration is fresh enough.
+    /// Whether callers' keys may be accepted now: the configuration is recent enough, or the
+    /// settings accept keys regardless of its age.
     pub fn accepts_keys(&self) -> bool {
         let settings = self.settings();
         let limit = key_freshness_limit_ms(&settings);
@@ -269,7 +272,7 @@
         !settings.bounds.revoke_when_cut || self.beliefs().freshness.allows_keys(now, limit)
     }
 
-    /// Whether one more line on a request that went well may be logged.
+    /// Whether one more successful request may be logged in this second; counts the line.
     pub fn may_log_success(&self) -> bool {
         let second = self.clock.now().0 / 1_000;
         let limit = self.settings().log.successes_per_second;
@@ -282,7 +285,7 @@
         allowance.lines <= limit
     }
 
-    /// Rates for the choice of an engine.
+    /// Cost rates for the choice of an engine.
     pub fn cost_rates(&self) -> CostRates {
         let cost = &self.settings().cost;
         CostRates {
@@ -301,11 +304,12 @@
         }
     }
 
-    /// When a request must no longer begin on older weights: so long before the site's
-    /// bound, in milliseconds, or half of the bound where that is less.
+    /// When requests must no longer begin on outdated weights: `margin_ms` milliseconds
+    /// before the site's bound, or at half of the bound if the margin is larger than that.
     pub fn weights_bounds(&self, margin_ms: u64) -> WeightsBounds {
         let bounds = &self.settings().bounds;
-        // Counted without a break from the last proof, both hold once the shorter does.
+        // Both bounds count from the last proof without interruption, so the shorter one
+        // implies the longer one.
         let bound_ms = bounds.weights_ms.min(bounds.weights_total_ms);
         WeightsBounds {
             avoid_after_ms: bound_ms - margin_ms.min(bound_ms / 2),
@@ -314,22 +318,22 @@
     }
 }
 
-/// Time after the first proof of which weights are the newest for which requests may
-/// begin on weights from before it, in milliseconds, where no other node knows more: a
-/// fleet that starts anew serves at once, and its engines load meanwhile.
+/// Time after the first proof of the newest weights during which requests may still begin
+/// on older weights, in milliseconds, if no other node knows more. It lets a fleet that
+/// starts from scratch serve at once while its engines load.
 const AVOID_AFTER_START_MS: u64 = 2_500;
 
-/// Part of the bound on revoked keys for which a configuration is relied on. The
-/// rest covers what a watch may lag behind the store.
+/// Fraction of the bound on revoked keys during which a configuration is relied on. The
+/// rest covers the lag of a watch behind the store.
 const KEY_FRESHNESS_SHARE: f64 = 0.94;
 
-/// Longest age of the proof that a configuration is the newest while keys are
-/// accepted, in milliseconds.
+/// Maximum age, in milliseconds, of the proof that the configuration is the newest;
+/// beyond it, keys are not accepted.
 pub fn key_freshness_limit_ms(settings: &GatewaySettings) -> u64 {
     (settings.bounds.key_revocation_ms as f64 * KEY_FRESHNESS_SHARE) as u64
 }
 
-/// Counts a request as under way.
+/// Counts a request as in flight until it is dropped.
 pub struct RequestGuard {
     gateway: Arc<Gateway>,
 }
--- a/crates/gateway/src/suspension.rs
+++ b/crates/gateway/src/suspension.rs
@@ -1,19 +1,20 @@
-//! Noticing that this node stood still: its machine slept, or its process was stopped.
+//! Detects that this node was suspended: its machine slept, or its process was stopped.
 //!
-//! Watches that were open before hear nothing of what was changed meanwhile until they end
-//! by timers that stood still as well. So all that follows the store begins anew at once.
+//! Watches that were open before the suspension may miss the changes made meanwhile until
+//! they time out, and their timers were suspended as well. So all feeds that follow the
+//! store are restarted at once.
 
 use crate::state::Gateway;
 use crate::time::sleep;
 use std::sync::Arc;
 
-/// Time between two looks at the clock, in milliseconds.
+/// Interval between two checks of the clock, in milliseconds.
 const CHECK_PERIOD_MS: u64 = 100;
-/// Time beyond it after which this node stood still, in milliseconds: a busy machine lets a
-/// process wait for less.
+/// Delay of a check beyond its interval that counts as a suspension, in milliseconds. On a
+/// busy machine, a process waits for less than this.
 const SUSPENSION_THRESHOLD_MS: u64 = 1_000;
 
-/// Looks for times in which no timer ran, until the task is dropped.
+/// Detects intervals in which no timer ran, until the task is dropped.
 pub async fn detect_suspension(gateway: Arc<Gateway>) {
     loop {
         let before = gateway.clock.now();
--- a/crates/gateway/src/time.rs
+++ b/crates/gateway/src/time.rs
@@ -1,11 +1,11 @@
-//! Waiting with a limit. Timers stand still while the machine is suspended: whoever waited
-//! looks at the clock again before it acts.
+//! Waiting with a time limit. Timers do not run while the machine is suspended, so code
+//! that has waited must read the clock again before it acts.
 
 use smol::Timer;
 use std::future::Future;
 use std::time::Duration;
 
-/// Waits for `future`, at most so long.
+/// Waits for `future` for at most `limit_ms` milliseconds; `None` on time-out.
 pub async fn within<T>(limit_ms: u64, future: impl Future<Output = T>) -> Option<T> {
     let value = async { Some(future.await) };
     let timeout = async {
@@ -15,7 +15,7 @@
     futures_lite::future::or(value, timeout).await
 }
 
-/// Waits so long.
+/// Waits for the given number of milliseconds.
 pub async fn sleep(milliseconds: u64) {
     Timer::after(Duration::from_millis(milliseconds)).await;
 }
