--- a/crates/gateway/tests/engine_notices/backoff.rs
+++ b/crates/gateway/tests/engine_notices/backoff.rs
@@ -1,4 +1,4 @@
-//! Engines that turn requests away and ask the node to back off.
+//! Engines that refuse requests and ask the node to back off.
 
 use crate::oracle::max_within_backoff;
 use crate::run_exclusively;
@@ -11,40 +11,40 @@
 use ploverlift_gateway::time::sleep;
 use std::time::{Duration, Instant};
 
-/// Nodes of the site.
+/// Number of nodes.
 const NODES: usize = 5;
-/// Engines of the site.
+/// Number of engines.
 const ENGINES: usize = 6;
-/// Time between two requests at one node, in milliseconds: 100 a second at the site.
+/// Time between two requests at one node, in milliseconds: 100 per second over all nodes.
 const PERIOD_MS: u64 = 50;
-/// Time between two changes of what refusals name, in milliseconds.
+/// Time between two changes of the backoff that refusals request, in milliseconds.
 const STEP_MS: u64 = 50;
-/// Engines that a request may be sent to, by its route.
+/// Maximum number of engines that a request may be sent to, set by its route.
 const MAX_ATTEMPTS: usize = 2;
-/// Requests of a node that an engine may get within the time that it named.
+/// Maximum number of requests that an engine may get from a node within its backoff.
 const MAX_WITHIN_BACKOFF: usize = 2;
-/// Longest time for which a request that is rejected may have been held; the shared thread of
-/// the test comes on top.
+/// Maximum time for which a rejected request may have been held; the delay of timers on the
+/// test's shared thread is added to it.
 const MAX_HOLD: Duration = Duration::from_millis(50);
 
-/// What a time to back off made of the callers' requests.
+/// Result of running a scenario: the deployment and all answered requests.
 struct ScenarioRun {
     site: Deployment,
     asked: Vec<Asked>,
-    /// When the engines served again.
+    /// When the engines stopped refusing requests.
     ended_at: Instant,
-    /// By how much a timer of this process was late at most.
+    /// Maximum delay of a timer of this process.
     latest_timer: Duration,
 }
 
-/// How engines turn requests away.
+/// How engines refuse requests.
 #[derive(Clone, Copy)]
 struct RefusalScenario {
     engines: usize,
     backoff_ms: u64,
-    /// For how long they do, in milliseconds.
+    /// Duration of the refusals, in milliseconds.
     for_ms: u64,
-    /// Whether each second refusal or so names no time.
+    /// Whether the engines request a backoff only in every second interval of `STEP_MS`.
     omits_some_times: bool,
 }
 
@@ -91,10 +91,10 @@
     fn check_engines(&self) {
         let most = self.site.engines.iter().map(max_within_backoff);
         let most = most.max().unwrap_or(0);
-        println!("{most} requests of a node within a time to back off");
+        println!("at most {most} requests of a node within a backoff");
         assert!(
             most <= MAX_WITHIN_BACKOFF,
-            "{most} within the time to back off"
+            "an engine got {most} requests of a node within its backoff"
         );
     }
 
@@ -102,27 +102,34 @@
         self.asked.iter().filter(|asked| asked.status != 200)
     }
 
-    /// Each rejected request had been turned away by so many engines: none is left then.
+    /// Checks that each rejected request had been sent to `attempts` engines before.
     fn check_rejected_only_after(&self, attempts: usize) {
         let engines = self.site.engines.iter();
         let arrived: Vec<String> = engines.flat_map(StandInEngine::arrived_ids).collect();
         for rejected in self.rejected() {
             let sent = arrived.iter().filter(|id| **id == rejected.id).count();
-            assert_eq!(sent, attempts, "{} was rejected", rejected.id);
+            assert_eq!(
+                sent, attempts,
+                "attempts of the rejected request {}",
+                rejected.id
+            );
         }
     }
 
-    /// Nothing is rejected any more a second after the last time to back off has ended.
+    /// Checks that no request is rejected later than 1 s after the end of the last backoff.
     fn check_recovery(&self, backoff_ms: u64) {
         let serves_from = self.ended_at + Duration::from_millis(backoff_ms + 1_000);
         let last = self.rejected().map(|asked| asked.at).max();
         let late = last.map(|last| last.saturating_duration_since(serves_from));
-        assert!(late.unwrap_or_default().is_zero(), "rejected {late:?} late");
+        assert!(
+            late.unwrap_or_default().is_zero(),
+            "a request was rejected {late:?} too late"
+        );
     }
 }
 
-/// Guards against requests that engines get within the backoff that they had asked the node
-/// for, where no other engine is left.
+/// Guards against requests that are sent to an engine within its backoff, or held for long,
+/// when all engines are backing off.
 #[test]
 fn requests_are_rejected_at_once_while_all_engines_are_backing_off() {
     let _exclusive = run_exclusively();
@@ -141,14 +148,17 @@
             let longest = run.rejected().map(|asked| asked.took).max();
             let longest = longest.unwrap_or_default();
             let late = run.latest_timer;
-            println!("held for {longest:?} at most; a timer was late by {late:?} at most");
-            assert!(longest < MAX_HOLD + late, "held for {longest:?}");
+            println!("held for at most {longest:?}; timers late by at most {late:?}");
+            assert!(
+                longest < MAX_HOLD + late,
+                "a rejected request was held for {longest:?}"
+            );
         }
     });
 }
 
-/// Guards against an engine that gets requests within its time to back off, or none after it,
-/// while others serve.
+/// Guards against an engine that gets requests within its backoff, or too few after it, while
+/// other engines serve.
 #[test]
 fn backoff_of_some_engines_loses_no_request_and_traffic_returns_afterwards() {
     let _exclusive = run_exclusively();
@@ -174,13 +184,16 @@
                 .map(|one| since(one.arrival_times()))
                 .sum();
             let got = since(run.site.engines[0].arrival_times());
-            // The homes of prompts are drawn at random.
-            assert!(got * ENGINES * 2 >= all, "{got} of {all} requests");
+            // Prompts are assigned to engines at random, so the share may vary by a factor of 2.
+            assert!(
+                got * ENGINES * 2 >= all,
+                "the engine got {got} of {all} requests"
+            );
         }
     });
 }
 
-/// Guards against a later refusal that names no time and shortens one that runs.
+/// Guards against a later refusal without a backoff that shortens a running one.
 #[test]
 fn refusals_without_a_backoff_do_not_shorten_a_running_one() {
     let _exclusive = run_exclusively();
@@ -213,8 +226,8 @@
     });
 }
 
-/// Guards against a caller that is told the time of the one engine that refused its request,
-/// and not when its service can serve it.
+/// Guards against a retry-after time that is taken from the engine that refused the request,
+/// instead of the earliest time at which any engine of the service can serve it.
 #[test]
 fn retry_after_is_the_earliest_end_of_an_engines_backoff() {
     let _exclusive = run_exclusively();
@@ -226,7 +239,7 @@
         engines[0].name_backoff(Some("1000"));
         engines[1].name_backoff(Some("9000"));
         let fixture = Fixture::new(&[&engines[0], &engines[1]]).await;
-        // Both are asked, and one is the last.
+        // The first request is sent to both engines; it is unknown which one gets it last.
         let first = fixture.send(&request("safe.test", "first")).await;
         assert_eq!(first.status(), 503);
         assert_eq!(
@@ -239,8 +252,8 @@
             let answer = fixture.send(&call).await;
             let named = answer.head.headers.get("retry-after-ms");
             let named: u64 = named.expect("a time").parse().expect("a number");
-            // The engine's time, a quarter of it, and the callers' own moments.
-            assert!((900..=1_750).contains(&named), "{named} ms");
+            // The engine's backoff, up to a quarter of it, and the jitter between callers.
+            assert!((900..=1_750).contains(&named), "retry after {named} ms");
             times.push(named);
         }
         assert_eq!(
@@ -248,6 +261,6 @@
             2
         );
         times.dedup();
-        assert!(times.len() > 10, "callers come back together");
+        assert!(times.len() > 10, "callers retry at the same time");
     });
 }
--- a/crates/gateway/tests/engine_notices/leaving.rs
+++ b/crates/gateway/tests/engine_notices/leaving.rs
@@ -1,4 +1,4 @@
-//! An engine that says in its answers that it leaves, while the store is away.
+//! An engine that announces in its answers that it leaves, while the store is unreachable.
 
 use crate::oracle::Departure;
 use crate::run_exclusively;
@@ -9,26 +9,27 @@
 use ploverlift_gateway::time::sleep;
 use std::time::Duration;
 
-/// Engines of the site.
+/// Number of engines.
 const ENGINES: usize = 12;
-/// Nodes that know each other.
+/// Number of nodes in the test without relays.
 const NODES: usize = 7;
-/// Nodes that follow two relays.
+/// Number of nodes that follow two relays.
 const FOLLOWERS: usize = 38;
-/// Requests a second at the whole site.
+/// Requests per second over all nodes.
 const REQUESTS_PER_SECOND: u64 = 140;
-/// Keys stay accepted while the store is away: engines are what is watched.
+/// Keys stay accepted while the store is unreachable, so that requests are still sent.
 const SETTINGS: &str = "[bounds]\nrevoke_when_cut = false\n";
-/// Later than this after a node was told, its engine gets nothing from it: the site's bound.
+/// The site's bound on leaving engines: maximum time after which a node that received the
+/// announcement still sends requests to the engine.
 const BOUND: Duration = Duration::from_millis(2_000);
-/// Time in which all nodes hear what one was told.
+/// Maximum time until an announcement that one node received has reached all nodes.
 const REPORTED_WITHIN: Duration = Duration::from_millis(1_000);
-/// Time before the engine says that it leaves, in milliseconds.
+/// Time before the engine announces that it leaves, in milliseconds.
 const BEFORE_MS: u64 = 500;
-/// Time for which the site is watched then, in milliseconds.
+/// Time for which the requests are observed after that, in milliseconds.
 const WATCHED_MS: u64 = 4_500;
 
-/// One engine says that it leaves; the store does not.
+/// Runs traffic while one engine announces that it leaves and the store does not answer.
 async fn run_departure(site: &Deployment) -> (Departure, Vec<Asked>) {
     site.store.set_fault(StoreFault::Silent);
     let period_ms = 1_000 * site.nodes.len() as u64 / REQUESTS_PER_SECOND;
@@ -39,7 +40,7 @@
     let asked = traffic.asked();
     let departure = Departure::of(&site.engines[0], &asked);
     println!(
-        "{} nodes notified, last use {:?} after a node's own answer, {:?} after the first one",
+        "{} nodes notified, last use {:?} after a node's own answer, {:?} after the first answer",
         departure.notified.len(),
         departure.max_use_delay,
         departure.max_use_delay_anywhere
@@ -50,17 +51,20 @@
 
 fn check(departure: &Departure, asked: &[Asked]) {
     let own = departure.max_use_delay;
-    assert!(own < BOUND, "used {own:?} after it had said that it leaves");
+    assert!(
+        own < BOUND,
+        "a node used the engine {own:?} after it had received its announcement"
+    );
     let anywhere = departure.max_use_delay_anywhere;
     assert!(
         anywhere < REPORTED_WITHIN,
-        "used {anywhere:?} after the first word"
+        "the engine was used {anywhere:?} after its first announcement"
     );
     assert!(asked.iter().all(|asked| asked.status == 200));
 }
 
-/// Guards against requests to an engine that told the node in an answer that it leaves, while
-/// the store, the only channel that was read, is away.
+/// Guards against requests to an engine that has announced in an answer that it leaves: nodes
+/// that learn of it only from the store go on sending requests while the store is unreachable.
 #[test]
 fn leaving_signal_in_answers_stops_traffic_during_a_store_outage() {
     let _exclusive = run_exclusively();
@@ -72,7 +76,7 @@
     });
 }
 
-/// Guards against the same where nodes hear of each other through relays.
+/// Guards against the same fault when the nodes exchange reports through relays.
 #[test]
 fn relay_followers_stop_traffic_after_a_leaving_signal_in_answers() {
     let _exclusive = run_exclusively();
--- a/crates/gateway/tests/engine_notices/main.rs
+++ b/crates/gateway/tests/engine_notices/main.rs
@@ -1,4 +1,4 @@
-//! Engines that say in their answers that they leave, or ask the node to back off.
+//! Engines that announce in their answers that they leave, or request backoff.
 
 mod backoff;
 mod leaving;
@@ -9,8 +9,8 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Lets one test play at a time: all nodes and engines of this program share one thread, and
-/// the tests measure what they get done in seconds.
+/// Serializes the tests: all nodes and engines of this program share one thread, and the tests
+/// measure their progress against wall-clock time.
 pub fn run_exclusively() -> MutexGuard<'static, ()> {
     static RUN_LOCK: Mutex<()> = Mutex::new(());
     RUN_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
--- a/crates/gateway/tests/engine_notices/oracle.rs
+++ b/crates/gateway/tests/engine_notices/oracle.rs
@@ -1,24 +1,25 @@
-//! An oracle that knows by itself which node was notified by whom, and what it sent afterwards.
+//! Test oracle: derives from requests and answers alone which node an engine has notified, and
+//! what the node sent afterwards.
 
 use crate::support::engine::StandInEngine;
 use crate::support::traffic::Asked;
 use std::collections::{BTreeMap, HashSet};
 use std::time::{Duration, Instant};
 
-/// What the nodes did with one engine that said that it leaves.
+/// Use of one engine by the nodes after it announced that it leaves.
 #[derive(Debug)]
 pub struct Departure {
-    /// When each node had passed on the first answer that says so.
+    /// When each node had forwarded the first answer with the announcement.
     pub notified: BTreeMap<usize, Instant>,
-    /// The longest time after that at which a caller sent a request that the same node sent
-    /// there.
+    /// Maximum time from then until a caller sent a request that the same node forwarded to
+    /// the engine.
     pub max_use_delay: Duration,
-    /// The same after the first answer at any node.
+    /// The same, counted from the first answer with the announcement at any node.
     pub max_use_delay_anywhere: Duration,
 }
 
 impl Departure {
-    /// Judges what became of all requests.
+    /// Evaluates all answered requests.
     pub fn of(engine: &StandInEngine, asked: &[Asked]) -> Self {
         let arrived: HashSet<String> = engine.arrived_ids().into_iter().collect();
         let arrived: Vec<&Asked> = asked
@@ -49,8 +50,8 @@
     }
 }
 
-/// Time after a refusal from which on its engine gets nothing more: what was under way has
-/// arrived by then.
+/// Time after a refusal from which its engine must get no more requests: those that were in
+/// flight have arrived by then.
 const UNDER_WAY: Duration = Duration::from_millis(500);
 
 /// The node that sent a request with this id.
@@ -58,8 +59,8 @@
     id.split('-').next().unwrap_or_default()
 }
 
-/// The most requests that an engine got from a node within a time for which it had notified that
-/// node to back off.
+/// Maximum number of requests that an engine got from a node within a backoff that it had
+/// requested from that node.
 pub fn max_within_backoff(engine: &StandInEngine) -> usize {
     let arrivals = engine.arrived_ids().into_iter().zip(engine.arrival_times());
     let arrivals: Vec<(String, Instant)> = arrivals.collect();
--- a/crates/gateway/tests/engine_notices/request_paths.rs
+++ b/crates/gateway/tests/engine_notices/request_paths.rs
@@ -1,4 +1,4 @@
-//! Each way by which a request reaches an engine that leaves, or that asked the node to back off.
+//! All paths by which a request or an order could still reach an engine that leaves.
 
 use crate::support::caller::{self, prompt, request};
 use crate::support::engine::{Behaviour, StandInEngine};
@@ -11,11 +11,11 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Time between two looks at what a test waits for, in milliseconds.
+/// Polling interval of the tests, in milliseconds.
 const POLL_MS: u64 = 5;
-/// Requests by which a node has heard an engine say that it leaves.
+/// Maximum number of requests until a node has received an engine's announcement.
 const MAX_ANNOUNCING_REQUESTS: u32 = 1_000;
-/// Time in which one node has told another.
+/// Maximum time until one node has reported an announcement to another.
 const REPORTED_WITHIN: Duration = Duration::from_secs(5);
 
 fn is_leaving(node: &RunningGateway, name: &str) -> bool {
@@ -24,7 +24,7 @@
     engine.is_some_and(|engine| beliefs.engines.is_leaving(engine))
 }
 
-/// The engine says that it leaves, in an answer to a request at this node.
+/// Makes the engine announce that it leaves, and sends requests to the node until it knows.
 async fn announce_leaving(engine: &StandInEngine, node: &RunningGateway) {
     engine.name_leaving(Some("1"));
     for number in 0.. {
@@ -33,12 +33,12 @@
         }
         assert!(
             number < MAX_ANNOUNCING_REQUESTS,
-            "the node does not hear that it leaves"
+            "the node has not received the announcement that the engine leaves"
         );
         let id = format!("telling-{number}");
         let call = match engine.service.as_str() {
             "llm" => {
-                // Each prompt has a home of its own.
+                // Prompts with different parts are assigned to different engines.
                 let mut call = prompt("stream.test", &id);
                 call.head.headers.set(site::PARTS, number.to_string());
                 call
@@ -49,7 +49,7 @@
     }
 }
 
-/// Guards against a kept connection on which an engine that leaves is sent another request.
+/// Guards against further requests to a leaving engine on an idle connection.
 #[test]
 fn idle_connection_to_a_leaving_engine_is_not_reused() {
     smol::block_on(async {
@@ -71,7 +71,7 @@
     });
 }
 
-/// Guards against a stream that broke and is resumed at an engine that leaves.
+/// Guards against resuming a broken stream at a leaving engine.
 #[test]
 fn broken_stream_is_not_resumed_at_a_leaving_engine() {
     smol::block_on(async {
@@ -90,7 +90,7 @@
     });
 }
 
-/// Guards against orders to load weights that go to an engine that leaves.
+/// Guards against orders to load weights that are sent to a leaving engine.
 #[test]
 fn leaving_engine_gets_no_order_to_load_weights() {
     smol::block_on(async {
@@ -107,8 +107,8 @@
     });
 }
 
-/// Guards against a service that is empty at once because all its engines said that they
-/// leave, and against requests to them later than half of the bound.
+/// Guards against a service that has no engine at once because all its engines announced that
+/// they leave, and against requests to them later than half of the bound.
 #[test]
 fn the_last_engines_of_a_service_serve_on_for_half_of_the_bound_after_they_said_that_they_leave() {
     smol::block_on(async {
@@ -120,7 +120,8 @@
             200
         );
         let began = Instant::now();
-        // A request that may run only once is not sent to an engine that may end under it.
+        // A request that may run only once is not sent to an engine that may terminate while
+        // running it.
         let once = fixture.send(&request("unsafe.test", "once")).await;
         assert_eq!((once.status(), app.arrivals()), (503, 1));
         let mut last_served = Duration::ZERO;
@@ -134,7 +135,10 @@
                 503 => {
                     rejected += 1;
                     let held = sent.elapsed();
-                    assert!(held < Duration::from_millis(50), "{held:?}");
+                    assert!(
+                        held < Duration::from_millis(50),
+                        "a rejected request was held for {held:?}"
+                    );
                 }
                 other => panic!("status {other}"),
             }
@@ -145,12 +149,16 @@
         }
         println!("served until {last_served:?}, then {rejected} rejected");
         let bounds = 900..=1_050;
-        assert!(bounds.contains(&last_served.as_millis()), "{last_served:?}");
+        assert!(
+            bounds.contains(&last_served.as_millis()),
+            "last request served after {last_served:?}"
+        );
     });
 }
 
-/// Guards against a node that starts while the store is away from the nodes, or has an engine
-/// as ready that told another node that it leaves.
+/// Guards against a starting node that reports itself ready before it knows that an engine
+/// leaves: the store, unreachable or outdated, still lists as ready an engine that has announced
+/// to another node that it leaves.
 #[test]
 fn starting_node_learns_leaving_engines_before_it_is_ready() {
     smol::block_on(async {
@@ -165,7 +173,10 @@
         announce_leaving(&app, &nodes[0]).await;
         let began = Instant::now();
         while !is_leaving(&nodes[1], "app-1") {
-            assert!(began.elapsed() < REPORTED_WITHIN, "nobody told it");
+            assert!(
+                began.elapsed() < REPORTED_WITHIN,
+                "no node reported that the engine leaves"
+            );
             sleep(POLL_MS).await;
         }
         for number in 0..3 {
@@ -179,7 +190,8 @@
     });
 }
 
-/// Guards against a list of the store that undoes an engine's own word: there it is ready yet.
+/// Guards against a list of the store, in which an engine is still ready, that overrides the
+/// engine's own announcement that it leaves.
 #[test]
 fn store_list_with_an_outdated_record_does_not_undo_a_leaving_signal() {
     smol::block_on(async {
--- a/crates/gateway/tests/leaving_engines.rs
+++ b/crates/gateway/tests/leaving_engines.rs
@@ -1,16 +1,18 @@
-//! Requests that reached an engine after its leaving was acknowledged.
+//! Requests that reached an engine later than the bound after its leaving was acknowledged.
 //!
-//! Seen: two requests, one follower of relays of 69 nodes, one engine of its own zone,
-//! later than the bound. The follower was well; what it knew came from others.
-//! How it came about: a bound that others set was lengthened by what a node happened to
-//! meet. A relay that failed a call for a reason of its own took that for an outage of
-//! the store, kept a record that was taken away meanwhile for two more seconds, and told
-//! its followers that what it knew was fresh. A relay's next life vouched for engines
-//! that were those of its former life. A late heartbeat of an engine put it back.
-//! Proof: each test below brings one of these about on nodes that run. Without the times
-//! to come back, days with refused nodes had no late request from that cause. Real
-//! processes whose engines' heartbeats arrive late sent 29 requests to engines that had
-//! left, and none since heartbeats are ordered by their engine.
+//! The failure was observed in a fleet of 69 nodes: a healthy follower of relays sent two
+//! requests too late to an engine of its own zone, because of outdated data from others. The
+//! causes:
+//! - A relay that failed a call for a local reason took that for an outage of the store,
+//!   retained a record that was removed meanwhile for two more seconds, and reported its
+//!   list to its followers as fresh.
+//! - A restarted relay vouched for the engines of its former incarnation.
+//! - A late heartbeat of an engine put the engine back. With late heartbeats, real processes
+//!   sent 29 requests to engines that had left, and none since each engine numbers its
+//!   heartbeats.
+//!
+//! Each test reproduces one cause on running nodes. Simulated days with refused nodes, but
+//! without the times to retry after, had no late request from these causes.
 
 mod support;
 
@@ -32,10 +34,10 @@
 use support::store::{StandInStore, StoreFault};
 use support::{caller, configuration, settings, start_node};
 
-/// The site: how often engines write their records, and the bound on leaving engines.
+/// Settings of the site: the heartbeat interval of engines, and the bound on leaving engines.
 const SITE: &str = "engine_heartbeat_ms = 1200\n[bounds]\nleaving_engine_ms = 3000\n";
-/// Time in which a follower learns that an engine is gone: half of the bound. Reading it
-/// takes a relay 0.8 s after another change; its followers are told within 0.1 s.
+/// Maximum time until a follower knows that an engine is gone: half of the bound. A relay reads
+/// the removal within 0.8 s after another change, and reports it to its followers within 0.1 s.
 const REPORTED_WITHIN: Duration = Duration::from_millis(1_500);
 
 fn instance(name: &str) -> InstanceId {
@@ -50,7 +52,7 @@
         .is_some()
 }
 
-/// A call of this node's own failed, for a reason that is not the store's.
+/// Records a failed call of this node, as if it had failed for a local reason.
 fn record_failed_call(node: &RunningGateway) {
     let failed: Result<(), StoreError> = Err(StoreError::Unreachable {
         reason: "timed out".to_owned(),
@@ -90,12 +92,12 @@
         let passed = removed.elapsed();
         assert!(
             passed < REPORTED_WITHIN,
-            "known for {passed:?} after it was gone"
+            "the engine was known for {passed:?} after its removal"
         );
     });
 }
 
-/// Heartbeats may arrive late, and in another order than they were sent.
+/// Heartbeats may arrive late and out of order.
 #[test]
 fn late_heartbeat_does_not_revive_a_leaving_engine() {
     smol::block_on(async {
@@ -130,11 +132,12 @@
     });
 }
 
-/// The site's bound where a test waits until knowledge of the engines is too old.
+/// Bound on leaving engines in tests that wait until the list of engines is too old, in
+/// milliseconds.
 const SHORT_BOUND_MS: u64 = 1_300;
 
-/// A node that knows one engine, and whose calls get no answer any more until long after
-/// what it knows is too old.
+/// Starts a node that knows one engine and whose calls of the store are no longer answered;
+/// waits until its list of engines is too old. The calls time out long after that.
 async fn node_with_unanswered_calls(app: &StandInEngine) -> (StandInStore, RunningGateway) {
     let store = StandInStore::start().await;
     store.put("Configuration", "main", configuration(1));
@@ -153,7 +156,7 @@
     (store, node)
 }
 
-/// The node learns that its engine leaves.
+/// Makes the node receive a store event that its engine leaves.
 fn report_leaving(node: &RunningGateway, app: &StandInEngine) {
     let mut record = app.record();
     record["leaving"] = json!(true);
@@ -202,7 +205,7 @@
         let answer = caller::send(node.callers, &caller::request("safe.test", "r1")).await;
         assert_eq!((answer.status(), app.arrivals()), (200, 1));
         assert_eq!(node.gateway.metrics.held_requests.get(), 1);
-        // A call failed: the store is away, and nothing is waited for.
+        // After a failed call, the store counts as unreachable, and requests are not held.
         record_failed_call(&node);
         let answer = caller::send(node.callers, &caller::request("safe.test", "r2")).await;
         assert_eq!((answer.status(), app.arrivals()), (200, 2));
@@ -215,7 +218,7 @@
     smol::block_on(async {
         let app = StandInEngine::start("app-1", "app", Behaviour::Answer).await;
         let (_store, node) = node_with_unanswered_calls(&app).await;
-        // Its own calls fail, but the store serves a relay.
+        // The node's own calls fail, but the store answers a relay.
         record_failed_call(&node);
         let now = node.gateway.clock.now();
         let mut report = empty_relay_report();
--- a/crates/gateway/tests/support/caller.rs
+++ b/crates/gateway/tests/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller.
+//! A simulated caller.
 
 use super::site;
 use ploverlift_http1::{read_response_head, BufferedStream, RequestHead, ResponseHead};
@@ -12,12 +12,12 @@
     pub body: Vec<u8>,
 }
 
-/// What a caller got.
+/// An answer that a caller received.
 #[derive(Debug)]
 pub struct Answer {
     pub head: ResponseHead,
     pub body: Vec<u8>,
-    /// Whether the answer was whole by its framing.
+    /// Whether the answer was complete by its framing.
     pub is_whole: bool,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// A request with a known key.
+/// A request with a valid key.
 pub fn request(host: &str, id: &str) -> Request {
     let mut head = RequestHead::new("POST", "/work");
     head.headers.push("host", host);
@@ -51,7 +51,7 @@
     request
 }
 
-/// Sends a request on a connection of its own and reads the answer.
+/// Sends a request on a new connection and reads the answer.
 pub async fn send(address: SocketAddr, request: &Request) -> Answer {
     let mut connection = open(address, request).await;
     read(&mut connection).await.expect("an answer")
@@ -70,7 +70,7 @@
     connection
 }
 
-/// Reads an answer; nothing when the connection ends without a head.
+/// Reads an answer; `None` if the connection ends without a head.
 pub async fn read(connection: &mut BufferedStream) -> Option<Answer> {
     let read = read_response_head(connection, "POST", 65_536).await;
     let (head, mut decoder) = read.ok()?;
@@ -89,7 +89,7 @@
     })
 }
 
-/// The status of a GET; 0 without an answer.
+/// The status of a GET request; 0 without an answer.
 pub async fn get_status(address: SocketAddr) -> u16 {
     let Ok(stream) = TcpStream::connect(address).await else {
         return 0;
--- a/crates/gateway/tests/support/deployment.rs
+++ b/crates/gateway/tests/support/deployment.rs
@@ -1,4 +1,4 @@
-//! Several nodes before engines of one service.
+//! Several nodes that serve the engines of one service.
 
 use super::engine::{Behaviour, StandInEngine};
 use super::fleet::{role_of, start_engines, start_known_nodes, start_peer_with};
@@ -9,10 +9,10 @@
 use ploverlift_gateway::time::sleep;
 use std::net::SocketAddr;
 
-/// Time between two looks at what is waited for, in milliseconds.
+/// Polling interval, in milliseconds.
 const POLL_MS: u64 = 10;
 
-/// Nodes before engines of one service.
+/// A store, engines of one service, and nodes.
 pub struct Deployment {
     pub store: StandInStore,
     pub engines: Vec<StandInEngine>,
@@ -20,7 +20,7 @@
 }
 
 impl Deployment {
-    /// So many engines, and no node.
+    /// Starts a store and the given number of engines, and no node.
     pub async fn new(engines: usize) -> Self {
         let store = StandInStore::start().await;
         store.put("Configuration", "main", configuration(1));
@@ -32,12 +32,13 @@
         }
     }
 
-    /// Starts nodes that know each other.
+    /// Starts nodes, and waits until they are ready and list each other.
     pub async fn start_nodes(&mut self, count: usize) {
         self.nodes = start_known_nodes(&self.store, count).await;
     }
 
-    /// Starts two relays and so many nodes that follow them; `settings` are added to theirs.
+    /// Starts two relays and the given number of nodes that follow them, with these additional
+    /// settings.
     pub async fn start_relayed_nodes(&mut self, followers: usize, settings: &str) {
         for (name, cores) in [("large-1", 2.0), ("large-2", 1.0)] {
             let node = start_peer_with(&self.store, name, cores, settings);
--- a/crates/gateway/tests/support/engine/answers.rs
+++ b/crates/gateway/tests/support/engine/answers.rs
@@ -1,4 +1,4 @@
-//! What the stand-in engine answers.
+//! Answers of the simulated engine.
 
 use super::super::site;
 use super::{event, Behaviour, NamedBackoff, Shared, EVENTS};
@@ -40,7 +40,7 @@
     match behaviour {
         Behaviour::Silent => {
             while connection.fill().await.is_ok_and(|count| count > 0) {}
-            shared.recorded.lock().expect("notes").dropped += 1;
+            shared.recorded.lock().expect("calls").dropped += 1;
             let _ = shared.seen.try_send(());
             return;
         }
@@ -94,7 +94,7 @@
         || request.target.starts_with("/events");
     if is_stream && matches!(behaviour, Behaviour::FallSilentAfter(_) | Behaviour::Flood) {
         stream_until_dropped(connection, head, &behaviour).await;
-        shared.recorded.lock().expect("notes").dropped += 1;
+        shared.recorded.lock().expect("calls").dropped += 1;
         let _ = shared.seen.try_send(());
         return;
     }
@@ -122,7 +122,7 @@
     let Ok(duration_ms) = value.parse() else {
         return;
     };
-    let mut recorded = shared.recorded.lock().expect("notes");
+    let mut recorded = shared.recorded.lock().expect("calls");
     recorded.backoffs.push(NamedBackoff {
         id: id.to_owned(),
         at: Instant::now(),
@@ -158,7 +158,7 @@
     let _ = connection.write_all(b"0\r\n\r\n").await;
 }
 
-/// Sends so many events, one each 50 ms, and the end.
+/// Sends the given number of events, one every 50 ms, and the end of the stream.
 async fn stream_slowly(connection: &mut BufferedStream, mut head: ResponseHead, events: u64) {
     head.headers.push("transfer-encoding", "chunked");
     let mut message = head.encode();
@@ -174,7 +174,7 @@
     let _ = connection.write_all(b"0\r\n\r\n").await;
 }
 
-/// Sends events and never an end; returns when the connection was closed.
+/// Sends events without an end of the stream; returns when the connection is closed.
 async fn stream_until_dropped(
     connection: &mut BufferedStream,
     mut head: ResponseHead,
--- a/crates/gateway/tests/support/engine/connection.rs
+++ b/crates/gateway/tests/support/engine/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the stand-in engine: requests, orders and calls for events.
+//! One connection to the simulated engine: requests, orders and calls for cache events.
 
 use super::super::site;
 use super::answers::respond;
@@ -20,7 +20,8 @@
             refusal.headers.push(site::NOT_RUN, "1");
             refusal.headers.push("content-length", "0");
             let _ = connection.write_all(&refusal.encode()).await;
-            // The body is not read; the peer must not hang on writing it.
+            // The body is not interpreted, but drained, so that the peer does not block on
+            // writing it.
             while connection.fill().await.is_ok_and(|count| count > 0) {}
             return;
         }
@@ -50,9 +51,10 @@
             return;
         }
         if requests == 1 {
-            shared.recorded.lock().expect("notes").connections += 1;
+            shared.recorded.lock().expect("calls").connections += 1;
         }
-        // Decided before the request is told of: whoever hears of it may set another one.
+        // Read before the request is recorded: a test that sees the record may set another
+        // behaviour at once.
         let answers = shared.behaviour.lock().expect("behaviour").clone();
         let ends = matches!(answers, Behaviour::EndsUnder(marked) if marked == body);
         record_request(&shared, &head, body);
@@ -74,14 +76,14 @@
 }
 
 fn record_request(shared: &Shared, head: &RequestHead, body: Vec<u8>) {
-    let mut recorded = shared.recorded.lock().expect("notes");
+    let mut recorded = shared.recorded.lock().expect("calls");
     recorded.arrived.push(Instant::now());
     recorded.heads.push(head.clone());
     recorded.bodies.push(body);
     let _ = shared.seen.try_send(());
 }
 
-/// Tells the events after a position, when there are some. Positions begin at 1: the first
+/// Sends the cache events after a position, once there are some. Positions start at 1: the first
 /// call, from 0, is answered at once.
 async fn send_cache_events(
     shared: &Shared,
@@ -113,7 +115,7 @@
     head: &RequestHead,
     body: &[u8],
 ) -> Option<()> {
-    let orders = shared.recorded.lock().expect("notes").orders.len() as u64;
+    let orders = shared.recorded.lock().expect("calls").orders.len() as u64;
     let mut answer = ResponseHead::new(200);
     let mut text = String::new();
     if head.path() == "/control/report" {
@@ -124,7 +126,7 @@
         let order: Value = serde_json::from_slice(body).expect("an order");
         let token = order["token"].as_u64().unwrap_or(0);
         if token < *shared.lowest_token.lock().expect("token") {
-            let mut recorded = shared.recorded.lock().expect("notes");
+            let mut recorded = shared.recorded.lock().expect("calls");
             recorded.refused_tokens.push(token);
             answer.status = 412;
         } else if order["expected"].as_u64() != Some(orders) {
@@ -132,7 +134,7 @@
         } else {
             *shared.weights.lock().expect("weights") = order["version"].as_u64().unwrap_or(0);
             shared.begin_load();
-            shared.recorded.lock().expect("notes").record_order(order);
+            shared.recorded.lock().expect("calls").record_order(order);
             let _ = shared.seen.try_send(());
             if !*shared.answers_orders.lock().expect("answers") {
                 return None;
--- a/crates/gateway/tests/support/engine/mod.rs
+++ b/crates/gateway/tests/support/engine/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in engine whose behaviour a test sets, and that recorded what it got.
+//! A simulated engine whose behaviour a test sets, and that records what it receives.
 
 mod answers;
 mod connection;
@@ -17,64 +17,66 @@
 use std::sync::{Arc, Mutex, Weak};
 use std::time::{Duration, Instant};
 
-/// Wait after which a connection to a full accept queue is known not to come about, in
+/// Time-out after which a connection attempt shows that the accept queue is full, in
 /// milliseconds.
 const FULL_QUEUE_TIMEOUT_MS: u64 = 60;
 
-/// What the engine does with a request.
+/// How the engine handles a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Answers whole.
+    /// Sends a complete answer.
     Answer,
-    /// Says that it did not run it.
+    /// Answers that it did not run the request.
     Refuse,
-    /// Says that it is another engine than the one that is meant.
+    /// Answers that it is not the engine that the request is addressed to.
     IsAnother,
-    /// Runs it and fails.
+    /// Runs the request and fails.
     Fail,
-    /// Runs it and fails with this status.
+    /// Runs the request and fails with this status.
     FailWith(u16),
-    /// Says that another request was not run.
+    /// Answers that another request was not run.
     RefuseAnother,
-    /// Reads a second request on a connection and closes; refuses on a new one.
+    /// Closes the connection after the second request on it; refuses requests on a new
+    /// connection.
     CloseKeptThenRefuse,
     /// Resets the connection after the request was read.
     Reset,
-    /// Says nothing until the caller is gone.
+    /// Sends nothing until the peer closes the connection.
     Silent,
     /// Answers with another request's id.
     WrongId,
     /// Answers without its signature.
     Unsigned,
-    /// Sends events from after the one that the caller has; breaks off inside
+    /// Sends the events after the last one that the caller has; closes the connection inside
     /// the event with this number.
     BreakInside(u64),
-    /// Answers before the body is read, and closes.
+    /// Refuses the request before reading its body, and closes the connection.
     RefuseEarly,
     /// Answers, and reads further requests on the same connection.
     KeepConnection,
-    /// Answers, and closes when a second request comes on the same connection.
+    /// Answers, and closes the connection when a second request arrives on it.
     ForgetConnection,
     /// Answers twice, and leaves the connection open.
     AnswerTwice,
-    /// Answers; refuses requests for other weights without saying which it has.
+    /// Answers; refuses requests for other weights without naming its own version.
     HidesWeights,
-    /// Sends so many events, then says nothing until the caller is gone.
+    /// Sends this number of events, then nothing until the peer closes the connection.
     FallSilentAfter(u64),
-    /// Sends large events without end, until the caller is gone.
+    /// Sends large events until the peer closes the connection.
     Flood,
-    /// Answers whole after so long, in milliseconds.
+    /// Sends a complete answer after this delay, in milliseconds.
     AnswerAfter(u64),
-    /// Sends so many events, one each 50 ms, and then the end.
+    /// Sends this number of events, one every 50 ms, and then the end of the stream.
     StreamSlowly(u64),
-    /// Answers whole, but ends a moment after it has begun a request with this body.
+    /// Sends complete answers, but terminates `RUNS_BEFORE_END_MS` after it has begun a
+    /// request with this body.
     EndsUnder(&'static [u8]),
 }
 
-/// Time for which an engine runs a request under which it ends, in milliseconds.
+/// Time for which an engine runs a request before it terminates, in milliseconds.
 pub const RUNS_BEFORE_END_MS: u64 = 20;
 
-/// Events of a whole stream.
+/// Number of events of a complete stream.
 pub const EVENTS: u64 = 6;
 
 #[derive(Default)]
@@ -82,23 +84,23 @@
     heads: Vec<RequestHead>,
     bodies: Vec<Vec<u8>>,
     orders: Vec<Value>,
-    /// When each of them came.
+    /// When each order arrived.
     order_times: Vec<Instant>,
-    /// Fencing tokens of the orders that were refused for them.
+    /// Fencing tokens of the orders that were refused because the token was too low.
     refused_tokens: Vec<u64>,
     dropped: usize,
-    /// Connections on which a request came.
+    /// Number of connections on which a request arrived.
     connections: usize,
     /// When each request was read.
     arrived: Vec<Instant>,
-    /// Refusals that named a time to back off.
+    /// Refusals that requested a backoff.
     backoffs: Vec<NamedBackoff>,
 }
 
-/// A refusal that named a time to back off.
+/// A refusal that requested a backoff.
 #[derive(Clone, Debug)]
 pub struct NamedBackoff {
-    /// The request that was refused.
+    /// Id of the refused request.
     pub id: String,
     pub at: Instant,
     pub duration: Duration,
@@ -106,42 +108,42 @@
 
 struct Shared {
     behaviour: Mutex<Behaviour>,
-    /// Events of its cache: salt, part, tokens kept from then on.
+    /// Events of its cache: salt, part, number of tokens cached from then on.
     cache_events: Mutex<Vec<(String, u64, u64)>>,
     cache_changed: Event,
     weights: Mutex<u64>,
-    /// Time that a load takes.
+    /// Duration of a load of weights.
     load_time: Mutex<Duration>,
     loads_until: Mutex<Option<Instant>>,
-    /// Whether orders get an answer.
+    /// Whether orders are answered.
     answers_orders: Mutex<bool>,
-    /// The lowest fencing token that it takes orders with.
+    /// The lowest fencing token that is accepted in orders.
     lowest_token: Mutex<u64>,
     recorded: Mutex<RecordedCalls>,
-    /// The rate limit that its answers name.
+    /// The rate limit in its answers.
     limit: Mutex<Option<String>>,
-    /// What its answers say of its leaving.
+    /// The value of the leaving signal in its answers.
     leaving: Mutex<Option<String>>,
-    /// The time to back off that its refusals name, in milliseconds.
+    /// The backoff that its refusals request, in milliseconds.
     backoff_ms: Mutex<Option<String>>,
-    /// How often it has ended; its connections end with it.
+    /// Number of terminations; its connections end with it.
     ends: AtomicUsize,
     ended: Event,
     seen: async_channel::Sender<()>,
 }
 
-/// The engine.
+/// The simulated engine.
 pub struct StandInEngine {
     pub instance: String,
     pub service: String,
-    /// The version of its software, as its record tells.
+    /// The software version in its record.
     pub software: String,
     pub address: SocketAddr,
-    /// Told for each request that was read, and for each that was dropped.
+    /// Receives one message for each request that was read, and for each that was dropped.
     pub happened: async_channel::Receiver<()>,
     shared: Arc<Shared>,
     listener: Arc<TcpListener>,
-    /// Connections that fill the accept queue of an engine without power.
+    /// Connections that fill the accept queue while the engine has no power.
     queue_fillers: Vec<TcpStream>,
     accepting: Option<smol::Task<()>>,
     _ending: smol::Task<()>,
@@ -189,13 +191,13 @@
         }
     }
 
-    /// It ends: all connections are closed, and new ones are refused.
+    /// Terminates the engine: all connections are closed, and new ones are refused.
     pub async fn end(&self) {
         self.shared.end();
         while TcpStream::connect(self.address).await.is_ok() {}
     }
 
-    /// It is back after it has ended.
+    /// Starts the engine again after it has terminated.
     pub fn start_again(&mut self) {
         let listener = bind(self.address).expect("bind");
         self.listener = Arc::new(listener);
@@ -205,13 +207,14 @@
         self._ending = smol::spawn(ending);
     }
 
-    /// How often it has ended.
+    /// Number of terminations.
     pub fn ends(&self) -> usize {
         self.shared.ends.load(Ordering::Acquire)
     }
 
-    /// Its machine loses its power: nothing is reset, and connections are neither taken
-    /// nor refused but time out. What came before stays open and silent.
+    /// Simulates a power loss of the engine's machine: no connection is reset, and new
+    /// connections are neither accepted nor refused but time out. Connections in the accept
+    /// queue stay open without an answer.
     pub async fn lose_power(&mut self) {
         if let Some(accepting) = self.accepting.take() {
             accepting.cancel().await;
@@ -223,14 +226,14 @@
         }
     }
 
-    /// Its machine has power again: connections that wait are taken.
+    /// Simulates the return of power: waiting connections are accepted.
     pub fn regain_power(&mut self) {
         SockRef::from(&*self.listener).listen(128).expect("listen");
         self.queue_fillers.clear();
         self.accepting = Some(accept(&self.shared, &self.listener));
     }
 
-    /// The same with a version of its software.
+    /// Like [`Self::start`], with a software version.
     pub async fn of_software(instance: &str, service: &str, software: &str) -> Self {
         let engine = Self::start(instance, service, Behaviour::Answer).await;
         Self {
@@ -239,7 +242,7 @@
         }
     }
 
-    /// Its entry in the catalogue.
+    /// Its record in the store.
     pub fn record(&self) -> Value {
         let weights = (self.service == "llm").then(|| self.weights());
         json!({"service": self.service, "address": self.address.to_string(), "weights": weights,
@@ -250,24 +253,24 @@
         *self.shared.behaviour.lock().expect("behaviour") = behaviour;
     }
 
-    /// Its answers name this rate limit from now on, or none.
+    /// Sets the rate limit in its answers; `None` for no rate limit.
     pub fn name_limit(&self, limit: Option<&str>) {
         *self.shared.limit.lock().expect("limit") = limit.map(str::to_owned);
     }
 
-    /// Its answers say this of its leaving from now on, or nothing.
+    /// Sets the value of the leaving signal in its answers; `None` for no signal.
     pub fn name_leaving(&self, value: Option<&str>) {
         *self.shared.leaving.lock().expect("leaving") = value.map(str::to_owned);
     }
 
-    /// Its refusals name this time to back off from now on, in milliseconds, or none.
+    /// Sets the backoff that its refusals request, in milliseconds; `None` for no backoff.
     pub fn name_backoff(&self, value: Option<&str>) {
         *self.shared.backoff_ms.lock().expect("backoff") = value.map(str::to_owned);
     }
 
     /// When each request was read.
     pub fn arrival_times(&self) -> Vec<Instant> {
-        self.shared.recorded.lock().expect("notes").arrived.clone()
+        self.shared.recorded.lock().expect("calls").arrived.clone()
     }
 
     pub fn set_weights(&self, version: u64) {
@@ -278,7 +281,7 @@
         *self.shared.weights.lock().expect("weights")
     }
 
-    /// It loads weights for so long from now on.
+    /// Sets the duration of later loads of weights.
     pub fn set_load_time(&self, duration: Duration) {
         *self.shared.load_time.lock().expect("load time") = duration;
     }
@@ -287,72 +290,72 @@
         *self.shared.answers_orders.lock().expect("answers") = answers;
     }
 
-    /// It has seen this fencing token, and takes no orders with lower ones.
+    /// Sets the lowest fencing token that is accepted in orders.
     pub fn see_token(&self, token: u64) {
         *self.shared.lowest_token.lock().expect("token") = token;
     }
 
-    /// Fencing tokens of the orders that it refused for them.
+    /// Fencing tokens of the orders that were refused because the token was too low.
     pub fn refused_tokens(&self) -> Vec<u64> {
-        let recorded = self.shared.recorded.lock().expect("notes");
+        let recorded = self.shared.recorded.lock().expect("calls");
         recorded.refused_tokens.clone()
     }
 
-    /// Its cache keeps so many tokens of a part from now on.
+    /// Adds a cache event: the cache holds this number of tokens of a part from now on.
     pub fn keep(&self, salt: &str, part: u64, tokens: u64) {
         let event = (salt.to_owned(), part, tokens);
         self.shared.cache_events.lock().expect("events").push(event);
         self.shared.cache_changed.notify(usize::MAX);
     }
 
-    /// Heads of the requests that it read.
+    /// Heads of the requests that were read.
     pub fn heads(&self) -> Vec<RequestHead> {
-        self.shared.recorded.lock().expect("notes").heads.clone()
+        self.shared.recorded.lock().expect("calls").heads.clone()
     }
 
-    /// Its refusals that named a time to back off.
+    /// Its refusals that requested a backoff.
     pub fn backoffs(&self) -> Vec<NamedBackoff> {
-        self.shared.recorded.lock().expect("notes").backoffs.clone()
+        self.shared.recorded.lock().expect("calls").backoffs.clone()
     }
 
-    /// Ids of the requests that it read.
+    /// Ids of the requests that were read.
     pub fn arrived_ids(&self) -> Vec<String> {
         let heads = self.heads();
         let ids = heads.iter().map(|head| head.headers.get(site::ID));
         ids.map(|id| id.unwrap_or_default().to_owned()).collect()
     }
 
-    /// Requests that it read.
+    /// Number of requests that were read.
     pub fn arrivals(&self) -> usize {
-        self.shared.recorded.lock().expect("notes").heads.len()
+        self.shared.recorded.lock().expect("calls").heads.len()
     }
 
     pub fn bodies(&self) -> Vec<Vec<u8>> {
-        self.shared.recorded.lock().expect("notes").bodies.clone()
+        self.shared.recorded.lock().expect("calls").bodies.clone()
     }
 
     pub fn orders(&self) -> Vec<Value> {
-        self.shared.recorded.lock().expect("notes").orders.clone()
+        self.shared.recorded.lock().expect("calls").orders.clone()
     }
 
-    /// When each order came.
+    /// When each order arrived.
     pub fn order_times(&self) -> Vec<Instant> {
         self.shared
             .recorded
             .lock()
-            .expect("notes")
+            .expect("calls")
             .order_times
             .clone()
     }
 
-    /// Connections on which requests came.
+    /// Number of connections on which requests arrived.
     pub fn connections(&self) -> usize {
-        self.shared.recorded.lock().expect("notes").connections
+        self.shared.recorded.lock().expect("calls").connections
     }
 
-    /// Requests whose connection was closed while it was silent.
+    /// Number of requests whose connection was closed while the engine sent nothing.
     pub fn dropped(&self) -> usize {
-        self.shared.recorded.lock().expect("notes").dropped
+        self.shared.recorded.lock().expect("calls").dropped
     }
 }
 
@@ -380,13 +383,13 @@
     }
 }
 
-/// Refuses new connections whenever the engine has ended.
+/// Shuts the listener down when the engine terminates, so that new connections are refused.
 async fn close_when_ended(shared: Arc<Shared>, listener: Weak<TcpListener>) {
     let mut ended = shared.ended.listen();
     loop {
         ended.await;
         ended = shared.ended.listen();
-        // Not held here: an engine that is dropped listens no longer.
+        // A weak reference: a dropped engine must not go on listening.
         let Some(listener) = listener.upgrade() else {
             return;
         };
@@ -408,7 +411,7 @@
     })
 }
 
-/// One event as the engine sends it.
+/// An event as the engine sends it.
 pub fn event(number: u64) -> String {
     format!("id: {number}\ndata: piece {number}\n\n")
 }
--- a/crates/gateway/tests/support/fleet.rs
+++ b/crates/gateway/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Nodes of a fleet that is large, though most of its nodes are silent.
+//! Nodes of a large fleet. Most of its nodes are only listed in the store and send nothing.
 
 use super::engine::{Behaviour, StandInEngine};
 use super::site::StandInSite;
@@ -21,15 +21,16 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The longest renewal of a lease on the wire.
+/// The lease renewal with the longest encoding.
 pub const LARGEST_RENEWAL: LeaseRenewal = LeaseRenewal {
     token: FencingToken((1 << 53) - 1),
     revision: (1 << 44) - 1,
 };
-/// Time between two looks at what a test waits for, in milliseconds.
+/// Polling interval, in milliseconds.
 const POLL_MS: u64 = 5;
 
-/// Records in the store of a fleet that is large, though its other nodes are silent.
+/// Lists `MESH_NODES` other nodes in the store, which send nothing: the fleet is then so large
+/// that it uses relays.
 pub fn list_silent_nodes(store: &StandInStore) {
     for index in 0..MESH_NODES {
         let record = json!({"address": format!("127.0.0.1:{}", 9 + index), "zone": "elsewhere",
@@ -38,12 +39,12 @@
     }
 }
 
-/// A node of a large fleet.
+/// Starts a node that exchanges reports with other nodes.
 pub fn start_peer(store: &StandInStore, name: &str, cpu_cores: f64) -> RunningGateway {
     start_peer_with(store, name, cpu_cores, "")
 }
 
-/// The same with more settings.
+/// Like [`start_peer`], with additional settings.
 pub fn start_peer_with(
     store: &StandInStore,
     name: &str,
@@ -56,7 +57,7 @@
     start(settings, Arc::new(StandInSite), silent_logger()).expect("start")
 }
 
-/// Starts so many engines of a service, and puts them into the store.
+/// Starts the given number of engines of a service, and lists them in the store.
 pub async fn start_engines(
     store: &StandInStore,
     service: &str,
@@ -73,12 +74,12 @@
     started
 }
 
-/// Starts so many nodes that know each other, and waits until they are ready.
+/// Starts the given number of nodes, and waits until they are ready and list each other.
 pub async fn start_known_nodes(store: &StandInStore, count: usize) -> Vec<RunningGateway> {
     start_known_nodes_with(store, count, "").await
 }
 
-/// The same with more settings.
+/// Like [`start_known_nodes`], with additional settings.
 pub async fn start_known_nodes_with(
     store: &StandInStore,
     count: usize,
@@ -102,15 +103,15 @@
     role(&node.gateway, node.gateway.clock.now())
 }
 
-/// Waits until a node has come to something.
+/// Waits until a node satisfies a condition.
 pub async fn wait_until(node: &RunningGateway, is_reached: impl Fn(&RunningGateway) -> bool) {
     while !is_reached(node) {
-        // Asking the node lets its tasks run.
+        // The probe lets the node's tasks run.
         caller::get_status(node.readiness).await;
     }
 }
 
-/// A report of a node that has nothing to tell.
+/// A report of a node without any contents.
 pub fn empty_report() -> PeerReport {
     PeerReport {
         loads: LoadReport {
@@ -132,7 +133,7 @@
     }
 }
 
-/// A report of a relay that has nothing to tell.
+/// A report of a relay without any contents.
 pub fn empty_relay_report() -> RelayReport {
     RelayReport {
         loads: RelayedReport {
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in site over loopback: its protocols, a store, engines and callers.
+//! A simulated site over loopback: its protocols, a store, engines and callers.
 #![allow(dead_code)]
 
 pub mod caller;
@@ -20,14 +20,14 @@
 use std::sync::Arc;
 use store::StandInStore;
 
-/// A store, one gateway and engines.
+/// A store and one gateway node.
 pub struct Fixture {
     pub store: StandInStore,
     pub gateway: Arc<Gateway>,
     pub running: Option<RunningGateway>,
 }
 
-/// Settings of a node whose store is here; `more` is added to the file.
+/// Settings of a node that uses this store; `more` is appended to the settings file.
 pub fn settings(store: &StandInStore, name: &str, more: &str) -> GatewaySettings {
     let text = format!(
         "[node]\nname = \"{name}\"\nzone = \"z\"\n\
@@ -39,7 +39,7 @@
     GatewaySettings::parse(&text, Path::new("test.toml")).expect("settings")
 }
 
-/// Starts a node against a store.
+/// Starts a node that uses this store; `more` is appended to the settings file.
 pub fn start_node(store: &StandInStore, name: &str, more: &str) -> RunningGateway {
     start(
         settings(store, name, more),
@@ -49,13 +49,13 @@
     .expect("start")
 }
 
-/// A route in the stand-in's configuration.
+/// A route of the stored configuration.
 pub fn route(host: &str, delivery: &str, service: &str, timeout_ms: u64) -> Value {
     json!({"host": host, "delivery": delivery, "service": service,
            "timeout_ms": timeout_ms, "objective_ms": 400, "max_attempts": 2})
 }
 
-/// The configuration that most tests use.
+/// The stored configuration that most tests use.
 pub fn configuration(version: u64) -> Value {
     json!({
         "version": version,
@@ -73,12 +73,12 @@
 }
 
 impl Fixture {
-    /// A node that knows a configuration and these engines.
+    /// Starts a node whose store has the usual configuration and these engines.
     pub async fn new(engines: &[&StandInEngine]) -> Self {
         Self::with(engines, configuration(1), "").await
     }
 
-    /// The same with another configuration and more settings.
+    /// Like [`Self::new`], with the given configuration and additional settings.
     pub async fn with(engines: &[&StandInEngine], configuration: Value, more: &str) -> Self {
         let store = StandInStore::start().await;
         store.put("Configuration", "main", configuration);
@@ -99,7 +99,7 @@
         self.running.as_ref().expect("a running node")
     }
 
-    /// Asks for readiness until the node is ready.
+    /// Probes the node until it is ready.
     pub async fn wait_until_ready(&self) {
         let address = self.running().readiness;
         while caller::get_status(address).await != 200 {}
--- a/crates/gateway/tests/support/site/documents.rs
+++ b/crates/gateway/tests/support/site/documents.rs
@@ -1,4 +1,4 @@
-//! What the stand-in's stored documents mean.
+//! Parses the stored documents of the simulated site.
 
 use super::StandInSite;
 use ploverlift_balancing::catalogue::{EngineRecord, Heartbeat, InstanceId};
@@ -52,7 +52,7 @@
         if body["spoilt"].as_bool() == Some(true) {
             return Err(InvalidDocument {
                 document: object.name.clone(),
-                reason: "it is spoilt".to_owned(),
+                reason: "the record is marked as spoilt".to_owned(),
             });
         }
         let weights = body["weights"].as_u64();
@@ -92,7 +92,7 @@
         if object.content["ms"].is_string() {
             return Err(InvalidDocument {
                 document: object.name.clone(),
-                reason: "the time is no number".to_owned(),
+                reason: "the time is not a number".to_owned(),
             });
         }
         let text = |key: &str| object.content[key].as_str().unwrap_or_default().to_owned();
@@ -124,7 +124,7 @@
     }
 }
 
-/// The limit of all tenants, in tokens.
+/// The rate limit that all tenants have, in tokens.
 fn rate_limit(body: &Value) -> Option<RateLimit> {
     let limit = &body["limit"];
     Some(RateLimit {
@@ -134,7 +134,7 @@
     })
 }
 
-/// The model service, where its engines hold calls for events.
+/// The model service, if its engines report cache events.
 fn model_service(body: &Value) -> Option<(ServiceName, Service)> {
     let service = Service {
         max_event_calls: Some(body["event_calls"].as_u64()? as u32),
--- a/crates/gateway/tests/support/site/mod.rs
+++ b/crates/gateway/tests/support/site/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-in's protocols: the ports, with names of their own.
+//! Protocols of the simulated site: implementations of the ports with their own header names.
 
 mod documents;
 mod object_store;
@@ -32,7 +32,7 @@
 pub const LEAVING: &str = "t-leaving";
 pub const BACKOFF_MS: &str = "t-backoff-ms";
 
-/// The stand-in's protocols.
+/// Protocols of the simulated site.
 pub struct StandInSite;
 
 impl CallerProtocol for StandInSite {
@@ -211,7 +211,7 @@
     }
 }
 
-/// Events of a cache; none in an empty body.
+/// Parses the events of a cache; an empty body has none.
 fn cache_events(body: &[u8]) -> CacheEvents {
     let body: Value = serde_json::from_slice(body).unwrap_or_default();
     let events = body["events"].as_array().into_iter().flatten();
--- a/crates/gateway/tests/support/site/object_store.rs
+++ b/crates/gateway/tests/support/site/object_store.rs
@@ -1,4 +1,4 @@
-//! The stand-in's object store: calls and their answers.
+//! Calls of the simulated object store and their answers.
 
 use super::super::store::STORE_ERA;
 use super::StandInSite;
--- a/crates/gateway/tests/support/store.rs
+++ b/crates/gateway/tests/support/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in store: objects with revisions, watches, and faults at will.
+//! A simulated store: objects with revisions, watches, and faults that a test sets.
 
 use ploverlift_gateway::callers::bind;
 use ploverlift_http1::{read_request_head, BufferedStream, ResponseHead};
@@ -8,29 +8,29 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How often the store came back from a copy.
+/// Header with the number of times that the store was restored from a copy, plus one.
 pub const STORE_ERA: &str = "t-era";
 
 /// How the store answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFault {
     None,
-    /// It reads calls and says nothing.
+    /// Reads calls and sends no answer.
     Silent,
-    /// It refuses calls with this status.
+    /// Refuses all calls with this status.
     Status(u16),
-    /// It refuses calls for orders of rollouts.
+    /// Refuses calls for rollout orders.
     HidesOrders,
-    /// It has no kind for orders of rollouts.
+    /// Does not know rollout orders as a kind of objects.
     LacksOrders,
-    /// It does writes and closes the connection without an answer.
+    /// Carries out writes, and closes the connection without an answer.
     LosesWriteAnswers,
-    /// Watches that are opened now hear nothing until their wait ends, also when the
-    /// fault is over by then, and are answered that their history is gone. Other calls
-    /// are answered properly.
+    /// Watches that are opened during the fault receive no events until their wait ends, even
+    /// if the fault is over by then, and are then answered that their history is gone. Other
+    /// calls are answered properly.
     DeafWatches,
-    /// As above, and lists take so many milliseconds; they tell what stood there when
-    /// they came.
+    /// Like `DeafWatches`, and lists take `ms` milliseconds; they return the objects as of
+    /// the arrival of the call.
     SlowLists {
         ms: u64,
     },
@@ -46,7 +46,7 @@
     is_gone: bool,
 }
 
-/// What the store held at a time, to come back from.
+/// Copy of the store's contents, to restore from.
 #[derive(Clone)]
 pub struct StoreCopy {
     revision: u64,
@@ -56,8 +56,8 @@
 struct State {
     revision: u64,
     history_from: u64,
-    /// How often it came back from a copy, plus one; told in all answers from when a test
-    /// says so.
+    /// Number of times that the store was restored from a copy, plus one; sent in all answers
+    /// once a test has enabled it.
     era: u64,
     reports_era: bool,
     objects: Vec<Stored>,
@@ -65,7 +65,7 @@
     calls: Vec<String>,
 }
 
-/// The store.
+/// The simulated store.
 pub struct StandInStore {
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
@@ -118,14 +118,14 @@
         self.state.lock().expect("state").fault = fault;
     }
 
-    /// Drops the history: watches from before now are answered that it is gone.
+    /// Drops the history: watches from earlier revisions are answered that it is gone.
     pub fn forget_history(&self) {
         let mut state = self.state.lock().expect("state");
         state.revision += 1;
         state.history_from = state.revision;
     }
 
-    /// What it holds now.
+    /// Copies the current contents.
     pub fn copy(&self) -> StoreCopy {
         let state = self.state.lock().expect("state");
         StoreCopy {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// It comes back from a copy: what was written since is gone, and revisions go back.
+    /// Restores the store from a copy: later writes are lost, and revisions go back.
     pub fn restore(&self, copy: &StoreCopy) {
         let mut state = self.state.lock().expect("state");
         state.revision = copy.revision;
@@ -142,7 +142,7 @@
         state.era += 1;
     }
 
-    /// Its answers tell from now on how often it came back from a copy.
+    /// Adds the era, which counts restorations from a copy, to all later answers.
     pub fn tell_era(&self) {
         self.state.lock().expect("state").reports_era = true;
     }
@@ -159,18 +159,18 @@
         Some(object.status.clone()).filter(|status| !status.is_null())
     }
 
-    /// Records a status as if a node had.
+    /// Writes a status as a node would.
     pub fn set_status(&self, kind: &str, name: &str, status: Value) {
         let mut state = self.state.lock().expect("state");
         state.put_status(kind, name, &status);
     }
 
-    /// All calls so far, by what they do and of which kind.
+    /// All calls so far, as `operation kind`.
     pub fn all_calls(&self) -> Vec<String> {
         self.state.lock().expect("state").calls.clone()
     }
 
-    /// Calls so far, by what they do and of which kind.
+    /// Number of calls so far of an `operation kind`.
     pub fn calls(&self, call: &str) -> usize {
         let state = self.state.lock().expect("state");
         state.calls.iter().filter(|known| *known == call).count()
@@ -359,13 +359,13 @@
                 return Some((200, json!({"events": events, "revision": at})));
             }
         }
-        // The stand-in looks again each time the executor comes round.
+        // Polls for changes whenever the executor schedules this task.
         smol::future::yield_now().await;
         ploverlift_gateway::time::sleep(2).await;
     }
 }
 
-/// A stand-in KV cache store that answers each call for events with this status.
+/// Starts a simulated KV cache store that answers each call for events with this status.
 pub async fn start_cache_store(status: u16) -> (SocketAddr, smol::Task<()>) {
     let listener = bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("bind");
     let address = listener.local_addr().expect("address");
--- a/crates/gateway/tests/support/traffic.rs
+++ b/crates/gateway/tests/support/traffic.rs
@@ -1,4 +1,4 @@
-//! Callers at a steady pace at each node, and what became of their requests.
+//! Callers that send requests at a constant rate to each node, and the outcomes.
 
 use super::caller::{self, prompt};
 use super::site;
@@ -7,25 +7,25 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Length of the timers that are watched, in milliseconds.
+/// Duration of the timers whose delay is measured, in milliseconds.
 const TIMER_MS: u64 = 5;
 
-/// What became of one request.
+/// Outcome of one request.
 #[derive(Clone, Debug)]
 pub struct Asked {
     pub id: String,
-    /// The node that was asked, by its place in the list.
+    /// Index of the node that the request was sent to.
     pub node: usize,
     pub at: Instant,
     pub status: u16,
     pub took: Duration,
-    /// Whether the answer says that its engine leaves.
+    /// Whether the answer announces that its engine leaves.
     pub says_leaving: bool,
-    /// The time to come back that the answer names, in milliseconds.
+    /// The retry-after time in the answer, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
-/// Callers that go on until this is dropped.
+/// Callers that send requests until this is dropped.
 pub struct Traffic {
     asked: Arc<Mutex<Vec<Asked>>>,
     latest_timer: Arc<Mutex<Duration>>,
@@ -34,7 +34,8 @@
 }
 
 impl Traffic {
-    /// One request at each node each `period_ms`, whatever becomes of those before.
+    /// Sends one request to each node every `period_ms`, regardless of earlier requests that
+    /// are still open.
     pub fn start(nodes: impl Iterator<Item = SocketAddr>, period_ms: u64) -> Self {
         let asked = Arc::new(Mutex::new(Vec::new()));
         let callers = nodes.enumerate();
@@ -51,26 +52,26 @@
         }
     }
 
-    /// By how much a timer of this process was late at most: what the machine adds to the
-    /// time that an answer takes, at its caller and at each node.
+    /// Maximum delay of a timer of this process. A busy machine adds this delay to the time of
+    /// an answer, at its caller and at each node.
     pub fn latest_timer(&self) -> Duration {
         *self.latest_timer.lock().expect("timer")
     }
 
-    /// Requests that were answered so far, in the order of their answers.
+    /// Requests answered so far, in the order of their answers.
     pub fn asked(&self) -> Vec<Asked> {
         self.asked.lock().expect("asked").clone()
     }
 }
 
 async fn ask(node: usize, address: SocketAddr, period_ms: u64, asked: Arc<Mutex<Vec<Asked>>>) {
-    // Dropped with the caller, and so cancelled.
+    // Open requests are cancelled when this task is dropped.
     let mut open: Vec<smol::Task<()>> = Vec::new();
     for number in 0_u64.. {
         let id = format!("{node}-{number}");
         let asked = Arc::clone(&asked);
         let mut request = prompt("stream.test", &id);
-        // Each prompt has a home of its own.
+        // Prompts with different parts are assigned to different engines.
         let parts = fastrand::u32(..).to_string();
         request.head.headers.set(site::PARTS, parts);
         open.retain(|request| !request.is_finished());
