--- a/crates/gateway/src/engine_ends.rs
+++ b/crates/gateway/src/engine_ends.rs
@@ -26,8 +26,8 @@
 /// Maximum number of requests that one log line lists.
 const MAX_LOGGED_REQUESTS: usize = 16;
 
-/// Result of the connection attempt to an engine that ended a connection.
-enum ProbeResult {
+/// Status of an engine that ended a connection, found by a connection attempt.
+enum Status {
     Ended,
     Alive(BufferedStream),
     Unknown(String),
@@ -58,31 +58,24 @@
 async fn probe_engine(gateway: &Gateway, instance: &InstanceId, address: SocketAddr) {
     let timeout_ms = gateway.settings().attempts.connect_timeout_ms;
     let result = match connect(address, timeout_ms).await {
-        Ok(stream) => ProbeResult::Alive(stream),
-        Err(error) if error.connect_failure() == Some(ConnectFailure::Refused) => {
-            ProbeResult::Ended
-        }
-        Err(error) => ProbeResult::Unknown(error.to_string()),
+        Ok(stream) => Status::Alive(stream),
+        Err(error) if error.connect_failure() == Some(ConnectFailure::Refused) => Status::Ended,
+        Err(error) => Status::Unknown(error.to_string()),
     };
     let cut = gateway.beliefs().engine_ends.close(instance);
-    if matches!(result, ProbeResult::Ended) {
+    if matches!(result, Status::Ended) {
         log_end(gateway, instance, &cut);
     }
     for request in &cut {
-        apply_probe_result(
-            gateway,
-            instance,
-            request,
-            matches!(result, ProbeResult::Ended),
-        );
+        apply_probe_result(gateway, instance, request, matches!(result, Status::Ended));
     }
     gateway.quarantine_changed.notify(usize::MAX);
     match result {
-        ProbeResult::Ended => {}
-        ProbeResult::Alive(stream) => {
+        Status::Ended => {}
+        Status::Alive(stream) => {
             keep_connection(gateway, instance, stream, gateway.clock.now());
         }
-        ProbeResult::Unknown(error) => {
+        Status::Unknown(error) => {
             slog::info!(gateway.log, "connections ended, engine unknown";
                 "engine" => &instance.0, "requests" => cut.len(), "error" => error);
         }
--- a/crates/gateway/tests/engine_notices/main.rs
+++ b/crates/gateway/tests/engine_notices/main.rs
@@ -3,9 +3,9 @@
 mod backoff;
 mod leaving;
 mod oracle;
-mod request_paths;
 #[path = "../support/mod.rs"]
 mod support;
+mod use_after_leaving;
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
