--- a/crates/gateway/src/beliefs.rs
+++ b/crates/gateway/src/beliefs.rs
@@ -188,10 +188,10 @@
 
     /// Engines whose recent load of weights is to be reported to the other nodes.
     pub fn recently_loaded(&self, now: Millis) -> Vec<LoadedWeights> {
-        let lately = self.loaded.iter().rev();
-        let lately = lately.filter(|(at, _)| now.since(*at) < LOADED_REPORT_MS);
-        let lately = lately.take(MAX_LOADED_REPORTS);
-        lately.map(|(_, loaded)| *loaded).collect()
+        let recent = self.loaded.iter().rev();
+        let recent = recent.filter(|(at, _)| now.since(*at) < LOADED_REPORT_MS);
+        let recent = recent.take(MAX_LOADED_REPORTS);
+        recent.map(|(_, loaded)| *loaded).collect()
     }
 
     /// Queues a load of weights for this node's reports to the other nodes.
@@ -207,7 +207,7 @@
         known.map(|known| known.document.version)
     }
 
-    /// Applies the parts of a report other than loads, at a node that is no relay.
+    /// Applies the parts of a report other than loads; they are not passed on to other nodes.
     pub fn note_reported(
         &mut self,
         placements: &[Placement],
