--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -16,9 +16,9 @@
 }
 
 /// Travel inside a zone, in milliseconds.
-const NEAR_MS: u64 = 1;
+const INTRA_ZONE_DELAY_MS: u64 = 1;
 /// Travel between zones, in milliseconds.
-const FAR_MS: u64 = 2;
+const INTER_ZONE_DELAY_MS: u64 = 2;
 
 fn pair(a: &ZoneName, b: &ZoneName) -> (ZoneName, ZoneName) {
     if a <= b {
@@ -53,7 +53,11 @@
 
     /// How long a message takes.
     pub fn delay(&self, a: &ZoneName, b: &ZoneName, random: &mut fastrand::Rng) -> u64 {
-        let base = if a == b { NEAR_MS } else { FAR_MS };
+        let base = if a == b {
+            INTRA_ZONE_DELAY_MS
+        } else {
+            INTER_ZONE_DELAY_MS
+        };
         base + random.u64(..=self.jitter_ms)
     }
 
@@ -64,7 +68,7 @@
         }
         let mut delays = vec![self.delay(a, b, random)];
         if random.f64() < self.duplication {
-            delays.push(self.delay(a, b, random) + FAR_MS);
+            delays.push(self.delay(a, b, random) + INTER_ZONE_DELAY_MS);
         }
         delays
     }
--- a/crates/simulation/src/oracle.rs
+++ b/crates/simulation/src/oracle.rs
@@ -11,7 +11,7 @@
 
 /// What a caller was told at the end of one try.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum TryOutcome {
     /// Nothing yet.
     Waiting,
     /// A whole answer, piece by piece.
@@ -38,7 +38,7 @@
     /// When it was answered, in world time.
     pub ended_at: Option<u64>,
     /// What the caller was told.
-    pub told: Told,
+    pub outcome: TryOutcome,
     /// Pieces that arrived, in order of arrival.
     pub pieces: Vec<u64>,
 }
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug)]
 pub struct Run {
     /// The try that caused it.
-    pub by: TryId,
+    pub try_id: TryId,
     /// Key of the request.
     pub request: u64,
     /// The engine.
@@ -119,13 +119,16 @@
 
 impl Oracle {
     /// Notes a violation.
-    pub fn violated(&mut self, promise: Promise, what: String) {
+    pub fn record_violation(&mut self, promise: Promise, what: String) {
         self.violations.push(Violation { promise, what });
     }
 
     /// Notes a run.
-    pub fn ran(&mut self, run: Run) {
-        let at_most_once = self.tries.get(&run.by).is_some_and(|by| by.at_most_once);
+    pub fn record_run(&mut self, run: Run) {
+        let at_most_once = self
+            .tries
+            .get(&run.try_id)
+            .is_some_and(|caller_try| caller_try.at_most_once);
         let before = self
             .runs
             .iter()
@@ -133,22 +136,22 @@
         let count = before.count();
         if at_most_once && count > 0 {
             let what = format!("request {} ran {} times", run.request, count + 1);
-            self.violated(Promise::AtMostOnce, what);
+            self.record_violation(Promise::AtMostOnce, what);
         }
-        let told_not_run = self
+        let was_told_not_run = self
             .tries
-            .get(&run.by)
-            .is_some_and(|by| by.told == Told::Refused(RunState::NotRun));
-        if told_not_run {
-            let what = format!("{:?} was told not run and ran later", run.by);
-            self.violated(Promise::NotRunIsTrue, what);
+            .get(&run.try_id)
+            .is_some_and(|caller_try| caller_try.outcome == TryOutcome::Refused(RunState::NotRun));
+        if was_told_not_run {
+            let what = format!("{:?} was told not run and ran later", run.try_id);
+            self.record_violation(Promise::NotRunIsTrue, what);
         }
         self.runs.push(run);
     }
 
     /// Notes a piece that reached a caller.
-    pub fn delivered(&mut self, by: TryId, piece: u64) {
-        let Some(known) = self.tries.get_mut(&by) else {
+    pub fn record_piece(&mut self, try_id: TryId, piece: u64) {
+        let Some(known) = self.tries.get_mut(&try_id) else {
             return;
         };
         let expected = piece_of(known.request, known.pieces.len() as u64);
@@ -162,48 +165,48 @@
         } else {
             Promise::WholeStreams
         };
-        self.violated(
+        self.record_violation(
             promise,
-            format!("{by:?} got {piece} in place of {expected}"),
+            format!("{try_id:?} got {piece} in place of {expected}"),
         );
     }
 
     /// Notes the end of a try.
-    pub fn told(&mut self, by: TryId, told: Told, at: u64) {
-        let ran = self.runs.iter().any(|run| run.by == by);
-        let Some(known) = self.tries.get_mut(&by) else {
+    pub fn record_outcome(&mut self, try_id: TryId, outcome: TryOutcome, at: u64) {
+        let has_run = self.runs.iter().any(|run| run.try_id == try_id);
+        let Some(known) = self.tries.get_mut(&try_id) else {
             return;
         };
-        if known.told != Told::Waiting {
+        if known.outcome != TryOutcome::Waiting {
             return;
         }
-        known.told = told.clone();
+        known.outcome = outcome.clone();
         known.ended_at = Some(at);
         let request = known.request;
-        match told {
-            Told::Whole(pieces) if pieces != answer_of(request) => {
-                let what = format!("{by:?} was told {pieces:?} is whole");
-                self.violated(Promise::WholeStreams, what);
+        match outcome {
+            TryOutcome::Whole(pieces) if pieces != answer_of(request) => {
+                let what = format!("{try_id:?} was told {pieces:?} is whole");
+                self.record_violation(Promise::WholeStreams, what);
             }
-            Told::Replayed(answer) if answer != request => {
-                let what = format!("{by:?} of {request} got the answer of {answer}");
-                self.violated(Promise::OwnAnswer, what);
+            TryOutcome::Replayed(answer) if answer != request => {
+                let what = format!("{try_id:?} of {request} got the answer of {answer}");
+                self.record_violation(Promise::OwnAnswer, what);
             }
-            Told::Refused(RunState::NotRun) if ran => {
-                let what = format!("{by:?} was told not run and had run");
-                self.violated(Promise::NotRunIsTrue, what);
+            TryOutcome::Refused(RunState::NotRun) if has_run => {
+                let what = format!("{try_id:?} was told not run and had run");
+                self.record_violation(Promise::NotRunIsTrue, what);
             }
             _ => {}
         }
     }
 
     /// Notes the version of one object that a node has in force in one life.
-    pub fn in_force(&mut self, node: &str, life: u64, version: ResourceVersion) {
+    pub fn record_version_in_force(&mut self, node: &str, life: u64, version: ResourceVersion) {
         let key = (node.to_owned(), life);
         let highest = self.highest_seen.entry(key).or_default();
         if version < *highest {
             let what = format!("{node} went back from {highest} to {version}");
-            self.violated(Promise::Configuration, what);
+            self.record_violation(Promise::Configuration, what);
             return;
         }
         *highest = version;
--- a/crates/simulation/src/platform.rs
+++ b/crates/simulation/src/platform.rs
@@ -48,7 +48,7 @@
     /// Changes the behaviour; stale reads show the state of this moment.
     pub fn set_mode(&mut self, mode: PlatformMode) {
         if mode == PlatformMode::Stale {
-            self.stale_version = self.version.saturating_sub(STALE_BY);
+            self.stale_version = self.version.saturating_sub(STALE_READ_LAG);
         }
         self.mode = mode;
     }
@@ -148,4 +148,4 @@
 }
 
 /// How many changes a stale read is behind.
-const STALE_BY: u64 = 3;
+const STALE_READ_LAG: u64 = 3;
--- a/crates/simulation/src/requests.rs
+++ b/crates/simulation/src/requests.rs
@@ -10,7 +10,7 @@
 /// A request that a node works on.
 pub struct SimRequest {
     /// The caller's try.
-    pub by: TryId,
+    pub try_id: TryId,
     /// Key of the request.
     pub request: u64,
     /// What the decision needs.
@@ -35,7 +35,7 @@
 
 /// What a node learns of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AttemptNews {
+pub enum AttemptReport {
     /// The connection was refused: nothing was sent.
     Unsent,
     /// The engine refused, with its life and weights when it has others.
--- a/crates/simulation/src/world/engine_side.rs
+++ b/crates/simulation/src/world/engine_side.rs
@@ -3,12 +3,12 @@
 use super::*;
 
 impl World {
-    pub(super) fn look(&mut self, node: usize, life: u64) {
+    pub(super) fn observe_engines(&mut self, node: usize, life: u64) {
         if !self.is_life(node, life) {
             return;
         }
-        self.at(POLL_PERIOD_MS, Happening::Look { node, life });
-        let looked_at = self.node_now(node);
+        self.at(POLL_PERIOD_MS, SimEvent::ObserveEngines { node, life });
+        let observed_at = self.node_now(node);
         let Some(core) = &mut self.nodes[node].core else {
             return;
         };
@@ -17,44 +17,44 @@
             let zone = self.nodes[node].zone.clone();
             let reachable =
                 known.filter(|known| known.alive && self.network.connected(&zone, &known.zone));
-            let (seen, delay) = match reachable {
+            let (observed_state, delay) = match reachable {
                 Some(known) => {
-                    let mut seen = known.observation(self.now);
+                    let mut observed_state = known.observation(self.now);
                     if self.mutations.no_engine_reports {
-                        seen.health = ploverlift_policy::fleet::Health::Ready;
+                        observed_state.health = ploverlift_policy::fleet::Health::Ready;
                     }
-                    (Some(seen), 3)
+                    (Some(observed_state), 3)
                 }
                 None => (None, 100),
             };
             let engine = engine.key;
             self.at(
                 delay,
-                Happening::Looked {
+                SimEvent::EngineObserved {
                     node,
                     life,
-                    looked_at,
+                    observed_at,
                     engine,
-                    seen,
+                    observed_state,
                 },
             );
         }
     }
 
-    pub(super) fn looked(
+    pub(super) fn engine_observed(
         &mut self,
         node: usize,
-        looked_at: Millis,
+        observed_at: Millis,
         engine: EngineKey,
-        seen: Option<EngineObservation>,
+        observed_state: Option<EngineObservation>,
     ) {
-        self.with_core(node, |core, now| match seen {
-            Some(observation) => core.record_observation(observation, looked_at, now),
+        self.with_core(node, |core, now| match observed_state {
+            Some(observation) => core.record_observation(observation, observed_at, now),
             None => core.record_failed_poll(engine, now),
         });
     }
 
-    pub(super) fn machine_listed(&mut self, engine: usize) {
+    pub(super) fn update_machine_list(&mut self, engine: usize) {
         let known = &self.engines[engine];
         let state = if known.leaving {
             MachineState::Leaving
@@ -66,11 +66,11 @@
         let version = stored.map(|stored| stored.metadata.resource_version);
         object.metadata.resource_version = version.unwrap_or_default();
         if self.platform.put(object) == WriteAnswer::Unreachable {
-            self.at(MACHINE_LIST_LAG_MS, Happening::MachineListed { engine });
+            self.at(MACHINE_LIST_LAG_MS, SimEvent::UpdateMachineList { engine });
         }
     }
 
-    pub(super) fn engine_gets(&mut self, number: usize, call: Call) {
+    pub(super) fn request_reaches_engine(&mut self, number: usize, call: Call) {
         let engine = &self.engines[number];
         let connected = self
             .network
@@ -80,10 +80,10 @@
             return;
         }
         if !engine.alive {
-            return self.tell(&call, AttemptNews::Unsent);
+            return self.send_report(&call, AttemptReport::Unsent);
         }
         let up = self.now - self.nodes[call.node].started_at;
-        if call.from == 0 && up > UNINFORMED_MS {
+        if call.from == 0 && up > UNINFORMED_AFTER_START_MS {
             self.check_leaving(number);
         }
         let engine = &self.engines[number];
@@ -91,20 +91,20 @@
         let expects = call.incarnation != Incarnation(0);
         if expects && other_life && !self.mutations.engines_ignore_expectations {
             let correction = Some((engine.incarnation.0, engine.weights.0));
-            return self.tell(&call, AttemptNews::Refused(correction));
+            return self.send_report(&call, AttemptReport::Refused(correction));
         }
         if (engine.leaving && call.from == 0) || engine.loading_until > self.now {
-            return self.tell(&call, AttemptNews::Refused(None));
+            return self.send_report(&call, AttemptReport::Refused(None));
         }
         self.check_reliance(number, &call, expects && other_life);
-        self.narrate(|| {
+        self.log_event(|| {
             format!(
                 "engine-{number} runs {} for node-{}",
                 call.request, call.node
             )
         });
-        self.oracle.ran(Run {
-            by: call.by,
+        self.oracle.record_run(Run {
+            try_id: call.try_id,
             request: call.request,
             engine: self.engines[number].name.clone(),
             at: self.now,
@@ -121,14 +121,14 @@
         for block in &call.blocks {
             engine.cache.entry(*block).or_insert_with(|| origin.clone());
         }
-        let life_count = self.engine_lives[number];
+        let engine_generation = self.engine_generations[number];
         let position = call.from;
         self.at(
             PREFILL_MS,
-            Happening::EngineStep {
+            SimEvent::EngineStep {
                 engine: number,
                 incarnation,
-                life_count,
+                engine_generation,
                 call,
                 position,
             },
@@ -143,8 +143,8 @@
         relies_on_other_life: bool,
     ) {
         if relies_on_other_life && call.believed_cached {
-            let what = format!("{:?} relied on a cache that is gone", call.by);
-            self.oracle.violated(Promise::CacheReliance, what);
+            let what = format!("{:?} relied on a cache that is gone", call.try_id);
+            self.oracle.record_violation(Promise::CacheReliance, what);
         }
         let engine = &self.engines[number];
         let reused = call
@@ -157,63 +157,63 @@
                 || origin.incarnation != engine.incarnation
         });
         if let Some(origin) = wrong {
-            let what = format!("{:?} of {} reused {origin:?}", call.by, call.scope);
-            self.oracle.violated(Promise::CacheReliance, what);
+            let what = format!("{:?} of {} reused {origin:?}", call.try_id, call.scope);
+            self.oracle.record_violation(Promise::CacheReliance, what);
         }
     }
 
-    pub(super) fn engine_step(
+    pub(super) fn advance_stream(
         &mut self,
         number: usize,
         incarnation: Incarnation,
-        life_count: u64,
+        engine_generation: u64,
         call: Call,
         position: u64,
     ) {
         let engine = &self.engines[number];
-        let same_life = engine.alive && self.engine_lives[number] == life_count;
+        let same_life = engine.alive && self.engine_generations[number] == engine_generation;
         if !same_life {
-            return self.tell(&call, AttemptNews::Broken);
+            return self.send_report(&call, AttemptReport::Broken);
         }
         let zone = self.nodes[call.node].zone.clone();
         if !self.network.connected(&zone, &engine.zone) {
             self.engines[number].running -= 1;
             return self.at(
-                STALL_MS,
-                Happening::News {
+                STREAM_TIMEOUT_MS,
+                SimEvent::AttemptReported {
                     call,
-                    news: AttemptNews::Broken,
+                    report: AttemptReport::Broken,
                 },
             );
         }
         if position == call.from {
-            self.tell(&call, AttemptNews::Head);
+            self.send_report(&call, AttemptReport::Head);
         }
         if position >= ANSWER_PIECES {
             self.engines[number].running -= 1;
-            return self.tell(&call, AttemptNews::Completed);
+            return self.send_report(&call, AttemptReport::Completed);
         }
-        self.tell_piece(&call, position);
+        self.send_piece(&call, position);
         // An engine may send a piece twice.
         if self.random.f64() < self.network.duplication {
-            self.tell_piece(&call, position);
+            self.send_piece(&call, position);
         }
         // An engine may skip a piece; the gap must be found.
         let skips = self.network.jitter_ms > 0 && self.random.u8(..) < 8;
         let next = position + if skips { 2 } else { 1 };
         self.at(
             PIECE_MS,
-            Happening::EngineStep {
+            SimEvent::EngineStep {
                 engine: number,
                 incarnation,
-                life_count,
+                engine_generation,
                 call,
                 position: next,
             },
         );
     }
 
-    pub(super) fn tell_piece(&mut self, call: &Call, position: u64) {
+    pub(super) fn send_piece(&mut self, call: &Call, position: u64) {
         let crossed = self.mutations.answers_crossed && self.random.u8(..) < 32;
         let request = if crossed {
             call.request + 1
@@ -226,11 +226,11 @@
         } else {
             position
         };
-        self.tell(call, AttemptNews::Piece { position, content });
+        self.send_report(call, AttemptReport::Piece { position, content });
     }
 
-    pub(super) fn tell(&mut self, call: &Call, news: AttemptNews) {
+    pub(super) fn send_report(&mut self, call: &Call, report: AttemptReport) {
         let call = call.clone();
-        self.at(2, Happening::News { call, news });
+        self.at(2, SimEvent::AttemptReported { call, report });
     }
 }
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -12,21 +12,21 @@
 //! | `views` | looks from outside, for tests and measurements |
 
 mod engine_side;
-mod happening;
 mod nodes;
 mod object_api;
 mod operations;
 mod orders;
 mod request_side;
+mod sim_event;
 mod views;
 
-use happening::{frozen_target, Call, Happening};
+use sim_event::{target_node, Call, SimEvent};
 
 use crate::engines::{BlockOrigin, SimEngine};
 use crate::network::Network;
-use crate::oracle::{piece_of, Oracle, Promise, Run, Told, Try, TryId, ANSWER_PIECES};
+use crate::oracle::{piece_of, Oracle, Promise, Run, Try, TryId, TryOutcome, ANSWER_PIECES};
 use crate::platform::{Platform, PlatformMode, WriteAnswer};
-use crate::requests::{AttemptNews, SimRequest};
+use crate::requests::{AttemptReport, SimRequest};
 use crate::schedule::Operation;
 use crate::site::{self, SiteSize};
 use ploverlift_cluster::claim_proposer::ClaimOutcome;
@@ -85,7 +85,7 @@
 /// Time until a connection attempt over a cut is given up, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 200;
 /// Time after which a stream over a cut counts as broken, in milliseconds.
-const STALL_MS: u64 = 3_000;
+const STREAM_TIMEOUT_MS: u64 = 3_000;
 /// Time between the start of a run and the head of its answer, in milliseconds.
 const PREFILL_MS: u64 = 20;
 /// Time between two pieces, in milliseconds.
@@ -93,7 +93,7 @@
 /// Time between two looks of a reader at the object API, in milliseconds.
 const READ_PERIOD_MS: u64 = 250;
 /// Time after which a request at a node that catches up is looked at again, in milliseconds.
-const CATCH_UP_STEP_MS: u64 = 10;
+const CATCH_UP_RETRY_MS: u64 = 10;
 /// Longest time between the decision on an order and its sending, in milliseconds.
 const ORDER_DELAY_MS: u64 = 40;
 /// Time to load weights, in milliseconds.
@@ -101,10 +101,10 @@
 /// Time between an engine's own word that it leaves and the machine list's, in milliseconds.
 const MACHINE_LIST_LAG_MS: u64 = 5_000;
 /// Time after which a leaving engine must get no new work, in milliseconds.
-pub const LEAVING_BOUND_MS: u64 = 3_000;
+pub const MAX_LEAVING_DELAY_MS: u64 = 3_000;
 /// A node that started so lately may not have heard yet that an engine leaves,
 /// when every node that knew has restarted too; the engine refuses it, in milliseconds.
-const UNINFORMED_MS: u64 = 1_000;
+const UNINFORMED_AFTER_START_MS: u64 = 1_000;
 /// The object API has no eras: it never comes back from a copy.
 const OBJECT_API_ERA: StoreEra = StoreEra(0);
 /// Name of the lease for orders to engines.
@@ -117,9 +117,9 @@
     core: Option<NodeCore>,
     life: u64,
     started_at: u64,
-    frozen: bool,
-    held: Vec<Happening>,
-    seen_platform: Option<u64>,
+    is_paused: bool,
+    deferred_events: Vec<SimEvent>,
+    read_version: Option<u64>,
     requests: BTreeMap<TryId, SimRequest>,
     lease: LeaseView,
     rollout: Rollout,
@@ -127,7 +127,7 @@
 
 /// What an operator was told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// In force as this version.
     Accepted(u64),
     /// Somebody else changed the object.
@@ -151,19 +151,19 @@
     /// What really happened.
     pub oracle: Oracle,
     /// What operators were told.
-    pub applied: Vec<Applied>,
+    pub applied: Vec<ApplyOutcome>,
     /// Weakenings.
     pub mutations: Mutations,
     /// Bytes that all nodes sent to each other.
     pub cluster_bytes: u64,
     /// Whether runs, claims, leases and orders are printed as they happen.
-    pub narrate: bool,
+    pub is_logging: bool,
     nodes: Vec<SimNode>,
-    engine_lives: Vec<u64>,
-    left_at: BTreeMap<EngineKey, u64>,
+    engine_generations: Vec<u64>,
+    leaving_since: BTreeMap<EngineKey, u64>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    happenings: BTreeMap<u64, Happening>,
-    next_happening: u64,
+    pending_events: BTreeMap<u64, SimEvent>,
+    next_event: u64,
     next_try: u64,
     next_change: i32,
     random: fastrand::Rng,
@@ -181,13 +181,13 @@
             applied: Vec::new(),
             mutations,
             cluster_bytes: 0,
-            narrate: false,
+            is_logging: false,
             nodes: Vec::new(),
-            engine_lives: vec![0; size.engines],
-            left_at: BTreeMap::new(),
+            engine_generations: vec![0; size.engines],
+            leaving_since: BTreeMap::new(),
             queue: BinaryHeap::new(),
-            happenings: BTreeMap::new(),
-            next_happening: 0,
+            pending_events: BTreeMap::new(),
+            next_event: 0,
             next_try: 0,
             next_change: 0,
             random: fastrand::Rng::with_seed(seed),
@@ -225,16 +225,16 @@
             core: None,
             life: 0,
             started_at: 0,
-            frozen: false,
-            held: Vec::new(),
-            seen_platform: None,
+            is_paused: false,
+            deferred_events: Vec::new(),
+            read_version: None,
             requests: BTreeMap::new(),
             rollout: Rollout::default(),
         });
     }
 
-    fn narrate(&self, what: impl FnOnce() -> String) {
-        if !self.narrate {
+    fn log_event(&self, what: impl FnOnce() -> String) {
+        if !self.is_logging {
             return;
         }
         let text = what();
@@ -245,11 +245,11 @@
 
     // Time.
 
-    fn at(&mut self, delay: u64, happening: Happening) {
-        self.next_happening += 1;
-        let key = self.next_happening;
+    fn at(&mut self, delay: u64, sim_event: SimEvent) {
+        self.next_event += 1;
+        let key = self.next_event;
         self.queue.push(Reverse((self.now + delay, key)));
-        self.happenings.insert(key, happening);
+        self.pending_events.insert(key, sim_event);
     }
 
     /// Lets time pass.
@@ -261,68 +261,70 @@
             }
             self.queue.pop();
             self.now = self.now.max(at);
-            if let Some(happening) = self.happenings.remove(&key) {
-                self.happen(happening);
+            if let Some(sim_event) = self.pending_events.remove(&key) {
+                self.dispatch(sim_event);
             }
         }
         self.now = end;
     }
 
-    fn happen(&mut self, happening: Happening) {
-        if let Some(node) = frozen_target(&happening) {
-            if self.nodes[node].frozen {
-                self.nodes[node].held.push(happening);
+    fn dispatch(&mut self, sim_event: SimEvent) {
+        if let Some(node) = target_node(&sim_event) {
+            if self.nodes[node].is_paused {
+                self.nodes[node].deferred_events.push(sim_event);
                 return;
             }
         }
-        match happening {
-            Happening::Message {
+        match sim_event {
+            SimEvent::Message {
                 node,
                 from,
                 envelope,
             } => self.message(node, from, envelope),
-            Happening::Tick { node, life } => self.tick(node, life),
-            Happening::Read { node, life } => self.read(node, life),
-            Happening::Look { node, life } => self.look(node, life),
-            Happening::Looked {
+            SimEvent::Tick { node, life } => self.tick(node, life),
+            SimEvent::PollObjectApi { node, life } => self.poll_object_api(node, life),
+            SimEvent::ObserveEngines { node, life } => self.observe_engines(node, life),
+            SimEvent::EngineObserved {
                 node,
                 life,
-                looked_at,
+                observed_at,
                 engine,
-                seen,
+                observed_state,
             } => {
                 if self.is_life(node, life) {
-                    self.looked(node, looked_at, engine, seen);
+                    self.engine_observed(node, observed_at, engine, observed_state);
                 }
             }
-            Happening::RequestArrives {
+            SimEvent::RequestArrives {
                 node,
-                by,
+                try_id,
                 request,
                 once,
                 tenant,
                 prompt,
-            } => self.request_arrives(node, by, request, once, tenant, prompt),
-            Happening::EngineGets { engine, call } => self.engine_gets(engine, call),
-            Happening::EngineStep {
+            } => self.request_arrives(node, try_id, request, once, tenant, prompt),
+            SimEvent::RequestReachesEngine { engine, call } => {
+                self.request_reaches_engine(engine, call)
+            }
+            SimEvent::EngineStep {
                 engine,
                 incarnation,
-                life_count,
+                engine_generation,
                 call,
                 position,
-            } => self.engine_step(engine, incarnation, life_count, call, position),
-            Happening::News { call, news } => self.news(&call, news),
-            Happening::Deadline { node, life, by } => self.deadline(node, life, by),
-            Happening::ContinuationDue { call } => self.continuation_due(&call),
-            Happening::CallerPiece { by, content } => self.oracle.delivered(by, content),
-            Happening::CallerEnd { by, told } => self.caller_end(by, told),
-            Happening::MachineListed { engine } => self.machine_listed(engine),
-            Happening::OrderLeaves { node, life, order } => {
+            } => self.advance_stream(engine, incarnation, engine_generation, call, position),
+            SimEvent::AttemptReported { call, report } => self.handle_report(&call, report),
+            SimEvent::Deadline { node, life, try_id } => self.deadline(node, life, try_id),
+            SimEvent::ContinuationDue { call } => self.continuation_due(&call),
+            SimEvent::CallerPiece { try_id, content } => self.oracle.record_piece(try_id, content),
+            SimEvent::CallerEnd { try_id, outcome } => self.caller_end(try_id, outcome),
+            SimEvent::UpdateMachineList { engine } => self.update_machine_list(engine),
+            SimEvent::OrderSent { node, life, order } => {
                 let delay = 1 + self.random.u64(..3);
-                self.at(delay, Happening::OrderArrives { node, life, order });
+                self.at(delay, SimEvent::OrderArrives { node, life, order });
             }
-            Happening::OrderArrives { node, life, order } => self.order_arrives(node, life, order),
-            Happening::OrderAnswered {
+            SimEvent::OrderArrives { node, life, order } => self.order_arrives(node, life, order),
+            SimEvent::OrderAnswered {
                 node,
                 life,
                 order,
@@ -334,13 +336,13 @@
                     rollout.on_answer(order.engine, order.fencing_token, answer, now);
                 }
             }
-            Happening::LeaseStored {
+            SimEvent::LeaseStored {
                 node,
                 life,
                 began,
                 answer,
             } => self.lease_stored(node, life, began, answer),
-            Happening::GroupStored { node, life, answer } => {
+            SimEvent::GroupStored { node, life, answer } => {
                 if let (true, WriteAnswer::Stored(object)) = (self.is_life(node, life), answer) {
                     self.learn(node, object);
                 }
@@ -354,7 +356,7 @@
 
 fn routed(
     snapshot: &Arc<Snapshot>,
-    by: TryId,
+    try_id: TryId,
     tenant: &TenantName,
     model: &str,
     prompt: usize,
@@ -365,7 +367,7 @@
         .find(|known| known.name == *tenant)?;
     let (route, _) = snapshot.route(tenant, model)?;
     Some(RoutedRequest {
-        id: RequestId(by.0.to_string()),
+        id: RequestId(try_id.0.to_string()),
         tenant: Arc::clone(tenant),
         route,
         snapshot: Arc::clone(snapshot),
--- a/crates/simulation/src/world/nodes.rs
+++ b/crates/simulation/src/world/nodes.rs
@@ -35,40 +35,40 @@
         settings.router.directory_blocks = 10_000;
         node.started_at = self.now;
         node.life = life;
-        node.frozen = false;
-        node.held.clear();
-        node.seen_platform = None;
+        node.is_paused = false;
+        node.deferred_events.clear();
+        node.read_version = None;
         node.lease = LeaseView::new(node.name.clone(), life);
         node.rollout = Rollout::default();
         node.core = Some(NodeCore::new(settings, self.random.u64(..), Millis(0)));
         let node = number;
         let offset = self.random.u64(..TICK_MS);
-        self.at(offset, Happening::Tick { node, life });
-        self.at(offset, Happening::Read { node, life });
-        self.at(offset, Happening::Look { node, life });
+        self.at(offset, SimEvent::Tick { node, life });
+        self.at(offset, SimEvent::PollObjectApi { node, life });
+        self.at(offset, SimEvent::ObserveEngines { node, life });
     }
 
     pub(super) fn kill_node(&mut self, number: usize) {
         let node = &mut self.nodes[number];
         node.core = None;
-        node.frozen = false;
+        node.is_paused = false;
         let mut lost: Vec<TryId> = node.requests.keys().copied().collect();
-        for held in std::mem::take(&mut node.held) {
-            if let Happening::RequestArrives { by, .. } = held {
-                lost.push(by);
+        for deferred in std::mem::take(&mut node.deferred_events) {
+            if let SimEvent::RequestArrives { try_id, .. } = deferred {
+                lost.push(try_id);
             }
         }
         node.requests.clear();
-        for by in lost {
-            let told = Told::ConnectionLost;
-            self.at(1, Happening::CallerEnd { by, told });
+        for try_id in lost {
+            let outcome = TryOutcome::ConnectionLost;
+            self.at(1, SimEvent::CallerEnd { try_id, outcome });
         }
     }
 
-    pub(super) fn thaw_node(&mut self, number: usize) {
-        self.nodes[number].frozen = false;
-        for happening in std::mem::take(&mut self.nodes[number].held) {
-            self.at(0, happening);
+    pub(super) fn resume_node(&mut self, number: usize) {
+        self.nodes[number].is_paused = false;
+        for sim_event in std::mem::take(&mut self.nodes[number].deferred_events) {
+            self.at(0, sim_event);
         }
     }
 
@@ -101,7 +101,7 @@
             return;
         };
         self.cluster_bytes += prost::Message::encoded_len(&envelope) as u64;
-        if !self.weaken(&mut envelope) {
+        if !self.apply_mutations(&mut envelope) {
             return;
         }
         let (a, b) = (&self.nodes[from].zone, &self.nodes[target].zone);
@@ -112,17 +112,17 @@
             self.network.deliveries(a, b, &mut self.random)
         };
         for delay in delays {
-            let happening = Happening::Message {
+            let sim_event = SimEvent::Message {
                 node: target,
                 from: own_address,
                 envelope: envelope.clone(),
             };
-            self.at(delay, happening);
+            self.at(delay, sim_event);
         }
     }
 
     /// Applies weakenings to a message; false when it is dropped.
-    pub(super) fn weaken(&self, envelope: &mut Envelope) -> bool {
+    pub(super) fn apply_mutations(&self, envelope: &mut Envelope) -> bool {
         match &mut envelope.body {
             Some(Body::EngineReports(_)) if self.mutations.no_engine_reports => false,
             Some(Body::ConfigPush(push)) if self.mutations.stale_records_look_new => {
@@ -144,7 +144,7 @@
     }
 
     pub(super) fn message(&mut self, node: usize, from: SocketAddr, envelope: Envelope) {
-        self.narrate(|| match &envelope.body {
+        self.log_event(|| match &envelope.body {
             Some(
                 body @ (Body::ClaimRequest(_)
                 | Body::ClaimVote(_)
@@ -162,11 +162,11 @@
             return;
         }
         self.with_core(node, |core, now| core.tick(now));
-        self.note_configuration(node);
-        self.at(TICK_MS, Happening::Tick { node, life });
+        self.record_configuration(node);
+        self.at(TICK_MS, SimEvent::Tick { node, life });
     }
 
-    pub(super) fn note_configuration(&mut self, number: usize) {
+    pub(super) fn record_configuration(&mut self, number: usize) {
         let node = &self.nodes[number];
         let Some(core) = &node.core else {
             return;
@@ -174,7 +174,7 @@
         if let Some(route) = core.config.store.get(Kind::Route, site::ROUTE) {
             let version = route.metadata.resource_version;
             let (name, life) = (node.name.0.clone(), node.life);
-            self.oracle.in_force(&name, life, version);
+            self.oracle.record_version_in_force(&name, life, version);
             self.check_stored(&name, route.as_ref().clone());
         }
     }
@@ -185,7 +185,7 @@
         if !accepted {
             let version = route.metadata.resource_version;
             let what = format!("{node} has a route in force that was never version {version}");
-            self.oracle.violated(Promise::Configuration, what);
+            self.oracle.record_violation(Promise::Configuration, what);
         }
     }
 
@@ -194,8 +194,8 @@
             CoreEvent::Claim { ticket, outcome } => {
                 let mut requests = self.nodes[node].requests.values();
                 let found = requests.find(|request| request.claim == Some(ticket));
-                if let Some(by) = found.map(|request| request.by) {
-                    self.claim_decided(node, by, outcome);
+                if let Some(try_id) = found.map(|request| request.try_id) {
+                    self.claim_decided(node, try_id, outcome);
                 }
             }
             CoreEvent::WriteClaimGroup { version, spec } => {
@@ -204,7 +204,7 @@
                 object.metadata.resource_version = version;
                 let answer = self.platform.put(object);
                 let life = self.nodes[node].life;
-                self.at(2, Happening::GroupStored { node, life, answer });
+                self.at(2, SimEvent::GroupStored { node, life, answer });
             }
             CoreEvent::Lookup { .. } | CoreEvent::Explained { .. } => {}
         }
--- a/crates/simulation/src/world/object_api.rs
+++ b/crates/simulation/src/world/object_api.rs
@@ -3,21 +3,21 @@
 use super::*;
 
 impl World {
-    pub(super) fn read(&mut self, node: usize, life: u64) {
+    pub(super) fn poll_object_api(&mut self, node: usize, life: u64) {
         if !self.is_life(node, life) {
             return;
         }
-        self.at(READ_PERIOD_MS, Happening::Read { node, life });
+        self.at(READ_PERIOD_MS, SimEvent::PollObjectApi { node, life });
         let now = self.node_now(node);
         let reader = self.nodes[node]
             .core
             .as_ref()
             .is_some_and(|core| core.is_reader(now));
         if !reader {
-            self.nodes[node].seen_platform = None;
+            self.nodes[node].read_version = None;
             return;
         }
-        match self.nodes[node].seen_platform {
+        match self.nodes[node].read_version {
             None => self.read_lists(node),
             Some(version) => self.read_changes(node, version),
         }
@@ -31,7 +31,7 @@
                 return;
             };
             lowest = lowest.min(version.0);
-            self.note_leases(node, &objects);
+            self.record_leases(node, &objects);
             let now = self.node_now(node);
             let lease = &mut self.nodes[node].lease;
             if kind == Kind::Lease && lease.is_unread() {
@@ -41,26 +41,26 @@
                 core.apply_list(kind, objects, version, now)
             });
         }
-        self.nodes[node].seen_platform = Some(lowest);
+        self.nodes[node].read_version = Some(lowest);
     }
 
     pub(super) fn read_changes(&mut self, node: usize, version: u64) {
         let Some(records) = self.platform.changes_after(version) else {
-            self.nodes[node].seen_platform = None;
+            self.nodes[node].read_version = None;
             return;
         };
         if let Some(last) = records.last() {
-            self.nodes[node].seen_platform = Some(last.version.0);
+            self.nodes[node].read_version = Some(last.version.0);
         }
         let stored: Vec<Object> = records
             .iter()
             .filter_map(|record| record.content.as_deref().cloned())
             .collect();
-        self.note_leases(node, &stored);
+        self.record_leases(node, &stored);
         self.with_core(node, |core, now| core.apply_records(records, now));
     }
 
-    pub(super) fn note_leases(&mut self, node: usize, objects: &[Object]) {
+    pub(super) fn record_leases(&mut self, node: usize, objects: &[Object]) {
         let now = self.node_now(node);
         for object in objects.iter().filter(|object| object.kind == Kind::Lease) {
             let version = object.metadata.resource_version;
@@ -85,7 +85,7 @@
     }
 
     /// Changes the route through a node, as an operator does.
-    pub fn apply(&mut self, number: usize) -> Applied {
+    pub fn apply(&mut self, number: usize) -> ApplyOutcome {
         let base = self.known_route_version(number);
         self.apply_from(number, base)
     }
@@ -96,23 +96,25 @@
         route.map_or(0, |route| route.metadata.resource_version.0)
     }
 
-    pub(super) fn apply_from(&mut self, number: usize, base: u64) -> Applied {
+    pub(super) fn apply_from(&mut self, number: usize, base: u64) -> ApplyOutcome {
         self.next_change += 1;
         let mut object = site::route(site::ROUTE, "fixit", true, self.next_change);
         object.metadata.resource_version.0 = base;
         let wanted = object.spec.clone();
         let applied = match self.platform.put(object) {
-            WriteAnswer::Stored(stored) => Applied::Accepted(stored.metadata.resource_version.0),
-            WriteAnswer::Conflict => Applied::Conflict,
-            WriteAnswer::Unreachable => Applied::Refused,
+            WriteAnswer::Stored(stored) => {
+                ApplyOutcome::Accepted(stored.metadata.resource_version.0)
+            }
+            WriteAnswer::Conflict => ApplyOutcome::Conflict,
+            WriteAnswer::Unreachable => ApplyOutcome::Refused,
             WriteAnswer::Lost => match self.platform.read(Kind::Route, site::ROUTE) {
                 Some(stored) if stored.spec == wanted => {
-                    Applied::Accepted(stored.metadata.resource_version.0)
+                    ApplyOutcome::Accepted(stored.metadata.resource_version.0)
                 }
-                _ => Applied::Unknown,
+                _ => ApplyOutcome::Unknown,
             },
         };
-        if let Applied::Accepted(_) = applied {
+        if let ApplyOutcome::Accepted(_) = applied {
             if let Some(stored) = self.platform.read(Kind::Route, site::ROUTE) {
                 self.learn(number, stored);
             }
--- a/crates/simulation/src/world/operations.rs
+++ b/crates/simulation/src/world/operations.rs
@@ -16,8 +16,8 @@
                     self.restart_node(node);
                 }
             }
-            Operation::FreezeNode(node) => self.nodes[node % nodes].frozen = true,
-            Operation::ThawNode(node) => self.thaw_node(node % nodes),
+            Operation::FreezeNode(node) => self.nodes[node % nodes].is_paused = true,
+            Operation::ThawNode(node) => self.resume_node(node % nodes),
             Operation::Cut(a, b) => {
                 let (a, b) = (site::zone_of(*a), site::zone_of(*b));
                 self.network.cut(&a, &b);
@@ -66,15 +66,19 @@
 
     pub(super) fn kill_engine(&mut self, engine: usize) {
         self.engines[engine].alive = false;
-        self.engine_lives[engine] += 1;
+        self.engine_generations[engine] += 1;
     }
 
     pub(super) fn restart_engine(&mut self, engine: usize) {
-        self.engine_lives[engine] += 1;
+        self.engine_generations[engine] += 1;
         let new_incarnation = !self.mutations.engines_reuse_incarnations;
         self.engines[engine].restart(new_incarnation);
-        if self.left_at.remove(&self.engines[engine].key).is_some() {
-            self.at(MACHINE_LIST_LAG_MS, Happening::MachineListed { engine });
+        if self
+            .leaving_since
+            .remove(&self.engines[engine].key)
+            .is_some()
+        {
+            self.at(MACHINE_LIST_LAG_MS, SimEvent::UpdateMachineList { engine });
         }
     }
 
@@ -83,9 +87,10 @@
             return;
         }
         self.engines[engine].leaving = true;
-        self.left_at.insert(self.engines[engine].key, self.now);
+        self.leaving_since
+            .insert(self.engines[engine].key, self.now);
         if !self.mutations.no_engine_reports {
-            self.at(MACHINE_LIST_LAG_MS, Happening::MachineListed { engine });
+            self.at(MACHINE_LIST_LAG_MS, SimEvent::UpdateMachineList { engine });
         }
     }
 
@@ -94,8 +99,9 @@
         for engine in &self.engines {
             let mut zones = site::ZONES.iter().map(|zone| ZoneName::from(*zone));
             let was_cut = zones.any(|zone| !self.network.connected(&zone, &engine.zone));
-            if let Some(left_at) = self.left_at.get_mut(&engine.key).filter(|_| was_cut) {
-                *left_at = self.now;
+            if let Some(leaving_since) = self.leaving_since.get_mut(&engine.key).filter(|_| was_cut)
+            {
+                *leaving_since = self.now;
             }
         }
         self.network.heal_cuts();
@@ -113,10 +119,11 @@
         let base = self.known_route_version(a);
         let first = self.apply_from(a, base);
         let second = self.apply_from(b, base);
-        let both = matches!(first, Applied::Accepted(_)) && matches!(second, Applied::Accepted(_));
+        let both = matches!(first, ApplyOutcome::Accepted(_))
+            && matches!(second, ApplyOutcome::Accepted(_));
         if both {
             let what = "two operators were both told that they won".to_owned();
-            self.oracle.violated(Promise::Configuration, what);
+            self.oracle.record_violation(Promise::Configuration, what);
         }
     }
 
@@ -127,8 +134,8 @@
         self.network.heal();
         self.platform.set_mode(PlatformMode::Up);
         for node in 0..self.nodes.len() {
-            if self.nodes[node].frozen {
-                self.thaw_node(node);
+            if self.nodes[node].is_paused {
+                self.resume_node(node);
             }
             if self.nodes[node].core.is_none() {
                 self.start_node(node);
@@ -146,19 +153,19 @@
             if version != wanted {
                 let name = self.nodes[node].name.clone();
                 let what = format!("{name} has version {version} in force, not {wanted}");
-                self.oracle.violated(Promise::Configuration, what);
+                self.oracle.record_violation(Promise::Configuration, what);
             }
         }
         let unanswered: Vec<TryId> = self
             .oracle
             .tries
             .iter()
-            .filter(|(_, known)| known.told == Told::Waiting)
-            .map(|(by, _)| *by)
+            .filter(|(_, known)| known.outcome == TryOutcome::Waiting)
+            .map(|(try_id, _)| *try_id)
             .collect();
-        for by in unanswered {
-            let what = format!("{by:?} was never answered");
-            self.oracle.violated(Promise::WholeStreams, what);
+        for try_id in unanswered {
+            let what = format!("{try_id:?} was never answered");
+            self.oracle.record_violation(Promise::WholeStreams, what);
         }
     }
 }
--- a/crates/simulation/src/world/orders.rs
+++ b/crates/simulation/src/world/orders.rs
@@ -16,7 +16,7 @@
             let life = self.nodes[node].life;
             self.at(
                 2,
-                Happening::LeaseStored {
+                SimEvent::LeaseStored {
                     node,
                     life,
                     began,
@@ -24,7 +24,7 @@
                 },
             );
         }
-        self.give_orders(node);
+        self.send_orders(node);
     }
 
     pub(super) fn lease_stored(
@@ -38,7 +38,7 @@
             return;
         }
         let now = self.node_now(node);
-        self.narrate(|| format!("node-{node} stores a lease: {answer:?}"));
+        self.log_event(|| format!("node-{node} stores a lease: {answer:?}"));
         match answer {
             WriteAnswer::Stored(object) => {
                 if let Ok(spec) = object.typed::<LeaseSpec>() {
@@ -64,7 +64,7 @@
         pool.map_or(0, |pool| pool.spec.weights_version)
     }
 
-    pub(super) fn give_orders(&mut self, number: usize) {
+    pub(super) fn send_orders(&mut self, number: usize) {
         let now = self.node_now(number);
         let node = &mut self.nodes[number];
         let (Some(token), Some(core)) = (node.lease.token(now), &node.core) else {
@@ -79,7 +79,7 @@
             let delay = self.random.u64(..ORDER_DELAY_MS);
             self.at(
                 delay,
-                Happening::OrderLeaves {
+                SimEvent::OrderSent {
                     node: number,
                     life,
                     order,
@@ -107,7 +107,7 @@
             return;
         }
         known.fencing_token = known.fencing_token.max(order.fencing_token);
-        self.narrate(|| format!("engine-{engine} takes {order:?} of node-{node}"));
+        self.log_event(|| format!("engine-{engine} takes {order:?} of node-{node}"));
         let known = &mut self.engines[engine];
         let is_loading = known.loading_until > self.now;
         let (answer, delay) = match order.weights {
@@ -121,7 +121,7 @@
                 (OrderAnswer::Loaded, LOAD_MS + 1)
             }
         };
-        let answered = Happening::OrderAnswered {
+        let answered = SimEvent::OrderAnswered {
             node,
             life,
             order,
@@ -139,7 +139,7 @@
         let count = loading.count();
         if count > site::MAX_CONCURRENT_LOADS as usize {
             let what = format!("{count} engines load at once");
-            self.oracle.violated(Promise::Orders, what);
+            self.oracle.record_violation(Promise::Orders, what);
         }
     }
 }
--- a/crates/simulation/src/world/request_side.rs
+++ b/crates/simulation/src/world/request_side.rs
@@ -5,71 +5,71 @@
 impl World {
     pub(super) fn new_try(&mut self, request: u64, at_most_once: bool) -> TryId {
         self.next_try += 1;
-        let by = TryId(self.next_try);
+        let try_id = TryId(self.next_try);
         self.oracle.tries.insert(
-            by,
+            try_id,
             Try {
                 request,
                 at_most_once,
                 began_at: self.now,
                 ended_at: None,
-                told: Told::Waiting,
+                outcome: TryOutcome::Waiting,
                 pieces: Vec::new(),
             },
         );
-        by
+        try_id
     }
 
     /// A caller sends a request that may be repeated. Returns its try.
     pub fn request(&mut self, node: usize, tenant: usize, prompt: usize) -> TryId {
         let request = 1_000_000 + self.next_try;
-        let by = self.new_try(request, false);
-        let arrival = Happening::RequestArrives {
+        let try_id = self.new_try(request, false);
+        let arrival = SimEvent::RequestArrives {
             node,
-            by,
+            try_id,
             request,
             once: false,
             tenant,
             prompt,
         };
         self.at(1, arrival);
-        by
+        try_id
     }
 
     /// A caller sends a request that may run at most once. Returns its try.
     pub fn request_once(&mut self, node: usize, request: u64) -> TryId {
-        let by = self.new_try(request, true);
-        let arrival = Happening::RequestArrives {
+        let try_id = self.new_try(request, true);
+        let arrival = SimEvent::RequestArrives {
             node,
-            by,
+            try_id,
             request,
             once: true,
             tenant: 0,
             prompt: 0,
         };
         self.at(1, arrival);
-        by
+        try_id
     }
 
-    pub(super) fn end(&mut self, by: TryId, told: Told) {
-        self.at(1, Happening::CallerEnd { by, told });
+    pub(super) fn end_try(&mut self, try_id: TryId, outcome: TryOutcome) {
+        self.at(1, SimEvent::CallerEnd { try_id, outcome });
     }
 
-    pub(super) fn caller_end(&mut self, by: TryId, told: Told) {
-        let told = match told {
-            Told::Whole(_) => {
-                let known = self.oracle.tries.get(&by);
-                Told::Whole(known.map_or_else(Vec::new, |known| known.pieces.clone()))
+    pub(super) fn caller_end(&mut self, try_id: TryId, outcome: TryOutcome) {
+        let outcome = match outcome {
+            TryOutcome::Whole(_) => {
+                let known = self.oracle.tries.get(&try_id);
+                TryOutcome::Whole(known.map_or_else(Vec::new, |known| known.pieces.clone()))
             }
-            told => told,
+            outcome => outcome,
         };
-        self.oracle.told(by, told, self.now);
+        self.oracle.record_outcome(try_id, outcome, self.now);
     }
 
     pub(super) fn request_arrives(
         &mut self,
         node: usize,
-        by: TryId,
+        try_id: TryId,
         request: u64,
         once: bool,
         tenant: usize,
@@ -77,28 +77,28 @@
     ) {
         let now = self.node_now(node);
         let Some(core) = &self.nodes[node].core else {
-            return self.end(by, Told::ConnectionLost);
+            return self.end_try(try_id, TryOutcome::ConnectionLost);
         };
         if core.is_catching_up(now) {
-            let again = Happening::RequestArrives {
+            let again = SimEvent::RequestArrives {
                 node,
-                by,
+                try_id,
                 request,
                 once,
                 tenant,
                 prompt,
             };
-            return self.at(CATCH_UP_STEP_MS, again);
+            return self.at(CATCH_UP_RETRY_MS, again);
         }
         let snapshot = Arc::clone(&core.router.snapshot);
         let tenant = TenantName::from(site::TENANTS[tenant % site::TENANTS.len()]);
         let model = if once { site::BOOKINGS } else { site::MODEL };
-        let Some(routed) = routed(&snapshot, by, &tenant, model, prompt) else {
-            return self.end(by, Told::Refused(RunState::NotRun));
+        let Some(routed) = routed(&snapshot, try_id, &tenant, model, prompt) else {
+            return self.end_try(try_id, TryOutcome::Refused(RunState::NotRun));
         };
         let deadline = now.plus(site::DEADLINE_MS);
         let sim = SimRequest {
-            by,
+            try_id,
             request,
             routed,
             machine: RequestMachine::new(!once, once, deadline),
@@ -110,57 +110,57 @@
             granted: false,
             replay: None,
         };
-        self.nodes[node].requests.insert(by, sim);
+        self.nodes[node].requests.insert(try_id, sim);
         let life = self.nodes[node].life;
-        self.at(site::DEADLINE_MS, Happening::Deadline { node, life, by });
-        self.drive(node, by, Event::Admitted);
+        self.at(site::DEADLINE_MS, SimEvent::Deadline { node, life, try_id });
+        self.handle_event(node, try_id, Event::Admitted);
     }
 
-    pub(super) fn drive(&mut self, node: usize, by: TryId, event: Event) {
-        if let Some(step) = self.step(node, by, event) {
-            self.act(node, by, step);
+    pub(super) fn handle_event(&mut self, node: usize, try_id: TryId, event: Event) {
+        if let Some(step) = self.step(node, try_id, event) {
+            self.execute_step(node, try_id, step);
         }
     }
 
     /// Tells a request's machine an event; returns its next step.
-    fn step(&mut self, node: usize, by: TryId, event: Event) -> Option<Step> {
+    fn step(&mut self, node: usize, try_id: TryId, event: Event) -> Option<Step> {
         let now = self.node_now(node);
         let sim_node = &mut self.nodes[node];
         let core = sim_node.core.as_mut()?;
-        let request = sim_node.requests.get_mut(&by)?;
+        let request = sim_node.requests.get_mut(&try_id)?;
         Some(request.machine.on(event, &mut core.router.retries, now))
     }
 
-    pub(super) fn act(&mut self, node: usize, by: TryId, step: Step) {
+    pub(super) fn execute_step(&mut self, node: usize, try_id: TryId, step: Step) {
         match step {
-            Step::Claim => self.propose(node, by),
-            Step::Attempt { from } => self.attempt(node, by, from),
+            Step::Claim => self.propose_claim(node, try_id),
+            Step::Attempt { from } => self.attempt(node, try_id, from),
             Step::Finish => {
-                self.settle(node, by, true);
-                self.end(by, Told::Whole(Vec::new()));
+                self.finish_request(node, try_id, true);
+                self.end_try(try_id, TryOutcome::Whole(Vec::new()));
             }
             Step::Replay => {
-                let request = self.nodes[node].requests.get(&by);
+                let request = self.nodes[node].requests.get(&try_id);
                 let answer = request.and_then(|request| request.replay).unwrap_or(0);
-                self.settle(node, by, false);
-                self.end(by, Told::Replayed(answer));
+                self.finish_request(node, try_id, false);
+                self.end_try(try_id, TryOutcome::Replayed(answer));
             }
             Step::Refuse(refusal) => {
-                self.settle(node, by, false);
-                self.end(by, Told::Refused(refusal.run_state));
+                self.finish_request(node, try_id, false);
+                self.end_try(try_id, TryOutcome::Refused(refusal.run_state));
             }
             Step::Abort(refusal) => {
-                self.settle(node, by, false);
-                self.end(by, Told::Aborted(refusal.run_state));
+                self.finish_request(node, try_id, false);
+                self.end_try(try_id, TryOutcome::Aborted(refusal.run_state));
             }
             Step::Wait | Step::Skip | Step::Deliver => {}
         }
     }
 
-    pub(super) fn propose(&mut self, node: usize, by: TryId) {
+    pub(super) fn propose_claim(&mut self, node: usize, try_id: TryId) {
         let Some(request) = self.nodes[node]
             .requests
-            .get(&by)
+            .get(&try_id)
             .map(|known| known.request)
         else {
             return;
@@ -169,42 +169,44 @@
         let proposed = self.with_core(node, |core, now| core.propose(key, request, now));
         match proposed {
             Some(Ok(ticket)) => {
-                if let Some(known) = self.nodes[node].requests.get_mut(&by) {
+                if let Some(known) = self.nodes[node].requests.get_mut(&try_id) {
                     known.claim = Some(ticket);
                 }
             }
-            Some(Err(come_back)) => self.drive(node, by, Event::ClaimUnavailable(come_back)),
+            Some(Err(retry_after)) => {
+                self.handle_event(node, try_id, Event::ClaimUnavailable(retry_after))
+            }
             None => {}
         }
     }
 
-    pub(super) fn claim_decided(&mut self, node: usize, by: TryId, outcome: ClaimOutcome) {
-        self.narrate(|| format!("node-{node}: {by:?} has its claim {outcome:?}"));
+    pub(super) fn claim_decided(&mut self, node: usize, try_id: TryId, outcome: ClaimOutcome) {
+        self.log_event(|| format!("node-{node}: {try_id:?} has its claim {outcome:?}"));
         let event = match outcome {
             ClaimOutcome::Granted => {
-                if let Some(known) = self.nodes[node].requests.get_mut(&by) {
+                if let Some(known) = self.nodes[node].requests.get_mut(&try_id) {
                     known.granted = true;
                 }
                 Event::ClaimGranted
             }
             ClaimOutcome::Answered(bytes) => {
                 let text = String::from_utf8_lossy(&bytes).into_owned();
-                if let Some(known) = self.nodes[node].requests.get_mut(&by) {
+                if let Some(known) = self.nodes[node].requests.get_mut(&try_id) {
                     known.replay = text.parse().ok();
                 }
                 Event::ClaimAnswered
             }
             ClaimOutcome::Held => Event::ClaimHeld,
             ClaimOutcome::OtherRequest => Event::ClaimKeyReused,
-            ClaimOutcome::Unavailable(come_back) => Event::ClaimUnavailable(come_back),
+            ClaimOutcome::Unavailable(retry_after) => Event::ClaimUnavailable(retry_after),
         };
-        self.drive(node, by, event);
+        self.handle_event(node, try_id, event);
     }
 
     /// Ends a request on its node: records the answer, gives the claim back or
     /// leaves it held.
-    pub(super) fn settle(&mut self, node: usize, by: TryId, whole: bool) {
-        let Some(request) = self.nodes[node].requests.remove(&by) else {
+    pub(super) fn finish_request(&mut self, node: usize, try_id: TryId, is_complete: bool) {
+        let Some(request) = self.nodes[node].requests.remove(&try_id) else {
             return;
         };
         let Some(ticket) = request.claim.filter(|_| request.granted) else {
@@ -213,7 +215,7 @@
         let release = request.machine.may_release_claim();
         let answer = request.request.to_string().into_bytes();
         self.with_core(node, |core, now| {
-            if whole {
+            if is_complete {
                 core.complete_claim(ticket, answer, now);
             } else if release {
                 core.release_claim(ticket);
@@ -223,10 +225,10 @@
         });
     }
 
-    pub(super) fn attempt(&mut self, node: usize, by: TryId, from: u64) {
-        let chosen = self.choose(node, by);
+    pub(super) fn attempt(&mut self, node: usize, try_id: TryId, from: u64) {
+        let chosen = self.choose(node, try_id);
         let Some((chosen, scope, request, attempt)) = chosen else {
-            return self.drive(node, by, Event::NoEngine);
+            return self.handle_event(node, try_id, Event::NoEngine);
         };
         let engine = self
             .engines
@@ -238,7 +240,7 @@
         let call = Call {
             node,
             life: self.nodes[node].life,
-            by,
+            try_id,
             attempt,
             request,
             from,
@@ -250,28 +252,31 @@
         };
         let zone = self.nodes[node].zone.clone();
         if !self.network.connected(&zone, &self.engines[engine].zone) {
-            let news = AttemptNews::Unsent;
-            return self.at(CONNECT_TIMEOUT_MS, Happening::News { call, news });
+            let report = AttemptReport::Unsent;
+            return self.at(
+                CONNECT_TIMEOUT_MS,
+                SimEvent::AttemptReported { call, report },
+            );
         }
-        if let Some(known) = self.nodes[node].requests.get_mut(&by) {
+        if let Some(known) = self.nodes[node].requests.get_mut(&try_id) {
             known.attempt_state = AttemptState::MaybeSent;
         }
         if from > 0 {
             let call = call.clone();
-            self.at(STREAM_IDLE_MS, Happening::ContinuationDue { call });
+            self.at(STREAM_IDLE_MS, SimEvent::ContinuationDue { call });
         }
         let delay = self
             .network
             .delay(&zone, &self.engines[engine].zone, &mut self.random);
-        self.at(delay, Happening::EngineGets { engine, call });
+        self.at(delay, SimEvent::RequestReachesEngine { engine, call });
     }
 
     pub(super) fn choose(
         &mut self,
         node: usize,
-        by: TryId,
+        try_id: TryId,
     ) -> Option<(ChosenEngine, String, u64, u32)> {
-        let request = self.nodes[node].requests.get_mut(&by)?;
+        let request = self.nodes[node].requests.get_mut(&try_id)?;
         request.attempts += 1;
         request.attempt_state = AttemptState::Unsent;
         let (routed, failed) = (request.routed.clone(), request.failed.clone());
@@ -286,7 +291,7 @@
             core.publish_placement(&chosen.chain, chosen.key, chosen.incarnation);
             Some(chosen)
         })??;
-        if let Some(request) = self.nodes[node].requests.get_mut(&by) {
+        if let Some(request) = self.nodes[node].requests.get_mut(&try_id) {
             request.engine = Some(chosen.key);
         }
         let scope = routed.tenant.cache_scope().0;
@@ -296,22 +301,23 @@
     /// A leaving engine must not even be asked after a few seconds.
     pub(super) fn check_leaving(&mut self, number: usize) {
         let engine = &self.engines[number];
-        let Some(left_at) = self.left_at.get(&engine.key) else {
+        let Some(leaving_since) = self.leaving_since.get(&engine.key) else {
             return;
         };
-        let since = self.now - left_at;
-        if since > LEAVING_BOUND_MS {
+        let since = self.now - leaving_since;
+        if since > MAX_LEAVING_DELAY_MS {
             let what = format!("{} got work {since} ms after it left", engine.name);
-            self.oracle.violated(Promise::LeavingGetsNothing, what);
+            self.oracle
+                .record_violation(Promise::LeavingGetsNothing, what);
         }
     }
 
-    pub(super) fn news(&mut self, call: &Call, news: AttemptNews) {
+    pub(super) fn handle_report(&mut self, call: &Call, report: AttemptReport) {
         let node = call.node;
         if !self.is_life(node, call.life) {
             return;
         }
-        let Some(request) = self.nodes[node].requests.get_mut(&call.by) else {
+        let Some(request) = self.nodes[node].requests.get_mut(&call.try_id) else {
             return;
         };
         if request.attempts != call.attempt {
@@ -319,12 +325,12 @@
         }
         let engine = request.engine;
         let begun = request.attempt_state == AttemptState::Answered;
-        match news {
-            AttemptNews::Unsent => {
+        match report {
+            AttemptReport::Unsent => {
                 request.failed.extend(engine);
-                self.finish_attempt(node, call.by, AttemptState::Unsent);
+                self.finish_attempt(node, call.try_id, AttemptState::Unsent);
             }
-            AttemptNews::Refused(correction) => {
+            AttemptReport::Refused(correction) => {
                 match (correction, engine) {
                     (Some((incarnation, weights)), Some(engine)) => {
                         self.with_core(node, |core, now| {
@@ -339,67 +345,67 @@
                     }
                     _ => request.failed.extend(engine),
                 }
-                self.finish_attempt(node, call.by, AttemptState::Refused);
+                self.finish_attempt(node, call.try_id, AttemptState::Refused);
             }
-            AttemptNews::Head => {
+            AttemptReport::Head => {
                 request.attempt_state = AttemptState::Answered;
-                self.drive(node, call.by, Event::Head);
+                self.handle_event(node, call.try_id, Event::Head);
             }
-            AttemptNews::Piece { position, content } => {
-                self.piece(node, call.by, position, content)
+            AttemptReport::Piece { position, content } => {
+                self.piece(node, call.try_id, position, content)
             }
-            AttemptNews::Completed => {
-                self.drive(node, call.by, Event::Completed(Some(ANSWER_PIECES)));
+            AttemptReport::Completed => {
+                self.handle_event(node, call.try_id, Event::Completed(Some(ANSWER_PIECES)));
             }
-            AttemptNews::Broken => {
+            AttemptReport::Broken => {
                 request.failed.extend(engine);
                 if begun {
-                    self.drive(node, call.by, Event::StreamBroken);
+                    self.handle_event(node, call.try_id, Event::StreamBroken);
                 } else {
-                    self.finish_attempt(node, call.by, AttemptState::MaybeSent);
+                    self.finish_attempt(node, call.try_id, AttemptState::MaybeSent);
                 }
             }
         }
     }
 
-    pub(super) fn piece(&mut self, node: usize, by: TryId, position: u64, content: u64) {
-        let Some(step) = self.step(node, by, Event::Piece(position)) else {
+    pub(super) fn piece(&mut self, node: usize, try_id: TryId, position: u64, content: u64) {
+        let Some(step) = self.step(node, try_id, Event::Piece(position)) else {
             return;
         };
         if step == Step::Deliver {
-            return self.at(1, Happening::CallerPiece { by, content });
+            return self.at(1, SimEvent::CallerPiece { try_id, content });
         }
-        self.act(node, by, step);
+        self.execute_step(node, try_id, step);
     }
 
-    pub(super) fn finish_attempt(&mut self, node: usize, by: TryId, state: AttemptState) {
+    pub(super) fn finish_attempt(&mut self, node: usize, try_id: TryId, state: AttemptState) {
         let state = if self.mutations.lost_attempts_look_unsent {
             AttemptState::Unsent
         } else {
             state
         };
-        self.drive(node, by, Event::AttemptFailed(state, None));
+        self.handle_event(node, try_id, Event::AttemptFailed(state, None));
     }
 
     pub(super) fn continuation_due(&mut self, call: &Call) {
         if !self.is_life(call.node, call.life) {
             return;
         }
-        let request = self.nodes[call.node].requests.get_mut(&call.by);
+        let request = self.nodes[call.node].requests.get_mut(&call.try_id);
         let Some(request) = request.filter(|request| request.attempts == call.attempt) else {
             return;
         };
         if request.attempt_state == AttemptState::MaybeSent {
             request.failed.extend(request.engine);
-            self.finish_attempt(call.node, call.by, AttemptState::MaybeSent);
+            self.finish_attempt(call.node, call.try_id, AttemptState::MaybeSent);
         }
     }
 
-    pub(super) fn deadline(&mut self, node: usize, life: u64, by: TryId) {
+    pub(super) fn deadline(&mut self, node: usize, life: u64, try_id: TryId) {
         if !self.is_life(node, life) {
             return;
         }
-        let Some(request) = self.nodes[node].requests.get(&by) else {
+        let Some(request) = self.nodes[node].requests.get(&try_id) else {
             return;
         };
         let state = if self.mutations.lost_attempts_look_unsent {
@@ -407,6 +413,6 @@
         } else {
             request.attempt_state
         };
-        self.drive(node, by, Event::DeadlinePassed(state));
+        self.handle_event(node, try_id, Event::DeadlinePassed(state));
     }
 }
--- a/crates/simulation/src/world/happening.rs
+++ b/crates/simulation/src/world/sim_event.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[derive(Clone, Debug)]
-pub(super) enum Happening {
+pub(super) enum SimEvent {
     Message {
         node: usize,
         from: SocketAddr,
@@ -13,65 +13,65 @@
         node: usize,
         life: u64,
     },
-    Read {
+    PollObjectApi {
         node: usize,
         life: u64,
     },
-    Look {
+    ObserveEngines {
         node: usize,
         life: u64,
     },
-    Looked {
+    EngineObserved {
         node: usize,
         life: u64,
-        looked_at: Millis,
+        observed_at: Millis,
         engine: EngineKey,
-        seen: Option<EngineObservation>,
+        observed_state: Option<EngineObservation>,
     },
     RequestArrives {
         node: usize,
-        by: TryId,
+        try_id: TryId,
         request: u64,
         once: bool,
         tenant: usize,
         prompt: usize,
     },
-    EngineGets {
+    RequestReachesEngine {
         engine: usize,
         call: Call,
     },
     EngineStep {
         engine: usize,
         incarnation: Incarnation,
-        life_count: u64,
+        engine_generation: u64,
         call: Call,
         position: u64,
     },
-    News {
+    AttemptReported {
         call: Call,
-        news: AttemptNews,
+        report: AttemptReport,
     },
     Deadline {
         node: usize,
         life: u64,
-        by: TryId,
+        try_id: TryId,
     },
     /// A continuation of a stream has had its time to begin.
     ContinuationDue {
         call: Call,
     },
     CallerPiece {
-        by: TryId,
+        try_id: TryId,
         content: u64,
     },
     CallerEnd {
-        by: TryId,
-        told: Told,
+        try_id: TryId,
+        outcome: TryOutcome,
     },
-    MachineListed {
+    UpdateMachineList {
         engine: usize,
     },
-    OrderLeaves {
+    OrderSent {
         node: usize,
         life: u64,
         order: LoadOrder,
@@ -105,7 +105,7 @@
 pub(super) struct Call {
     pub(super) node: usize,
     pub(super) life: u64,
-    pub(super) by: TryId,
+    pub(super) try_id: TryId,
     pub(super) attempt: u32,
     pub(super) request: u64,
     pub(super) from: u64,
@@ -117,25 +117,27 @@
 }
 
 /// The node whose pause holds a happening back.
-pub(super) fn frozen_target(happening: &Happening) -> Option<usize> {
-    match happening {
-        Happening::Message { node, .. }
-        | Happening::Tick { node, .. }
-        | Happening::Read { node, .. }
-        | Happening::Look { node, .. }
-        | Happening::Looked { node, .. }
-        | Happening::RequestArrives { node, .. }
-        | Happening::Deadline { node, .. }
-        | Happening::OrderLeaves { node, .. }
-        | Happening::OrderAnswered { node, .. }
-        | Happening::LeaseStored { node, .. }
-        | Happening::GroupStored { node, .. } => Some(*node),
-        Happening::News { call, .. } | Happening::ContinuationDue { call } => Some(call.node),
-        Happening::EngineGets { .. }
-        | Happening::EngineStep { .. }
-        | Happening::CallerPiece { .. }
-        | Happening::CallerEnd { .. }
-        | Happening::MachineListed { .. }
-        | Happening::OrderArrives { .. } => None,
+pub(super) fn target_node(sim_event: &SimEvent) -> Option<usize> {
+    match sim_event {
+        SimEvent::Message { node, .. }
+        | SimEvent::Tick { node, .. }
+        | SimEvent::PollObjectApi { node, .. }
+        | SimEvent::ObserveEngines { node, .. }
+        | SimEvent::EngineObserved { node, .. }
+        | SimEvent::RequestArrives { node, .. }
+        | SimEvent::Deadline { node, .. }
+        | SimEvent::OrderSent { node, .. }
+        | SimEvent::OrderAnswered { node, .. }
+        | SimEvent::LeaseStored { node, .. }
+        | SimEvent::GroupStored { node, .. } => Some(*node),
+        SimEvent::AttemptReported { call, .. } | SimEvent::ContinuationDue { call } => {
+            Some(call.node)
+        }
+        SimEvent::RequestReachesEngine { .. }
+        | SimEvent::EngineStep { .. }
+        | SimEvent::CallerPiece { .. }
+        | SimEvent::CallerEnd { .. }
+        | SimEvent::UpdateMachineList { .. }
+        | SimEvent::OrderArrives { .. } => None,
     }
 }
--- a/crates/simulation/tests/bounds.rs
+++ b/crates/simulation/tests/bounds.rs
@@ -4,11 +4,11 @@
 use ploverlift_cluster::core::CLAIM_GROUP;
 use ploverlift_policy::attempt::RunState;
 use ploverlift_policy::objects::Kind;
-use ploverlift_simulation::oracle::{Promise, Told};
+use ploverlift_simulation::oracle::{Promise, TryOutcome};
 use ploverlift_simulation::platform::PlatformMode;
 use ploverlift_simulation::schedule::Operation;
 use ploverlift_simulation::site::{zone_of, SiteSize};
-use ploverlift_simulation::world::{Applied, Mutations, World, CLAIM_RETENTION_MS};
+use ploverlift_simulation::world::{ApplyOutcome, Mutations, World, CLAIM_RETENTION_MS};
 
 /// A change must be in force everywhere within this time, in milliseconds.
 const IN_FORCE_MS: u64 = 3_000;
@@ -23,7 +23,7 @@
 
 fn accept(world: &mut World, node: usize) -> u64 {
     match world.apply(node) {
-        Applied::Accepted(version) => version,
+        ApplyOutcome::Accepted(version) => version,
         other => panic!("{other:?}"),
     }
 }
@@ -84,9 +84,9 @@
             .map(|node| (*node, world.request(*node, 0, 0)))
             .collect();
         world.advance(ANSWER_MS);
-        for (node, by) in tries {
-            let known = &world.oracle.tries[&by];
-            if let (Told::Whole(_), Some(at)) = (&known.told, known.ended_at) {
+        for (node, try_id) in tries {
+            let known = &world.oracle.tries[&try_id];
+            if let (TryOutcome::Whole(_), Some(at)) = (&known.outcome, known.ended_at) {
                 waiting.retain(|other| *other != node);
                 slowest = slowest.max(Some(at - began));
             }
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_herd_of_restarted_nodes_serves_at_once_without_the_platform() {
+fn restarted_nodes_serve_in_time_without_the_platform() {
     for seed in 0..20 {
         let mut world = settled(seed);
         world.platform.set_mode(PlatformMode::Down);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn restarted_nodes_do_not_serve_when_peers_tell_them_nothing() {
+fn restarted_nodes_do_not_serve_without_configuration_from_peers() {
     let mutations = Mutations {
         no_config_from_peers: true,
         ..Mutations::default()
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_node_that_only_met_a_stale_peer_serves_and_then_catches_up() {
+fn a_node_with_only_a_stale_peer_serves_and_then_catches_up() {
     for seed in 0..20 {
         let mut world = settled(seed);
         // Node 0 misses a change, and then is the only one that others can ask.
@@ -191,36 +191,45 @@
         let mut world = settled(seed);
         let first = world.request_once(0, 1);
         world.advance(500);
-        assert!(matches!(world.oracle.tries[&first].told, Told::Whole(_)));
+        assert!(matches!(
+            world.oracle.tries[&first].outcome,
+            TryOutcome::Whole(_)
+        ));
         let voters = world.voters();
         world.restart_node(seed as usize % 6);
         world.advance(3_000);
         assert_eq!(world.voters(), voters);
         let again = world.request_once(5, 1);
         world.advance(500);
-        assert_eq!(world.oracle.tries[&again].told, Told::Replayed(1));
+        assert_eq!(world.oracle.tries[&again].outcome, TryOutcome::Replayed(1));
     }
 }
 
 #[test]
-fn after_all_replicas_forgot_it_is_refused_at_once_until_it_can_be_known() {
+fn requests_are_refused_until_retention_ends_after_all_replicas_lost_claims() {
     let mut world = settled(1);
     let first = world.request_once(0, 1);
     world.advance(500);
-    assert!(matches!(world.oracle.tries[&first].told, Told::Whole(_)));
+    assert!(matches!(
+        world.oracle.tries[&first].outcome,
+        TryOutcome::Whole(_)
+    ));
     for node in 0..6 {
         world.restart_node(node);
     }
     world.advance(5_000);
     let again = world.request_once(2, 1);
     world.advance(300);
-    let told = &world.oracle.tries[&again].told;
-    assert_eq!(*told, Told::Refused(RunState::NotRun));
+    let outcome = &world.oracle.tries[&again].outcome;
+    assert_eq!(*outcome, TryOutcome::Refused(RunState::NotRun));
     // Once the time is over for which claims are kept, new requests run again.
     world.advance(CLAIM_RETENTION_MS);
     let fresh = world.request_once(2, 2);
     world.advance(500);
-    assert!(matches!(world.oracle.tries[&fresh].told, Told::Whole(_)));
+    assert!(matches!(
+        world.oracle.tries[&fresh].outcome,
+        TryOutcome::Whole(_)
+    ));
 }
 
 #[test]
@@ -239,13 +248,16 @@
     world.advance(CLAIM_RETENTION_MS);
     let refused = world.request_once(left, 1);
     world.advance(2_000);
-    let told = &world.oracle.tries[&refused].told;
-    assert_eq!(*told, Told::Refused(RunState::NotRun));
+    let outcome = &world.oracle.tries[&refused].outcome;
+    assert_eq!(*outcome, TryOutcome::Refused(RunState::NotRun));
     world.delete_object(Kind::ClaimGroup, CLAIM_GROUP);
     world.advance(6_000);
     let again = world.request_once(left, 1);
     world.advance(500);
-    assert!(matches!(world.oracle.tries[&again].told, Told::Whole(_)));
+    assert!(matches!(
+        world.oracle.tries[&again].outcome,
+        TryOutcome::Whole(_)
+    ));
 }
 
 #[test]
@@ -257,10 +269,10 @@
             world.restart_node(node);
         }
         world.advance(400);
-        let reads_at_herd = world.readers();
+        let readers_after_restart = world.readers();
         assert!(
-            reads_at_herd <= 3,
-            "{reads_at_herd} readers just after a herd"
+            readers_after_restart <= 3,
+            "{readers_after_restart} readers just after a herd"
         );
         world.advance(10_000);
         assert!(world.readers() <= 2);
@@ -284,8 +296,11 @@
     let once = world.request_once(0, 9);
     world.advance(500);
     assert!(matches!(
-        world.oracle.tries[&repeatable].told,
-        Told::Whole(_)
+        world.oracle.tries[&repeatable].outcome,
+        TryOutcome::Whole(_)
+    ));
+    assert!(matches!(
+        world.oracle.tries[&once].outcome,
+        TryOutcome::Whole(_)
     ));
-    assert!(matches!(world.oracle.tries[&once].told, Told::Whole(_)));
 }
--- a/crates/simulation/tests/proofs.rs
+++ b/crates/simulation/tests/proofs.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn caches_of_other_lives_weights_and_tenants_are_never_relied_on() {
-    hold(cache_schedules());
+    assert_holds(cache_schedules());
 }
 
 #[test]
@@ -18,12 +18,12 @@
         engines_ignore_expectations: true,
         ..Mutations::default()
     };
-    must_break(Promise::CacheReliance, mutations, cache_schedules());
+    assert_violated_by(Promise::CacheReliance, mutations, cache_schedules());
 }
 
 #[test]
 fn streams_are_whole_and_in_order_and_the_callers_own() {
-    hold(stream_schedules());
+    assert_holds(stream_schedules());
 }
 
 #[test]
@@ -32,7 +32,7 @@
         engines_misnumber_pieces: true,
         ..Mutations::default()
     };
-    must_break(Promise::WholeStreams, mutations, stream_schedules());
+    assert_violated_by(Promise::WholeStreams, mutations, stream_schedules());
 }
 
 #[test]
@@ -41,12 +41,12 @@
         answers_crossed: true,
         ..Mutations::default()
     };
-    must_break(Promise::OwnAnswer, mutations, stream_schedules());
+    assert_violated_by(Promise::OwnAnswer, mutations, stream_schedules());
 }
 
 #[test]
 fn requests_that_may_not_be_repeated_run_at_most_once_and_not_run_is_true() {
-    hold(once_schedules());
+    assert_holds(once_schedules());
 }
 
 #[test]
@@ -55,7 +55,7 @@
         nodes_reuse_lives: true,
         ..Mutations::default()
     };
-    must_break(Promise::AtMostOnce, mutations, once_schedules());
+    assert_violated_by(Promise::AtMostOnce, mutations, once_schedules());
 }
 
 #[test]
@@ -65,17 +65,17 @@
         engines_ignore_expectations: true,
         ..Mutations::default()
     };
-    must_break(Promise::CacheReliance, mutations, cache_schedules());
+    assert_violated_by(Promise::CacheReliance, mutations, cache_schedules());
 }
 
 #[test]
-fn a_vote_that_its_replica_forgot_does_not_count() {
-    hold(forgotten_vote_schedules());
+fn a_vote_lost_in_a_restart_does_not_count() {
+    assert_holds(lost_vote_schedules());
 }
 
 #[test]
 fn not_run_is_true_when_answers_are_lost() {
-    hold(lost_answer_schedules());
+    assert_holds(lost_answer_schedules());
 }
 
 #[test]
@@ -84,12 +84,12 @@
         lost_attempts_look_unsent: true,
         ..Mutations::default()
     };
-    must_break(Promise::NotRunIsTrue, mutations, lost_answer_schedules());
+    assert_violated_by(Promise::NotRunIsTrue, mutations, lost_answer_schedules());
 }
 
 #[test]
 fn leaving_engines_get_no_new_work() {
-    hold(leaving_schedules());
+    assert_holds(leaving_schedules());
 }
 
 #[test]
@@ -98,12 +98,12 @@
         no_engine_reports: true,
         ..Mutations::default()
     };
-    must_break(Promise::LeavingGetsNothing, mutations, leaving_schedules());
+    assert_violated_by(Promise::LeavingGetsNothing, mutations, leaving_schedules());
 }
 
 #[test]
 fn configuration_is_in_force_everywhere_and_never_goes_back() {
-    hold(configuration_schedules());
+    assert_holds(configuration_schedules());
 }
 
 #[test]
@@ -112,17 +112,17 @@
         stale_records_look_new: true,
         ..Mutations::default()
     };
-    must_break(Promise::Configuration, mutations, configuration_schedules());
+    assert_violated_by(Promise::Configuration, mutations, configuration_schedules());
 }
 
 #[test]
 fn late_orders_are_refused_and_loads_are_bounded() {
-    hold(order_schedules());
+    assert_holds(order_schedules());
 }
 
 #[test]
 fn orders_of_a_paused_holder_are_refused() {
-    hold(paused_holder_schedules());
+    assert_holds(paused_holder_schedules());
 }
 
 #[test]
@@ -131,10 +131,10 @@
         engines_ignore_tokens: true,
         ..Mutations::default()
     };
-    must_break(Promise::Orders, mutations, paused_holder_schedules());
+    assert_violated_by(Promise::Orders, mutations, paused_holder_schedules());
 }
 
 #[test]
-fn every_promise_holds_when_all_faults_come_together() {
-    hold(mixed_schedules());
+fn every_promise_holds_under_all_faults_combined() {
+    assert_holds(mixed_schedules());
 }
--- a/crates/simulation/tests/support/mod.rs
+++ b/crates/simulation/tests/support/mod.rs
@@ -46,7 +46,7 @@
 }
 
 /// Holds a property over generated schedules.
-pub fn hold(strategy: impl Strategy<Value = (u64, Vec<Operation>)>) {
+pub fn assert_holds(strategy: impl Strategy<Value = (u64, Vec<Operation>)>) {
     let outcome = runner().run(&strategy, |(seed, operations)| {
         let violations = run(seed, &operations, Mutations::default());
         prop_assert!(violations.is_empty(), "{violations:?}");
@@ -59,7 +59,7 @@
 
 /// Shows that the property can fail: some generated schedule breaks the
 /// promise under a mutation of the surroundings.
-pub fn must_break(
+pub fn assert_violated_by(
     promise: Promise,
     mutations: Mutations,
     strategy: impl Strategy<Value = (u64, Vec<Operation>)>,
@@ -267,7 +267,7 @@
 
 /// A replica that restarts and recovers while a proposal still waits for the
 /// others, and the same request at another node.
-pub fn forgotten_vote_schedules() -> impl Strategy<Value = (u64, Vec<Operation>)> {
+pub fn lost_vote_schedules() -> impl Strategy<Value = (u64, Vec<Operation>)> {
     let round = (
         0usize..6,
         0usize..6,
