--- a/crates/simulation/src/engines.rs
+++ b/crates/simulation/src/engines.rs
@@ -1,22 +1,22 @@
-//! Simulated engines: lives, weights, a cache of blocks with the scope and
-//! weights they were computed with, and streams of pieces.
+//! Simulated engines: incarnation, weights, load, and a cache that records for
+//! each block the scope, weights and incarnation of its computation.
 
 use ploverlift_policy::fleet::{EngineKey, EngineObservation, Health, LoadReport};
 use ploverlift_policy::ids::{BlockHash, EngineName, Incarnation, WeightsVersion, ZoneName};
 use std::collections::BTreeMap;
 
-/// Under what a cached block was computed.
+/// Conditions under which a cached block was computed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BlockOrigin {
     /// Cache scope of the request that stored it.
     pub scope: String,
     /// Weights it was computed with.
     pub weights: WeightsVersion,
-    /// Life of the engine in which it was computed.
+    /// Incarnation of the engine that computed it.
     pub incarnation: Incarnation,
 }
 
-/// One engine.
+/// A simulated engine.
 #[derive(Clone, Debug)]
 pub struct SimEngine {
     /// Name in the machine list.
@@ -27,24 +27,24 @@
     pub zone: ZoneName,
     /// Whether the process runs.
     pub alive: bool,
-    /// Whether it refuses new work.
+    /// Whether the engine is leaving and refuses new requests.
     pub leaving: bool,
-    /// Its life.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
     /// Weights it serves.
     pub weights: WeightsVersion,
-    /// Until when it loads weights, in world time.
+    /// World time at which the present load of weights ends, in milliseconds.
     pub loading_until: u64,
-    /// Highest fencing token of any order.
+    /// Highest fencing token of any accepted order.
     pub fencing_token: u64,
     /// Cached blocks.
     pub cache: BTreeMap<BlockHash, BlockOrigin>,
-    /// Requests under way.
+    /// Number of requests that run.
     pub running: u32,
 }
 
 impl SimEngine {
-    /// An engine in its first life.
+    /// Creates an engine in its first incarnation.
     pub fn new(name: &str, zone: &str) -> Self {
         let name = EngineName::from(name);
         Self {
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Starts a new life with an empty cache.
+    /// Restarts the process with an empty cache. The incarnation changes only with
+    /// `new_incarnation`.
     pub fn restart(&mut self, new_incarnation: bool) {
         self.alive = true;
         self.leaving = false;
@@ -74,13 +75,13 @@
         }
     }
 
-    /// Serves other weights from now on; what was cached is gone.
+    /// Changes the weights and clears the cache.
     pub fn change_weights(&mut self, weights: u64) {
         self.weights = WeightsVersion(weights);
         self.cache.clear();
     }
 
-    /// What an observer sees at `now`.
+    /// The engine's state as an observer gets it at world time `now`.
     pub fn observation(&self, now: u64) -> EngineObservation {
         let health = if self.leaving {
             Health::Leaving
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -3,20 +3,19 @@
 //!
 //! The nodes run the same [`NodeCore`](ploverlift_cluster::core::NodeCore) and
 //! the same [`RequestMachine`](ploverlift_policy::request::RequestMachine) as a
-//! real node; only sockets and clocks are simulated. What engines really ran
-//! and what callers really got is recorded by the [`oracle`], which knows
-//! nothing of the code under test.
+//! real node; only sockets and clocks are simulated. The [`oracle`] records what
+//! engines ran and what callers received, independently of the code under test.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | [`world`] | the event loop and everything that happens in it |
+//! | [`world`] | the event loop and its events |
 //! | [`network`] | delay, loss, duplication, cuts |
 //! | [`platform`] | the object API with outages, lost replies and stale reads |
-//! | [`engines`] | engines with a cache, lives, weights and streams |
-//! | [`requests`] | one request on one node, step by step |
-//! | [`oracle`] | what really happened, and what must hold of it |
+//! | [`engines`] | engines with incarnation, weights and cache |
+//! | [`requests`] | state of one request on one node |
+//! | [`oracle`] | record of runs and outcomes, and the promises checked on it |
 //! | [`schedule`] | operations and faults, as data |
-//! | [`site`] | the small site that proofs run on |
+//! | [`site`] | the small site used by the proofs |
 
 pub mod engines;
 pub mod network;
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -3,21 +3,21 @@
 use ploverlift_policy::ids::ZoneName;
 use std::collections::BTreeSet;
 
-/// Faults of the network, changed by the schedule.
+/// Faults of the network, set by the schedule.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
     /// Share of messages that are lost, from 0 to 1.
     pub loss: f64,
     /// Share of messages that arrive twice, from 0 to 1.
     pub duplication: f64,
-    /// Additional random delay, at most so many milliseconds.
+    /// Upper limit of an additional random delay, in milliseconds.
     pub jitter_ms: u64,
     cuts: BTreeSet<(ZoneName, ZoneName)>,
 }
 
-/// Travel inside a zone, in milliseconds.
+/// One-way delay inside a zone, in milliseconds.
 const INTRA_ZONE_DELAY_MS: u64 = 1;
-/// Travel between zones, in milliseconds.
+/// One-way delay between zones, in milliseconds.
 const INTER_ZONE_DELAY_MS: u64 = 2;
 
 fn pair(a: &ZoneName, b: &ZoneName) -> (ZoneName, ZoneName) {
@@ -46,12 +46,12 @@
         self.cuts.clear();
     }
 
-    /// Whether anything passes between two zones.
+    /// Whether two zones are not cut off from each other.
     pub fn connected(&self, a: &ZoneName, b: &ZoneName) -> bool {
         !self.cuts.contains(&pair(a, b))
     }
 
-    /// How long a message takes.
+    /// Delay of one message, in milliseconds; random when there is jitter.
     pub fn delay(&self, a: &ZoneName, b: &ZoneName, random: &mut fastrand::Rng) -> u64 {
         let base = if a == b {
             INTRA_ZONE_DELAY_MS
@@ -61,7 +61,8 @@
         base + random.u64(..=self.jitter_ms)
     }
 
-    /// Arrival delays of one message: none when it is lost, two when doubled.
+    /// Delays of the deliveries of one message, in milliseconds: none when it is
+    /// lost, two when it is duplicated.
     pub fn deliveries(&self, a: &ZoneName, b: &ZoneName, random: &mut fastrand::Rng) -> Vec<u64> {
         if !self.connected(a, b) || random.f64() < self.loss {
             return Vec::new();
--- a/crates/simulation/src/oracle.rs
+++ b/crates/simulation/src/oracle.rs
@@ -1,20 +1,21 @@
-//! What really happened, and what must hold of it. The oracle is told by the
-//! simulated engines, callers and operators, never by the nodes.
+//! Record of all runs and outcomes, and the promises checked on it. Only simulated
+//! engines, callers and operators report to the oracle, and the version that a
+//! node uses is checked against the object API.
 
 use ploverlift_policy::attempt::RunState;
 use ploverlift_policy::ids::{EngineName, ResourceVersion};
 use std::collections::BTreeMap;
 
-/// Names one try of a caller; a caller that tries again has another.
+/// Identifies one try of a caller; each retry by the caller has its own id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TryId(pub u64);
 
-/// What a caller was told at the end of one try.
+/// The outcome of one try, as the caller received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TryOutcome {
-    /// Nothing yet.
+    /// No outcome yet.
     Waiting,
-    /// A whole answer, piece by piece.
+    /// A complete answer, as its pieces.
     Whole(Vec<u64>),
     /// The recorded answer of an earlier try.
     Replayed(u64),
@@ -26,20 +27,20 @@
     ConnectionLost,
 }
 
-/// One try of a caller.
+/// A caller's try of a request.
 #[derive(Clone, Debug)]
 pub struct Try {
-    /// Key of the request, the same in every try of it.
+    /// Key of the request, the same for all of its tries.
     pub request: u64,
     /// Whether the request may run at most once.
     pub at_most_once: bool,
-    /// When it began, in world time.
+    /// World time at which the try began, in milliseconds.
     pub began_at: u64,
-    /// When it was answered, in world time.
+    /// World time at which the try ended, in milliseconds.
     pub ended_at: Option<u64>,
-    /// What the caller was told.
+    /// Outcome as the caller received it.
     pub outcome: TryOutcome,
-    /// Pieces that arrived, in order of arrival.
+    /// Pieces that the caller received, in order of arrival.
     pub pieces: Vec<u64>,
 }
 
@@ -52,65 +53,65 @@
     pub request: u64,
     /// The engine.
     pub engine: EngineName,
-    /// World time.
+    /// World time of the start, in milliseconds.
     pub at: u64,
-    /// First position that was asked for; more than 0 goes on with a stream.
+    /// First position requested; more than 0 resumes a stream.
     pub from: u64,
 }
 
-/// Something that must never happen, and when it did.
+/// A violated promise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which promise.
+    /// The violated promise.
     pub promise: Promise,
-    /// What happened.
+    /// Description of the violation.
     pub what: String,
 }
 
-/// The promises that the simulation judges.
+/// The promises that the simulation checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Promise {
-    /// No reliance on caches of dead engines, other tenants or older weights.
+    /// No request relies on a cache of an earlier incarnation, another tenant or other weights.
     CacheReliance,
-    /// Streams are complete and in order.
+    /// Streams are complete and in order, and every try gets an outcome.
     WholeStreams,
-    /// A restarted node serves at once.
+    /// A restarted node serves without delay.
     ServesAtOnce,
-    /// Each caller gets its own answer.
+    /// Each caller gets the answer to its own request.
     OwnAnswer,
-    /// "Not run" is true.
+    /// A request reported as not run has not run and does not run later.
     NotRunIsTrue,
-    /// At most one run.
+    /// A request that may run at most once does not run twice.
     AtMostOnce,
-    /// A leaving back end gets no new work.
+    /// A leaving engine gets no new requests.
     LeavingGetsNothing,
-    /// Configuration is in force and never goes back.
+    /// Accepted configuration reaches every node, and no node returns to an older version.
     Configuration,
-    /// Late orders are refused and loads bounded.
+    /// Orders with an outdated fencing token are refused, and the number of concurrent loads is bounded.
     Orders,
 }
 
-/// The record of everything that counts.
+/// Record of tries, runs and violations.
 #[derive(Clone, Debug, Default)]
 pub struct Oracle {
     /// All tries.
     pub tries: BTreeMap<TryId, Try>,
     /// All runs.
     pub runs: Vec<Run>,
-    /// All violations found while running.
+    /// All violations found.
     pub violations: Vec<Violation>,
     highest_seen: BTreeMap<(String, u64), ResourceVersion>,
 }
 
-/// Pieces of every simulated answer.
+/// Number of pieces in every simulated answer.
 pub const ANSWER_PIECES: u64 = 6;
 
-/// The piece at a position of a request's answer.
+/// Content of the piece at a position of a request's answer.
 pub fn piece_of(request: u64, position: u64) -> u64 {
     request.wrapping_mul(1_000).wrapping_add(position)
 }
 
-/// The whole answer of a request.
+/// All pieces of a request's answer.
 pub fn answer_of(request: u64) -> Vec<u64> {
     (0..ANSWER_PIECES)
         .map(|position| piece_of(request, position))
@@ -118,12 +119,12 @@
 }
 
 impl Oracle {
-    /// Notes a violation.
+    /// Records a violation.
     pub fn record_violation(&mut self, promise: Promise, what: String) {
         self.violations.push(Violation { promise, what });
     }
 
-    /// Notes a run.
+    /// Records a run, and violations of the promises on runs.
     pub fn record_run(&mut self, run: Run) {
         let at_most_once = self
             .tries
@@ -143,13 +144,13 @@
             .get(&run.try_id)
             .is_some_and(|caller_try| caller_try.outcome == TryOutcome::Refused(RunState::NotRun));
         if was_told_not_run {
-            let what = format!("{:?} was told not run and ran later", run.try_id);
+            let what = format!("{:?} was reported as not run and ran later", run.try_id);
             self.record_violation(Promise::NotRunIsTrue, what);
         }
         self.runs.push(run);
     }
 
-    /// Notes a piece that reached a caller.
+    /// Records a piece that reached a caller, and a violation when it is not the next one.
     pub fn record_piece(&mut self, try_id: TryId, piece: u64) {
         let Some(known) = self.tries.get_mut(&try_id) else {
             return;
@@ -167,11 +168,12 @@
         };
         self.record_violation(
             promise,
-            format!("{try_id:?} got {piece} in place of {expected}"),
+            format!("{try_id:?} received piece {piece}, expected {expected}"),
         );
     }
 
-    /// Notes the end of a try.
+    /// Records the outcome of a try at world time `at`, and violations of the promises
+    /// on outcomes. Only the first outcome of a try counts.
     pub fn record_outcome(&mut self, try_id: TryId, outcome: TryOutcome, at: u64) {
         let has_run = self.runs.iter().any(|run| run.try_id == try_id);
         let Some(known) = self.tries.get_mut(&try_id) else {
@@ -185,7 +187,7 @@
         let request = known.request;
         match outcome {
             TryOutcome::Whole(pieces) if pieces != answer_of(request) => {
-                let what = format!("{try_id:?} was told {pieces:?} is whole");
+                let what = format!("{try_id:?} ended as complete with pieces {pieces:?}");
                 self.record_violation(Promise::WholeStreams, what);
             }
             TryOutcome::Replayed(answer) if answer != request => {
@@ -193,19 +195,20 @@
                 self.record_violation(Promise::OwnAnswer, what);
             }
             TryOutcome::Refused(RunState::NotRun) if has_run => {
-                let what = format!("{try_id:?} was told not run and had run");
+                let what = format!("{try_id:?} was reported as not run but had run");
                 self.record_violation(Promise::NotRunIsTrue, what);
             }
             _ => {}
         }
     }
 
-    /// Notes the version of one object that a node has in force in one life.
+    /// Records the version of the route that a node uses in one incarnation, and a
+    /// violation when it is older than an earlier one.
     pub fn record_version_in_force(&mut self, node: &str, life: u64, version: ResourceVersion) {
         let key = (node.to_owned(), life);
         let highest = self.highest_seen.entry(key).or_default();
         if version < *highest {
-            let what = format!("{node} went back from {highest} to {version}");
+            let what = format!("{node} returned from version {highest} to {version}");
             self.record_violation(Promise::Configuration, what);
             return;
         }
--- a/crates/simulation/src/platform.rs
+++ b/crates/simulation/src/platform.rs
@@ -5,28 +5,28 @@
 use ploverlift_policy::objects::{Kind, Object, ObjectKey};
 use std::collections::BTreeMap;
 
-/// How the object API behaves now.
+/// Behaviour of the object API.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PlatformMode {
-    /// As it should.
+    /// Works normally.
     #[default]
     Up,
     /// Does not answer.
     Down,
-    /// Takes changes; their replies are lost.
+    /// Stores changes, but the replies are lost.
     LosesReplies,
-    /// Answers reads with a state from a while ago.
+    /// Answers reads with an older state.
     Stale,
 }
 
-/// What a write was answered.
+/// Result of a write.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WriteAnswer {
     /// Stored as this object.
     Stored(Object),
-    /// Somebody else changed the object.
+    /// The object was changed by another write.
     Conflict,
-    /// No answer came; the change may have taken effect.
+    /// The reply was lost; the change may have taken effect.
     Lost,
     /// The object API could not be reached; nothing took effect.
     Unreachable,
@@ -35,17 +35,18 @@
 /// The object API: every change ever made, in order.
 #[derive(Clone, Debug, Default)]
 pub struct Platform {
-    /// How it behaves.
+    /// Present behaviour.
     pub mode: PlatformMode,
     log: Vec<Record>,
     version: u64,
     stale_version: u64,
-    /// Reads that were answered.
+    /// Number of lists answered.
     pub reads: u64,
 }
 
 impl Platform {
-    /// Changes the behaviour; stale reads show the state of this moment.
+    /// Changes the behaviour. From now on, stale reads show the state of
+    /// [`STALE_READ_LAG`] changes before this call.
     pub fn set_mode(&mut self, mode: PlatformMode) {
         if mode == PlatformMode::Stale {
             self.stale_version = self.version.saturating_sub(STALE_READ_LAG);
@@ -53,7 +54,7 @@
         self.mode = mode;
     }
 
-    /// Stores an object by compare-and-set.
+    /// Stores an object by compare-and-set of its version.
     pub fn put(&mut self, mut object: Object) -> WriteAnswer {
         if self.mode == PlatformMode::Down {
             return WriteAnswer::Unreachable;
@@ -71,7 +72,7 @@
         WriteAnswer::Stored(object)
     }
 
-    /// Deletes an object whatever its version, for the machine list.
+    /// Deletes an object whatever its version.
     pub fn delete(&mut self, key: ObjectKey) {
         if self.stored_version(&key) > 0 {
             self.version += 1;
@@ -96,7 +97,7 @@
             .map(|object| object.as_ref().clone())
     }
 
-    /// Whether an object was ever stored just so.
+    /// Whether exactly this object, version included, was ever stored.
     pub fn accepted(&self, object: &Object) -> bool {
         let mut records = self.log.iter();
         records.any(|record| record.content.as_deref() == Some(object))
@@ -114,7 +115,8 @@
         }
     }
 
-    /// All objects of a kind as reads show them now, and their version.
+    /// All objects of a kind as reads currently show them, and the version of
+    /// that state. `None` when the object API is down.
     pub fn list(&mut self, kind: Kind) -> Option<(Vec<Object>, ResourceVersion)> {
         if self.mode == PlatformMode::Down {
             return None;
@@ -131,7 +133,8 @@
         Some((listed, ResourceVersion(visible)))
     }
 
-    /// Changes after `version` as a watch shows them now.
+    /// Changes after `version` as a watch currently shows them. `None` when the
+    /// object API is down.
     pub fn changes_after(&self, version: u64) -> Option<Vec<Record>> {
         if self.mode == PlatformMode::Down {
             return None;
@@ -147,5 +150,5 @@
     }
 }
 
-/// How many changes a stale read is behind.
+/// Number of changes that a stale read is behind the newest one.
 const STALE_READ_LAG: u64 = 3;
--- a/crates/simulation/src/requests.rs
+++ b/crates/simulation/src/requests.rs
@@ -1,4 +1,4 @@
-//! One request on one simulated node.
+//! State of one request on one simulated node.
 
 use crate::oracle::TryId;
 use ploverlift_cluster::claim_proposer::Ticket;
@@ -7,25 +7,25 @@
 use ploverlift_policy::fleet::EngineKey;
 use ploverlift_policy::request::RequestMachine;
 
-/// A request that a node works on.
+/// A request that a node handles.
 pub struct SimRequest {
     /// The caller's try.
     pub try_id: TryId,
     /// Key of the request.
     pub request: u64,
-    /// What the decision needs.
+    /// Input of the routing decision.
     pub routed: RoutedRequest,
     /// The state machine, the same as in a real node.
     pub machine: RequestMachine,
-    /// Engines that failed.
+    /// Engines that failed in earlier attempts.
     pub failed: Vec<EngineKey>,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// How far the present attempt got.
+    /// Progress of the present attempt.
     pub attempt_state: AttemptState,
     /// The engine of the present attempt.
     pub engine: Option<EngineKey>,
-    /// A claim that was asked for or granted.
+    /// Ticket of the claim that was proposed or granted.
     pub claim: Option<Ticket>,
     /// Whether the claim was granted.
     pub granted: bool,
@@ -33,23 +33,24 @@
     pub replay: Option<u64>,
 }
 
-/// What a node learns of an attempt.
+/// A report about an attempt that reaches its node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptReport {
     /// The connection was refused: nothing was sent.
     Unsent,
-    /// The engine refused, with its life and weights when it has others.
+    /// The engine refused; with its incarnation and weights when they differ from
+    /// the expected ones.
     Refused(Option<(u64, u64)>),
-    /// The engine began to answer.
+    /// The head of the response arrived.
     Head,
     /// A piece of the answer.
     Piece {
-        /// Its position.
+        /// Position in the answer.
         position: u64,
-        /// Its content.
+        /// Content of the piece.
         content: u64,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Completed,
     /// The connection broke.
     Broken,
--- a/crates/simulation/src/schedule.rs
+++ b/crates/simulation/src/schedule.rs
@@ -1,70 +1,70 @@
-//! Operations and faults as data: what property tests generate and traces record.
+//! Operations and faults as data: property tests generate them and traces record them.
 
 use serde::{Deserialize, Serialize};
 
-/// One thing that happens. Numbers select among what there is, modulo its count.
+/// One operation or fault. An index of a node, engine or zone is taken modulo
+/// their count.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Operation {
     /// Time passes, in milliseconds.
     Advance(u64),
-    /// A node's process ends at once.
+    /// A node's process is killed.
     KillNode(usize),
-    /// A node starts with empty memory; it is killed first when it runs.
+    /// A node is killed if it runs, and started with empty memory.
     RestartNode(usize),
-    /// Every node but one is killed and started.
+    /// Every node except this one is killed and started.
     RestartHerd(usize),
     /// A node is paused.
     FreezeNode(usize),
-    /// A paused node goes on.
+    /// A paused node is resumed.
     ThawNode(usize),
     /// Two zones are cut off from each other.
     Cut(usize, usize),
-    /// Every cut ends.
+    /// All cuts end.
     HealCuts,
-    /// Messages are lost, in percent.
+    /// Share of messages that are lost, in percent.
     Loss(u8),
-    /// Messages are doubled, in percent.
+    /// Share of messages that are duplicated, in percent.
     Duplicate(u8),
-    /// Messages are delayed by up to so many milliseconds, and so reordered.
+    /// Messages get a random delay of up to this many milliseconds, which reorders them.
     Jitter(u64),
     /// The object API does not answer.
     PlatformDown,
-    /// The object API takes changes and loses the replies.
+    /// The object API stores changes, but its replies are lost.
     PlatformLosesReplies,
     /// The object API answers reads with an older state.
     PlatformStale,
     /// The object API works again.
     PlatformUp,
-    /// An engine's process ends at once.
+    /// An engine's process is killed.
     KillEngine(usize),
-    /// An engine starts with an empty cache; it is killed first when it runs.
+    /// An engine is killed if it runs, and started with an empty cache.
     RestartEngine(usize),
-    /// An engine says that it leaves; the machine list says so later.
+    /// An engine reports that it is leaving; the machine list follows later.
     LeaveEngine(usize),
-    /// The weights that the pool wants.
+    /// Sets the weights version of the pool.
     WantWeights(u64),
-    /// An engine is given other weights by hand, as in a rollback.
+    /// An engine gets other weights without an order, as in a manual rollback.
     EngineWeights(usize, u64),
     /// An operator changes the route through a node.
     Apply(usize),
-    /// Two operators change the route through two nodes at once.
+    /// Two operators change the same version of the route through two nodes.
     ApplyRace(usize, usize),
-    /// A caller sends a request that may be repeated.
+    /// A caller sends a repeatable request.
     Request {
-        /// Node it is sent to.
+        /// Node that receives the request.
         node: usize,
-        /// Tenant that sends it.
+        /// Tenant of the caller.
         tenant: usize,
-        /// Which of a few prompts.
+        /// Number of the prompt.
         prompt: usize,
     },
-    /// A caller sends a request that may run at most once; the same number is
-    /// the same request.
+    /// A caller sends a request that may run at most once.
     Once {
-        /// Node it is sent to.
+        /// Node that receives the request.
         node: usize,
-        /// Which request.
+        /// Key of the request; the same number is the same request.
         request: u64,
     },
 }
--- a/crates/simulation/src/site.rs
+++ b/crates/simulation/src/site.rs
@@ -1,4 +1,4 @@
-//! The small site that proofs run on: three zones, six nodes, six engines, two
+//! The small site used by the proofs: three zones, six nodes, six engines, two
 //! tenants, one pool, one route for completions and one for bookings.
 
 use crate::engines::SimEngine;
@@ -22,7 +22,7 @@
 pub const DEADLINE_MS: u64 = 2_000;
 /// Tokens in a block of the site's prompts.
 pub const BLOCK_TOKENS: u32 = 4;
-/// Engines that may load weights at once.
+/// Largest number of engines that may load weights at the same time.
 pub const MAX_CONCURRENT_LOADS: u32 = 2;
 
 /// Size of a site.
@@ -110,7 +110,7 @@
     Object::new(Kind::Route, name, Labels::default(), spec)
 }
 
-/// The text of one of a few prompts: they share long prefixes.
+/// The text of a prompt. There are six of them, which share long prefixes.
 pub fn prompt(number: usize) -> Vec<u8> {
     let shared = "manual: open the back, ";
     let branch = ["lift the battery, ", "lift the screen, "][number % 2];
--- a/crates/simulation/src/world/engine_side.rs
+++ b/crates/simulation/src/world/engine_side.rs
@@ -1,4 +1,4 @@
-//! What engines do, and how nodes observe them.
+//! The engines, and how nodes observe them.
 
 use super::*;
 
@@ -76,7 +76,7 @@
             .network
             .connected(&self.nodes[call.node].zone, &engine.zone);
         if !connected {
-            // The bytes are lost; the node will find out by its deadline.
+            // The request is lost; the node detects this only by a time-out.
             return;
         }
         if !engine.alive {
@@ -99,7 +99,7 @@
         self.check_reliance(number, &call, expects && other_life);
         self.log_event(|| {
             format!(
-                "engine-{number} runs {} for node-{}",
+                "engine-{number} runs request {} for node-{}",
                 call.request, call.node
             )
         });
@@ -135,7 +135,8 @@
         );
     }
 
-    /// Whatever is reused must be of the same scope, weights and life.
+    /// Checks that reused blocks have the same scope, weights and incarnation as
+    /// the engine, and that the request does not rely on blocks of another one.
     pub(super) fn check_reliance(
         &mut self,
         number: usize,
@@ -143,7 +144,10 @@
         relies_on_other_life: bool,
     ) {
         if relies_on_other_life && call.believed_cached {
-            let what = format!("{:?} relied on a cache that is gone", call.try_id);
+            let what = format!(
+                "{:?} relied on a cache of another incarnation or other weights",
+                call.try_id
+            );
             self.oracle.record_violation(Promise::CacheReliance, what);
         }
         let engine = &self.engines[number];
@@ -157,7 +161,10 @@
                 || origin.incarnation != engine.incarnation
         });
         if let Some(origin) = wrong {
-            let what = format!("{:?} of {} reused {origin:?}", call.try_id, call.scope);
+            let what = format!(
+                "{:?} of {} reused a block of {origin:?}",
+                call.try_id, call.scope
+            );
             self.oracle.record_violation(Promise::CacheReliance, what);
         }
     }
@@ -198,7 +205,7 @@
         if self.random.f64() < self.network.duplication {
             self.send_piece(&call, position);
         }
-        // An engine may skip a piece; the gap must be found.
+        // An engine may skip a piece; the node must detect the gap.
         let skips = self.network.jitter_ms > 0 && self.random.u8(..) < 8;
         let next = position + if skips { 2 } else { 1 };
         self.at(
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -3,13 +3,13 @@
 //! | module | job |
 //! | --- | --- |
 //! | `nodes` | nodes, their pauses, and the messages between them |
-//! | `happening` | everything that can happen |
-//! | `object_api` | what nodes read and operators write |
+//! | `sim_event` | the events of the queue |
+//! | `object_api` | reads of the object API by nodes and writes by operators |
 //! | `orders` | the lease for orders to engines, and the orders |
-//! | `engine_side` | what engines do, and how nodes observe them |
-//! | `request_side` | requests, from the caller's try to its end |
+//! | `engine_side` | the engines, and how nodes observe them |
+//! | `request_side` | requests, from a caller's try to its outcome |
 //! | `operations` | operations of a schedule, and the checks at its end |
-//! | `views` | looks from outside, for tests and measurements |
+//! | `views` | state of the site for tests and measurements |
 
 mod engine_side;
 mod nodes;
@@ -54,58 +54,61 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Deliberate weakenings of the simulated surroundings, by which the proofs
-/// show that they can fail. No product code knows of them.
+/// Deliberate faults of the simulated environment. The proofs use them to show
+/// that they can fail; product code does not depend on them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Mutations {
-    /// A restarted node cannot be told from its earlier life.
+    /// A restarted node has the incarnation that it had before.
     pub nodes_reuse_lives: bool,
-    /// A restarted engine cannot be told from its earlier life.
+    /// A restarted engine has the incarnation that it had before.
     pub engines_reuse_incarnations: bool,
-    /// Engines run requests that rely on another life or other weights.
+    /// Engines run requests that expect another incarnation or other weights.
     pub engines_ignore_expectations: bool,
-    /// Engines number the pieces of a continued stream from its beginning.
+    /// Engines number the pieces of a continued stream from 0.
     pub engines_misnumber_pieces: bool,
-    /// Answers are handed to the wrong caller now and then.
+    /// Some pieces of an answer belong to another request.
     pub answers_crossed: bool,
-    /// A cut connection is reported as one on which nothing was sent.
+    /// Any failed attempt is reported as one in which nothing was sent.
     pub lost_attempts_look_unsent: bool,
-    /// Reports on engines do not reach other nodes, nor observers their engines.
+    /// Engine reports do not reach other nodes, the machine list shows no leaving
+    /// engine, and observers see every engine
+    /// that they reach as ready.
     pub no_engine_reports: bool,
     /// Stale records arrive with the newest version.
     pub stale_records_look_new: bool,
-    /// Engines take orders whatever their token.
+    /// Engines accept orders with any fencing token.
     pub engines_ignore_tokens: bool,
-    /// Nodes that join are told nothing of the configuration.
+    /// Nodes send no configuration to their peers.
     pub no_config_from_peers: bool,
 }
 
-/// Time for which claims are kept on the simulated site, in milliseconds.
+/// Retention period of claims on the simulated site, in milliseconds.
 pub const CLAIM_RETENTION_MS: u64 = 60_000;
-/// Time until a connection attempt over a cut is given up, in milliseconds.
+/// Time-out of a connection attempt between zones that are cut off, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 200;
-/// Time after which a stream over a cut counts as broken, in milliseconds.
+/// Time-out of a stream between zones that are cut off, in milliseconds.
 const STREAM_TIMEOUT_MS: u64 = 3_000;
-/// Time between the start of a run and the head of its answer, in milliseconds.
+/// Time between the start of a run and the head of the response, in milliseconds.
 const PREFILL_MS: u64 = 20;
-/// Time between two pieces, in milliseconds.
+/// Time between two pieces of an answer, in milliseconds.
 const PIECE_MS: u64 = 5;
-/// Time between two looks of a reader at the object API, in milliseconds.
+/// Period in which a node polls the object API, in milliseconds.
 const READ_PERIOD_MS: u64 = 250;
-/// Time after which a request at a node that catches up is looked at again, in milliseconds.
+/// Time after which a request is retried at a node that is catching up, in milliseconds.
 const CATCH_UP_RETRY_MS: u64 = 10;
-/// Longest time between the decision on an order and its sending, in milliseconds.
+/// Upper limit of the random delay before an order is sent, in milliseconds.
 const ORDER_DELAY_MS: u64 = 40;
-/// Time to load weights, in milliseconds.
+/// Time that an engine needs to load weights, in milliseconds.
 const LOAD_MS: u64 = 600;
-/// Time between an engine's own word that it leaves and the machine list's, in milliseconds.
+/// Time between a change of an engine's state and the machine list's update, in milliseconds.
 const MACHINE_LIST_LAG_MS: u64 = 5_000;
-/// Time after which a leaving engine must get no new work, in milliseconds.
+/// Time after which a leaving engine must get no new requests, in milliseconds.
 pub const MAX_LEAVING_DELAY_MS: u64 = 3_000;
-/// A node that started so lately may not have heard yet that an engine leaves,
-/// when every node that knew has restarted too; the engine refuses it, in milliseconds.
+/// Time after its start in which a node may send requests to a leaving engine, in
+/// milliseconds: it may have no report yet when every informed node has restarted
+/// too. The engine refuses these requests.
 const UNINFORMED_AFTER_START_MS: u64 = 1_000;
-/// The object API has no eras: it never comes back from a copy.
+/// The only era of the object API, which is never restored from a copy.
 const OBJECT_API_ERA: StoreEra = StoreEra(0);
 /// Name of the lease for orders to engines.
 const ORDERS_LEASE: &str = "orders";
@@ -125,12 +128,12 @@
     rollout: Rollout,
 }
 
-/// What an operator was told.
+/// The result of an operator's change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// In force as this version.
+    /// Stored as this version.
     Accepted(u64),
-    /// Somebody else changed the object.
+    /// The object was changed by another write.
     Conflict,
     /// The object API could not be reached: not applied.
     Refused,
@@ -140,7 +143,7 @@
 
 /// The simulated site.
 pub struct World {
-    /// Milliseconds since the site began.
+    /// World time, in milliseconds.
     pub now: u64,
     /// The network.
     pub network: Network,
@@ -148,15 +151,15 @@
     pub platform: Platform,
     /// All engines.
     pub engines: Vec<SimEngine>,
-    /// What really happened.
+    /// Record of all runs and outcomes.
     pub oracle: Oracle,
-    /// What operators were told.
+    /// Results of all changes by operators, in order.
     pub applied: Vec<ApplyOutcome>,
-    /// Weakenings.
+    /// Deliberate faults of the environment.
     pub mutations: Mutations,
-    /// Bytes that all nodes sent to each other.
+    /// Bytes of all messages between nodes.
     pub cluster_bytes: u64,
-    /// Whether runs, claims, leases and orders are printed as they happen.
+    /// Whether runs, claims, leases and orders are printed to standard error.
     pub is_logging: bool,
     nodes: Vec<SimNode>,
     engine_generations: Vec<u64>,
@@ -170,7 +173,7 @@
 }
 
 impl World {
-    /// A site that begins now: the object API has its objects, nodes start.
+    /// Creates a site whose object API has its objects and whose nodes have just started.
     pub fn new(seed: u64, size: SiteSize, mutations: Mutations) -> Self {
         let mut world = Self {
             now: 1_000,
@@ -208,7 +211,8 @@
         world
     }
 
-    /// A site that has settled: configuration is everywhere and claims are held.
+    /// Creates a site that has settled: every node has the configuration and the
+    /// claim group votes.
     pub fn settled(seed: u64, mutations: Mutations) -> Self {
         let mut world = Self::new(seed, SiteSize::default(), mutations);
         world.advance(SETTLE_MS);
@@ -243,8 +247,6 @@
         }
     }
 
-    // Time.
-
     fn at(&mut self, delay: u64, sim_event: SimEvent) {
         self.next_event += 1;
         let key = self.next_event;
@@ -252,7 +254,7 @@
         self.pending_events.insert(key, sim_event);
     }
 
-    /// Lets time pass.
+    /// Advances the time by `milliseconds` and handles all events due until then.
     pub fn advance(&mut self, milliseconds: u64) {
         let end = self.now + milliseconds;
         while let Some(Reverse((at, key))) = self.queue.peek().copied() {
@@ -351,7 +353,7 @@
     }
 }
 
-/// Time in which a new site settles, in milliseconds.
+/// Time for which [`World::settled`] lets a new site run, in milliseconds.
 const SETTLE_MS: u64 = 6_000;
 
 fn routed(
--- a/crates/simulation/src/world/nodes.rs
+++ b/crates/simulation/src/world/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes: their start, end and pauses, and the messages between them.
+//! Starts, stops and pauses of nodes, and the messages between them.
 
 use super::*;
 
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Works on a node's core and sends what it wants sent.
+    /// Calls `work` with the core of a running node, then sends the messages and
+    /// handles the events that the core has produced.
     pub(super) fn with_core<T>(
         &mut self,
         number: usize,
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Applies weakenings to a message; false when it is dropped.
+    /// Applies mutations to a message. Returns false when the message is dropped.
     pub(super) fn apply_mutations(&self, envelope: &mut Envelope) -> bool {
         match &mut envelope.body {
             Some(Body::EngineReports(_)) if self.mutations.no_engine_reports => false,
@@ -151,7 +152,7 @@
                 | Body::ClaimRelease(_)
                 | Body::ClaimRecover(_)
                 | Body::ClaimState(_)),
-            ) => format!("node-{node} gets from {from}: {body:?}"),
+            ) => format!("node-{node} received from {from}: {body:?}"),
             _ => String::new(),
         });
         self.with_core(node, |core, now| core.handle(from, envelope, now));
@@ -179,12 +180,14 @@
         }
     }
 
-    /// What is in force must be what the object API once accepted as that version.
+    /// Records a violation unless the object API has accepted this route in this version.
     pub(super) fn check_stored(&mut self, node: &str, route: Object) {
         let accepted = self.platform.accepted(&route);
         if !accepted {
             let version = route.metadata.resource_version;
-            let what = format!("{node} has a route in force that was never version {version}");
+            let what = format!(
+                "{node} uses a route that the object API never accepted as version {version}"
+            );
             self.oracle.record_violation(Promise::Configuration, what);
         }
     }
--- a/crates/simulation/src/world/object_api.rs
+++ b/crates/simulation/src/world/object_api.rs
@@ -1,4 +1,4 @@
-//! What nodes read from the object API and what operators write to it.
+//! Reads of the object API by nodes and writes to it by operators.
 
 use super::*;
 
@@ -84,7 +84,8 @@
         self.with_core(node, |core, now| core.apply_records(vec![record], now));
     }
 
-    /// Changes the route through a node, as an operator does.
+    /// Changes the route through a node, as an operator does, based on the version
+    /// that the node knows.
     pub fn apply(&mut self, number: usize) -> ApplyOutcome {
         let base = self.known_route_version(number);
         self.apply_from(number, base)
--- a/crates/simulation/src/world/operations.rs
+++ b/crates/simulation/src/world/operations.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    /// Performs one operation of a schedule.
+    /// Applies one operation of a schedule.
     pub fn perform(&mut self, operation: &Operation) {
         let nodes = self.nodes.len();
         let engines = self.engines.len();
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Kills a node when it runs, and starts it with empty memory.
+    /// Kills a node if it runs, and starts it with empty memory.
     pub fn restart_node(&mut self, node: usize) {
         self.kill_node(node);
         self.start_node(node);
@@ -94,7 +94,8 @@
         }
     }
 
-    /// What happened behind a cut can be known only from now on.
+    /// Ends all cuts. A node beyond a cut could not learn that an engine is leaving,
+    /// so the time of engines that were cut off counts from now on.
     pub(super) fn heal_cuts(&mut self) {
         for engine in &self.engines {
             let mut zones = site::ZONES.iter().map(|zone| ZoneName::from(*zone));
@@ -122,13 +123,13 @@
         let both = matches!(first, ApplyOutcome::Accepted(_))
             && matches!(second, ApplyOutcome::Accepted(_));
         if both {
-            let what = "two operators were both told that they won".to_owned();
+            let what = "two concurrent changes of the same version were both accepted".to_owned();
             self.oracle.record_violation(Promise::Configuration, what);
         }
     }
 
-    /// Ends every fault: the network heals, the platform works, paused nodes go
-    /// on and dead nodes start.
+    /// Ends every fault: network and object API work normally, paused nodes are
+    /// resumed and dead nodes started.
     pub fn recover(&mut self) {
         self.heal_cuts();
         self.network.heal();
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Checks what must hold once faults have ended and time has passed: the
-    /// same configuration everywhere, and no request without an answer.
+    /// Checks what must hold some time after the end of all faults: every node
+    /// uses the newest route, and every try has an outcome.
     pub fn check_settled(&mut self) {
         let wanted = self.platform.read(Kind::Route, site::ROUTE);
         let wanted = wanted.map_or(0, |route| route.metadata.resource_version.0);
@@ -152,7 +153,7 @@
             let version = self.known_route_version(node);
             if version != wanted {
                 let name = self.nodes[node].name.clone();
-                let what = format!("{name} has version {version} in force, not {wanted}");
+                let what = format!("{name} uses version {version} of the route, not {wanted}");
                 self.oracle.record_violation(Promise::Configuration, what);
             }
         }
@@ -164,7 +165,7 @@
             .map(|(try_id, _)| *try_id)
             .collect();
         for try_id in unanswered {
-            let what = format!("{try_id:?} was never answered");
+            let what = format!("{try_id:?} has no outcome");
             self.oracle.record_violation(Promise::WholeStreams, what);
         }
     }
--- a/crates/simulation/src/world/orders.rs
+++ b/crates/simulation/src/world/orders.rs
@@ -38,7 +38,7 @@
             return;
         }
         let now = self.node_now(node);
-        self.log_event(|| format!("node-{node} stores a lease: {answer:?}"));
+        self.log_event(|| format!("node-{node} wrote the lease: {answer:?}"));
         match answer {
             WriteAnswer::Stored(object) => {
                 if let Ok(spec) = object.typed::<LeaseSpec>() {
@@ -107,7 +107,7 @@
             return;
         }
         known.fencing_token = known.fencing_token.max(order.fencing_token);
-        self.log_event(|| format!("engine-{engine} takes {order:?} of node-{node}"));
+        self.log_event(|| format!("engine-{engine} accepted {order:?} from node-{node}"));
         let known = &mut self.engines[engine];
         let is_loading = known.loading_until > self.now;
         let (answer, delay) = match order.weights {
@@ -138,7 +138,7 @@
             .filter(|engine| engine.loading_until > now);
         let count = loading.count();
         if count > site::MAX_CONCURRENT_LOADS as usize {
-            let what = format!("{count} engines load at once");
+            let what = format!("{count} engines load weights at the same time");
             self.oracle.record_violation(Promise::Orders, what);
         }
     }
--- a/crates/simulation/src/world/request_side.rs
+++ b/crates/simulation/src/world/request_side.rs
@@ -1,4 +1,4 @@
-//! Requests, from the caller's try to its end.
+//! Requests, from a caller's try to its outcome.
 
 use super::*;
 
@@ -20,7 +20,7 @@
         try_id
     }
 
-    /// A caller sends a request that may be repeated. Returns its try.
+    /// Sends a repeatable request as a caller does. Returns the id of the try.
     pub fn request(&mut self, node: usize, tenant: usize, prompt: usize) -> TryId {
         let request = 1_000_000 + self.next_try;
         let try_id = self.new_try(request, false);
@@ -36,7 +36,7 @@
         try_id
     }
 
-    /// A caller sends a request that may run at most once. Returns its try.
+    /// Sends a request that may run at most once. Returns the id of the try.
     pub fn request_once(&mut self, node: usize, request: u64) -> TryId {
         let try_id = self.new_try(request, true);
         let arrival = SimEvent::RequestArrives {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Tells a request's machine an event; returns its next step.
+    /// Passes an event to a request's state machine; returns the next step.
     fn step(&mut self, node: usize, try_id: TryId, event: Event) -> Option<Step> {
         let now = self.node_now(node);
         let sim_node = &mut self.nodes[node];
@@ -181,7 +181,7 @@
     }
 
     pub(super) fn claim_decided(&mut self, node: usize, try_id: TryId, outcome: ClaimOutcome) {
-        self.log_event(|| format!("node-{node}: {try_id:?} has its claim {outcome:?}"));
+        self.log_event(|| format!("node-{node}: {try_id:?} claim decided: {outcome:?}"));
         let event = match outcome {
             ClaimOutcome::Granted => {
                 if let Some(known) = self.nodes[node].requests.get_mut(&try_id) {
@@ -203,8 +203,8 @@
         self.handle_event(node, try_id, event);
     }
 
-    /// Ends a request on its node: records the answer, gives the claim back or
-    /// leaves it held.
+    /// Removes a request from its node. A granted claim is completed with the
+    /// answer, released or, if the request may have run, left held.
     pub(super) fn finish_request(&mut self, node: usize, try_id: TryId, is_complete: bool) {
         let Some(request) = self.nodes[node].requests.remove(&try_id) else {
             return;
@@ -298,7 +298,8 @@
         Some((chosen, scope, key, attempt))
     }
 
-    /// A leaving engine must not even be asked after a few seconds.
+    /// Records a violation when a request reaches an engine more than
+    /// [`MAX_LEAVING_DELAY_MS`] after it began to leave, even if it refuses.
     pub(super) fn check_leaving(&mut self, number: usize) {
         let engine = &self.engines[number];
         let Some(leaving_since) = self.leaving_since.get(&engine.key) else {
@@ -306,7 +307,10 @@
         };
         let since = self.now - leaving_since;
         if since > MAX_LEAVING_DELAY_MS {
-            let what = format!("{} got work {since} ms after it left", engine.name);
+            let what = format!(
+                "{} got a request {since} ms after it began to leave",
+                engine.name
+            );
             self.oracle
                 .record_violation(Promise::LeavingGetsNothing, what);
         }
--- a/crates/simulation/src/world/sim_event.rs
+++ b/crates/simulation/src/world/sim_event.rs
@@ -1,4 +1,4 @@
-//! Everything that can happen at a point in time.
+//! Events of the simulation's event queue.
 
 use super::*;
 
@@ -56,7 +56,7 @@
         life: u64,
         try_id: TryId,
     },
-    /// A continuation of a stream has had its time to begin.
+    /// The time in which a continued stream must begin is over.
     ContinuationDue {
         call: Call,
     },
@@ -100,7 +100,7 @@
     },
 }
 
-/// One attempt of one request, as it travels.
+/// One attempt of a request, as it is sent to an engine.
 #[derive(Clone, Debug)]
 pub(super) struct Call {
     pub(super) node: usize,
@@ -116,7 +116,8 @@
     pub(super) believed_cached: bool,
 }
 
-/// The node whose pause holds a happening back.
+/// The node that handles an event; the event is deferred while this node is
+/// paused. `None` for events that no node handles.
 pub(super) fn target_node(sim_event: &SimEvent) -> Option<usize> {
     match sim_event {
         SimEvent::Message { node, .. }
--- a/crates/simulation/src/world/views.rs
+++ b/crates/simulation/src/world/views.rs
@@ -1,9 +1,9 @@
-//! Looks from outside, for tests and measurements.
+//! State of the site for tests and measurements.
 
 use super::*;
 
 impl World {
-    /// A node's core, when its process runs.
+    /// A node's core; `None` when its process does not run.
     pub fn core(&self, node: usize) -> Option<&NodeCore> {
         self.nodes[node].core.as_ref()
     }
@@ -13,7 +13,7 @@
         self.nodes.len()
     }
 
-    /// Nodes on which the route has at least this version in force.
+    /// Number of nodes that use at least this version of the route.
     pub fn nodes_with_route(&self, version: u64) -> usize {
         let nodes = 0..self.nodes.len();
         nodes
@@ -21,7 +21,7 @@
             .count()
     }
 
-    /// Nodes that read the object API now.
+    /// Number of nodes that currently read the object API.
     pub fn readers(&self) -> usize {
         let nodes = 0..self.nodes.len();
         nodes
@@ -32,13 +32,13 @@
             .count()
     }
 
-    /// Nodes that vote on claims now.
+    /// Number of nodes that currently vote on claims.
     pub fn voters(&self) -> usize {
         let cores = self.nodes.iter().filter_map(|node| node.core.as_ref());
         cores.filter(|core| core.claims.votes()).count()
     }
 
-    /// Removes an object from the object API.
+    /// Deletes an object from the object API, whatever its version.
     pub fn delete_object(&mut self, kind: Kind, name: &str) {
         self.platform.delete(ObjectKey {
             kind,
--- a/crates/simulation/tests/bounds.rs
+++ b/crates/simulation/tests/bounds.rs
@@ -1,5 +1,5 @@
-//! Bounds in time: how soon a change is in force, a restarted node serves and a
-//! leaving or dead engine gets nothing.
+//! Time bounds: until a change is in force everywhere, until a restarted node
+//! serves, and until a leaving engine gets no new requests.
 
 use ploverlift_cluster::core::CLAIM_GROUP;
 use ploverlift_policy::attempt::RunState;
@@ -73,7 +73,8 @@
     }
 }
 
-/// Sends a request to each node until it answers; returns the slowest time.
+/// Sends requests to each node until it answers; returns the time of the slowest
+/// node, or `None` when a node does not answer.
 fn slowest_first_answer(world: &mut World, nodes: &[usize]) -> Option<u64> {
     let began = world.now;
     let mut waiting: Vec<usize> = nodes.to_vec();
@@ -145,7 +146,7 @@
 fn a_node_with_only_a_stale_peer_serves_and_then_catches_up() {
     for seed in 0..20 {
         let mut world = settled(seed);
-        // Node 0 misses a change, and then is the only one that others can ask.
+        // Node 0 misses a change, and is then the only peer with a configuration.
         world.perform(&Operation::FreezeNode(0));
         let version = accept(&mut world, 1);
         world.advance(500);
@@ -222,7 +223,7 @@
     world.advance(300);
     let outcome = &world.oracle.tries[&again].outcome;
     assert_eq!(*outcome, TryOutcome::Refused(RunState::NotRun));
-    // Once the time is over for which claims are kept, new requests run again.
+    // After the retention period of claims, new requests run again.
     world.advance(CLAIM_RETENTION_MS);
     let fresh = world.request_once(2, 2);
     world.advance(500);
@@ -272,14 +273,14 @@
         let readers_after_restart = world.readers();
         assert!(
             readers_after_restart <= 3,
-            "{readers_after_restart} readers just after a herd"
+            "{readers_after_restart} readers just after the restart"
         );
         world.advance(10_000);
         assert!(world.readers() <= 2);
         world.network.cut(&zone_of(0), &zone_of(1));
         world.network.cut(&zone_of(0), &zone_of(2));
         world.advance(20_000);
-        // Each side has its own two.
+        // Each side of the cut has up to two readers.
         assert!(world.readers() <= 4);
     }
 }
--- a/crates/simulation/tests/proofs.rs
+++ b/crates/simulation/tests/proofs.rs
@@ -1,5 +1,5 @@
-//! The promises, under generated schedules of operations and faults. Each
-//! proof has its counterpart that shows that it can fail.
+//! Checks the promises under generated schedules of operations and faults. For
+//! each promise a counterpart shows, by a mutation, that the check can fail.
 
 mod support;
 
--- a/crates/simulation/tests/replay.rs
+++ b/crates/simulation/tests/replay.rs
@@ -1,12 +1,12 @@
-//! Replays recorded schedules with their stated outcomes: every schedule that
-//! once found a fault.
+//! Replays the recorded schedules, each of which once found a fault, and compares
+//! the violations with the stated ones.
 
 use ploverlift_simulation::schedule::Operation;
 use ploverlift_simulation::world::{Mutations, World};
 use serde::Deserialize;
 use std::path::Path;
 
-/// Time after the last operation in which everything must be settled, in milliseconds.
+/// Time after the last operation within which the site must settle, in milliseconds.
 const SETTLE_MS: u64 = 30_000;
 
 /// The first line of a trace.
@@ -15,10 +15,10 @@
 struct Head {
     /// Seed of the simulated site.
     seed: u64,
-    /// What the schedule found when it was recorded.
+    /// The fault that the schedule found when it was recorded.
     #[allow(dead_code)]
     found: String,
-    /// Promises that are broken at the end; none, for a fault that was mended.
+    /// Promises violated in the replay; empty when the fault is fixed.
     violated: Vec<String>,
 }
 
--- a/crates/simulation/tests/support/mod.rs
+++ b/crates/simulation/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Strategies for schedules, and how a schedule is run and judged.
+//! Strategies for schedules, and functions that run and check a schedule.
 
 use ploverlift_simulation::oracle::{Promise, Violation};
 use ploverlift_simulation::schedule::Operation;
@@ -7,11 +7,11 @@
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Schedules of one property when no count is given.
+/// Number of schedules of one property when none is configured.
 pub const DEFAULT_SCHEDULES: u32 = 64;
-/// Environment variable with the count of schedules of a longer run.
+/// Environment variable that sets the number of schedules.
 const SCHEDULES_VARIABLE: &str = "PLOVERLIFT_SCHEDULES";
-/// Time after the last operation in which everything must be settled, in milliseconds.
+/// Time after the last operation within which the site must settle, in milliseconds.
 const SETTLE_MS: u64 = 30_000;
 
 pub fn schedules() -> u32 {
@@ -20,7 +20,7 @@
     given.unwrap_or(DEFAULT_SCHEDULES)
 }
 
-/// A runner whose seed is fixed, so that CI returns the same verdict every time.
+/// A runner with a fixed seed, so that CI gets the same result every time.
 pub fn runner() -> TestRunner {
     let config = Config {
         cases: schedules(),
@@ -45,7 +45,7 @@
     world.oracle.violations
 }
 
-/// Holds a property over generated schedules.
+/// Asserts that no generated schedule violates a promise.
 pub fn assert_holds(strategy: impl Strategy<Value = (u64, Vec<Operation>)>) {
     let outcome = runner().run(&strategy, |(seed, operations)| {
         let violations = run(seed, &operations, Mutations::default());
@@ -57,8 +57,8 @@
     }
 }
 
-/// Shows that the property can fail: some generated schedule breaks the
-/// promise under a mutation of the surroundings.
+/// Asserts that the check can fail: some generated schedule violates the promise
+/// under a mutation of the environment.
 pub fn assert_violated_by(
     promise: Promise,
     mutations: Mutations,
@@ -70,14 +70,14 @@
         let (seed, operations) = tree.current();
         let violations = run(seed, &operations, mutations);
         if let Some(found) = violations.iter().find(|found| found.promise == promise) {
-            println!("{promise:?} broken by schedule {tried}: {}", found.what);
+            println!("{promise:?} violated by schedule {tried}: {}", found.what);
             return;
         }
     }
-    panic!("no schedule broke {promise:?} under {mutations:?}");
+    panic!("no schedule violated {promise:?} under {mutations:?}");
 }
 
-/// Schedules that are tried until one breaks the promise.
+/// Number of schedules tried before [`assert_violated_by`] fails.
 const MUTATION_SCHEDULES: u32 = 400;
 
 fn advance() -> impl Strategy<Value = Operation> {
@@ -151,12 +151,12 @@
     (any::<u64>(), prop::collection::vec(operation, 1..60))
 }
 
-/// Requests with engines that crash, restart quickly and change weights.
+/// Requests, and engines that crash, restart, leave and change weights.
 pub fn cache_schedules() -> impl Strategy<Value = (u64, Vec<Operation>)> {
     schedule_of(prop_oneof![4 => request(), 3 => advance(), 2 => engine_faults()])
 }
 
-/// Requests with engines and networks that break streams.
+/// Requests, and faults of engines and network that break streams.
 pub fn stream_schedules() -> impl Strategy<Value = (u64, Vec<Operation>)> {
     schedule_of(prop_oneof![
         4 => request(),
@@ -166,7 +166,7 @@
     ])
 }
 
-/// Requests that may run at most once, under everything that makes nodes forget.
+/// Requests that may run at most once, and faults by which nodes lose their state.
 pub fn once_schedules() -> impl Strategy<Value = (u64, Vec<Operation>)> {
     schedule_of(prop_oneof![
         6 => once(),
@@ -178,7 +178,7 @@
     ])
 }
 
-/// Leaving engines, with requests all the time and the platform down or slow.
+/// Leaving engines under constant requests, with faults of the object API and lost messages.
 pub fn leaving_schedules() -> impl Strategy<Value = (u64, Vec<Operation>)> {
     schedule_of(prop_oneof![
         6 => request(),
@@ -189,7 +189,7 @@
     ])
 }
 
-/// Operators against stale readers, cuts, restarts and lost replies.
+/// Changes by operators, with stale reads, cuts, restarts and lost replies.
 pub fn configuration_schedules() -> impl Strategy<Value = (u64, Vec<Operation>)> {
     schedule_of(prop_oneof![
         4 => operators(),
@@ -200,7 +200,7 @@
     ])
 }
 
-/// Roll-outs of weights with holders of the lease that are paused and restarted.
+/// Rollouts of weights, with lease holders that are paused and restarted.
 pub fn order_schedules() -> impl Strategy<Value = (u64, Vec<Operation>)> {
     schedule_of(prop_oneof![
         2 => (2u64..5).prop_map(Operation::WantWeights),
@@ -211,8 +211,8 @@
     ])
 }
 
-/// A pause of any node, longer than a lease, while a roll-out is under way and
-/// the weights that are wanted change.
+/// A pause of any node, longer than a lease, during a rollout whose target
+/// weights change.
 pub fn paused_holder_schedules() -> impl Strategy<Value = (u64, Vec<Operation>)> {
     let round = (2u64..200, 1u64..600, 0usize..6, 5_500u64..8_500, 1u64..900);
     let rounds = prop::collection::vec(round, 1..6);
@@ -265,8 +265,8 @@
     })
 }
 
-/// A replica that restarts and recovers while a proposal still waits for the
-/// others, and the same request at another node.
+/// A replica restarts and recovers while a proposal still waits for other votes,
+/// then the same request arrives at another node.
 pub fn lost_vote_schedules() -> impl Strategy<Value = (u64, Vec<Operation>)> {
     let round = (
         0usize..6,
@@ -303,7 +303,7 @@
     })
 }
 
-/// Everything together.
+/// All operations and faults combined.
 pub fn mixed_schedules() -> impl Strategy<Value = (u64, Vec<Operation>)> {
     schedule_of(prop_oneof![
         4 => request(),
