--- a/crates/simulation/src/world/engine_side.rs
+++ b/crates/simulation/src/world/engine_side.rs
@@ -135,8 +135,9 @@
         );
     }
 
-    /// Checks that reused blocks have the same scope, weights and incarnation as
-    /// the engine, and that the request does not rely on blocks of another one.
+    /// Checks that reused blocks have the scope of the request and the weights and
+    /// incarnation of the engine, and that the request does not rely on a cache of
+    /// another incarnation or other weights.
     pub(super) fn check_reliance(
         &mut self,
         number: usize,
