--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -75,7 +75,7 @@
 /// Streams that are held open for the memory of one.
 const MEMORY_STREAMS: usize = 1_000;
 /// Tokens of a stream that is held open.
-const HELD_TOKENS: u64 = 1_000_000;
+const OPEN_STREAM_TOKENS: u64 = 1_000_000;
 /// Clock ticks a second of `/proc/<pid>/stat`, fixed on Linux.
 const TICKS_PER_SECOND: f64 = 100.0;
 
@@ -89,7 +89,7 @@
     measure(&settings, false, warm_up, &failed).await;
     failed.store(0, Ordering::Relaxed);
     let mut direct = new_histogram();
-    let mut through = new_histogram();
+    let mut via_node = new_histogram();
     let mut node_cpu = 0.0;
     for _ in 0..ROUNDS {
         let part = settings.requests / ROUNDS;
@@ -97,22 +97,22 @@
             .add(measure(&settings, false, part, &failed).await)
             .ok();
         let before = cpu_seconds(settings.pid);
-        through
+        via_node
             .add(measure(&settings, true, part, &failed).await)
             .ok();
         node_cpu += cpu_seconds(settings.pid) - before;
     }
     let cpu_ms = settings
         .pid
-        .map(|_| node_cpu * 1_000.0 / through.len().max(1) as f64);
+        .map(|_| node_cpu * 1_000.0 / via_node.len().max(1) as f64);
     let memory = match settings.pid {
         Some(pid) => Some(memory_per_stream(&settings, pid).await),
         None => None,
     };
-    let (direct_ms, through_node_ms) = (times(&direct), times(&through));
+    let (direct_ms, through_node_ms) = (times(&direct), times(&via_node));
     BenchReport {
         streams: settings.streams,
-        requests: through.len() as usize,
+        requests: via_node.len() as usize,
         direct_ms,
         through_node_ms,
         added_ms: PathTimes {
@@ -144,7 +144,7 @@
 /// Sends requests on one path with the configured number of open streams.
 async fn measure(
     settings: &Arc<BenchSettings>,
-    through: bool,
+    via_node: bool,
     requests: usize,
     failed: &Arc<AtomicUsize>,
 ) -> Histogram<u64> {
@@ -155,7 +155,7 @@
         smol::spawn(async move {
             let mut histogram = new_histogram();
             while next.fetch_add(1, Ordering::Relaxed) < requests {
-                match first_token(&settings, through).await {
+                match first_token(&settings, via_node).await {
                     Some(time) => {
                         let _ = histogram.record(time.as_micros() as u64);
                     }
@@ -176,11 +176,11 @@
 
 fn request(
     settings: &BenchSettings,
-    through: bool,
+    via_node: bool,
     tokens: u64,
     hold: bool,
 ) -> trillium_client::Conn {
-    let address = if through {
+    let address = if via_node {
         settings.node
     } else {
         settings.engine
@@ -201,9 +201,9 @@
 }
 
 /// Time from sending a request to its first token; the rest is read, not timed.
-async fn first_token(settings: &BenchSettings, through: bool) -> Option<Duration> {
+async fn first_token(settings: &BenchSettings, via_node: bool) -> Option<Duration> {
     let began = Instant::now();
-    let conn = request(settings, through, ANSWER_TOKENS, false)
+    let conn = request(settings, via_node, ANSWER_TOKENS, false)
         .await
         .ok()?;
     let body: ReceivedBody<'static, BoxedTransport> = conn.into();
@@ -230,7 +230,7 @@
     for _ in 0..MEMORY_STREAMS {
         // The engine holds its tokens, so the answer's head does not come;
         // the request is under way as soon as it was sent.
-        let conn = request(settings, true, HELD_TOKENS, true);
+        let conn = request(settings, true, OPEN_STREAM_TOKENS, true);
         open.push(smol::spawn(async move {
             let _held = conn.await;
             std::future::pending::<()>().await;
--- a/crates/lab/src/engine.rs
+++ b/crates/lab/src/engine.rs
@@ -28,7 +28,7 @@
 /// Seconds that a full engine asks its callers to wait.
 const FULL_RETRY_SECONDS: u64 = 1;
 /// Time between two comments in a stream.
-const COMMENT_PERIOD: Duration = Duration::from_millis(200);
+const KEEP_ALIVE_PERIOD: Duration = Duration::from_millis(200);
 /// Connections that a stand-in accepts.
 const MAX_CONNECTIONS: usize = 20_000;
 /// Largest head that a stand-in accepts, in bytes.
@@ -123,7 +123,7 @@
         (Method::Post, "/v1/chat/completions" | "/v1/completions") => {
             completion(engine, conn, &body).await
         }
-        _ => plain(&engine, conn),
+        _ => respond_plain(&engine, conn),
     }
 }
 
@@ -140,7 +140,7 @@
         .halt()
 }
 
-fn plain(engine: &Engine, conn: Conn) -> Conn {
+fn respond_plain(engine: &Engine, conn: Conn) -> Conn {
     let id = request_id(&conn);
     let mut tables = engine.state.tables();
     if tables.leaving {
@@ -209,7 +209,7 @@
     let Ok(fields) = serde_json::from_slice::<Map<String, Value>>(body) else {
         return conn.with_status(Status::BadRequest).halt();
     };
-    if relies_on_another_life(&engine, &conn) {
+    if expects_other_state(&engine, &conn) {
         let weights = engine.state.tables().weights;
         let incarnation = engine.state.settings.incarnation;
         let conn = conn
@@ -244,17 +244,18 @@
     if run.stream {
         return stream(engine, conn, run);
     }
-    whole(engine, conn, run).await
+    respond_complete(engine, conn, run).await
 }
 
 /// Whether the request relies on a cache of another life or other weights.
-fn relies_on_another_life(engine: &Engine, conn: &Conn) -> bool {
+fn expects_other_state(engine: &Engine, conn: &Conn) -> bool {
     let number = |name: &'static str| conn.request_headers().get_str(name)?.parse::<u64>().ok();
     let incarnation = number(EXPECTED_INCARNATION_HEADER);
     let weights = number(EXPECTED_WEIGHTS_HEADER);
-    let other_life = incarnation.is_some_and(|life| life != engine.state.settings.incarnation);
+    let other_incarnation =
+        incarnation.is_some_and(|expected| expected != engine.state.settings.incarnation);
     let other_weights = weights.is_some_and(|weights| weights != engine.state.tables().weights.0);
-    other_life || other_weights
+    other_incarnation || other_weights
 }
 
 fn may_resume(tables: &EngineTables, run: &Run, fields: &Map<String, Value>) -> bool {
@@ -336,7 +337,7 @@
         engine: Arc::clone(engine),
         _slot: slot,
     };
-    let turn = engine.prefill.lock().await;
+    let prefill_guard = engine.prefill.lock().await;
     let blocks = engine.state.tables().cache.cached_prefix(&chain.blocks);
     let cached = chain.tokens_of(blocks);
     let uncached = u64::from(chain.tokens - cached);
@@ -346,7 +347,7 @@
     }
     let now = engine.state.clock.now();
     engine.state.store(&chain, now);
-    drop(turn);
+    drop(prefill_guard);
     drop(waiting);
     (running, cached)
 }
@@ -366,7 +367,7 @@
         opened.ok()?;
         let (_running, _cached) = prefill(&engine, &run).await;
         for position in run.from..run.tokens {
-            decode_pause(&engine, &run, position).await;
+            wait_for_token(&engine, &run, position).await;
             let mut chunk = Vec::new();
             let data = piece(&run, position).to_string();
             write_event(&mut chunk, &position.to_string(), &data);
@@ -380,8 +381,8 @@
         sender.closed().await;
         None
     };
-    let gone = futures_lite::future::or(closed, comments(&sender));
-    let outcome = futures_lite::future::or(generate, gone).await;
+    let caller_gone = futures_lite::future::or(closed, send_keep_alives(&sender));
+    let outcome = futures_lite::future::or(generate, caller_gone).await;
     let mut tables = engine.state.tables();
     let record = tables.runs.entry(run.id.clone()).or_default();
     match outcome {
@@ -392,9 +393,9 @@
 
 /// Sends comments again and again; ends when the caller is found to be gone.
 /// A closed connection shows only when something is written to it.
-async fn comments(sender: &Sender<BodyChunk>) -> Option<()> {
+async fn send_keep_alives(sender: &Sender<BodyChunk>) -> Option<()> {
     loop {
-        Timer::after(COMMENT_PERIOD).await;
+        Timer::after(KEEP_ALIVE_PERIOD).await;
         let comment = BodyChunk::Bytes(KEEP_ALIVE.to_vec());
         if sender.send(comment).await.is_err() {
             return None;
@@ -402,7 +403,7 @@
     }
 }
 
-async fn decode_pause(engine: &Engine, run: &Run, position: u64) {
+async fn wait_for_token(engine: &Engine, run: &Run, position: u64) {
     if let Some(hold) = &run.hold {
         let _ = hold.recv().await;
     } else if position > run.from && engine.state.settings.decode_ms > 0 {
@@ -410,10 +411,10 @@
     }
 }
 
-async fn whole(engine: Arc<Engine>, conn: Conn, run: Run) -> Conn {
+async fn respond_complete(engine: Arc<Engine>, conn: Conn, run: Run) -> Conn {
     let (running, cached) = prefill(&engine, &run).await;
     for position in 0..run.tokens {
-        decode_pause(&engine, &run, position).await;
+        wait_for_token(&engine, &run, position).await;
     }
     drop(running);
     let text: String = (0..run.tokens)
--- a/crates/lab/src/engine_tokens.rs
+++ b/crates/lab/src/engine_tokens.rs
@@ -15,11 +15,11 @@
 }
 
 pub(crate) fn token_text(run: &Run, position: u64) -> String {
-    let hash = xxhash(&run.prompt, position);
+    let hash = token_hash(&run.prompt, position);
     format!(" w{:04x}", hash & 0xffff)
 }
 
-fn xxhash(prompt: &[u8], position: u64) -> u64 {
+fn token_hash(prompt: &[u8], position: u64) -> u64 {
     let scope = ploverlift_policy::ids::CacheScope::from("answer");
     let seed = ploverlift_policy::chain::ChainSeed {
         scope: &scope,
--- a/crates/lab/src/experiment/engine.rs
+++ b/crates/lab/src/experiment/engine.rs
@@ -82,7 +82,7 @@
     }
 
     /// Requests that the engine has.
-    pub fn present(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.waiting.len() + self.decoding + usize::from(self.prefilling.is_some())
     }
 
@@ -119,7 +119,7 @@
     /// The true time to first token of a request that arrives now, in
     /// microseconds; slots are taken as free.
     pub fn true_ttft_us(&self, chain: &PromptChain, now_us: u64) -> u64 {
-        let present = self
+        let prefill_left = self
             .prefilling
             .as_ref()
             .map_or(0, |(_, end)| end.saturating_sub(now_us));
@@ -128,8 +128,8 @@
             .iter()
             .map(|request| u64::from(self.uncached(&request.chain)) * self.prefill_micros)
             .sum();
-        let full = self.present().saturating_sub(self.slots) as u64;
-        present + waiting + self.prefill_us(chain) + full * 50_000
+        let full = self.request_count().saturating_sub(self.slots) as u64;
+        prefill_left + waiting + self.prefill_us(chain) + full * 50_000
     }
 
     /// Ends the process; returns what is lost.
--- a/crates/lab/src/experiment/policies.rs
+++ b/crates/lab/src/experiment/policies.rs
@@ -157,7 +157,7 @@
     }
 
     /// Engines that the node believes to take work.
-    fn believed(&self, node: usize, reachable: &[bool]) -> Vec<usize> {
+    fn available_engines(&self, node: usize, reachable: &[bool]) -> Vec<usize> {
         let fleet = &self.nodes[node].fleet;
         (0..self.engines.len())
             .filter(|engine| reachable[*engine])
@@ -185,25 +185,25 @@
     }
 
     fn round_robin(&mut self, node: usize, reachable: &[bool]) -> Option<usize> {
-        let believed = self.believed(node, reachable);
+        let available_engines = self.available_engines(node, reachable);
         let view = &mut self.nodes[node];
         view.next += 1;
-        let position = view.next % believed.len().max(1);
-        believed.get(position).copied()
+        let position = view.next % available_engines.len().max(1);
+        available_engines.get(position).copied()
     }
 
-    fn known_load(&self, node: usize, engine: usize) -> u32 {
+    fn estimated_load(&self, node: usize, engine: usize) -> u32 {
         let engine = self.nodes[node].fleet.get(EngineIndex(engine as u32));
         engine.load.running + engine.load.waiting + engine.unreported.requests()
     }
 
     fn least_load(&mut self, node: usize, reachable: &[bool], now: Millis) -> Option<usize> {
-        let mut believed = self.believed(node, reachable);
-        self.random.shuffle(&mut believed);
-        let chosen = believed
+        let mut available_engines = self.available_engines(node, reachable);
+        self.random.shuffle(&mut available_engines);
+        let chosen = available_engines
             .into_iter()
-            .min_by_key(|engine| self.known_load(node, *engine))?;
-        self.note_sent(node, chosen, 0, now);
+            .min_by_key(|engine| self.estimated_load(node, *engine))?;
+        self.count_sent(node, chosen, 0, now);
         Some(chosen)
     }
 
@@ -214,29 +214,29 @@
         reachable: &[bool],
         now: Millis,
     ) -> Option<usize> {
-        let believed = self.believed(node, reachable);
+        let available_engines = self.available_engines(node, reachable);
         let item = chain
             .blocks
             .get(..HASHED_BLOCKS.min(chain.blocks.len()))?
             .last()?;
-        let total: u32 = believed
+        let total: u32 = available_engines
             .iter()
-            .map(|engine| self.known_load(node, *engine))
+            .map(|engine| self.estimated_load(node, *engine))
             .sum();
-        let bound = LOAD_BOUND * (f64::from(total) + 1.0) / believed.len().max(1) as f64;
-        let keys = believed
+        let bound = LOAD_BOUND * (f64::from(total) + 1.0) / available_engines.len().max(1) as f64;
+        let keys = available_engines
             .iter()
             .map(|engine| NodeKey(self.engines[*engine].0));
-        let ranked = rendezvous_top(item.0, keys, believed.len());
+        let ranked = rendezvous_top(item.0, keys, available_engines.len());
         let position = |key: &NodeKey| self.engines.iter().position(|engine| engine.0 == key.0);
         let ranked: Vec<usize> = ranked.iter().filter_map(position).collect();
-        let within = |engine: &&usize| f64::from(self.known_load(node, **engine)) < bound;
+        let within = |engine: &&usize| f64::from(self.estimated_load(node, **engine)) < bound;
         let chosen = ranked.iter().find(within).or(ranked.first()).copied()?;
-        self.note_sent(node, chosen, 0, now);
+        self.count_sent(node, chosen, 0, now);
         Some(chosen)
     }
 
-    fn note_sent(&mut self, node: usize, engine: usize, uncached: u32, now: Millis) {
+    fn count_sent(&mut self, node: usize, engine: usize, uncached: u32, now: Millis) {
         let fleet = &mut self.nodes[node].fleet;
         fleet.record_sent(EngineIndex(engine as u32), uncached, now);
     }
@@ -259,9 +259,9 @@
     ) -> Option<usize> {
         let shard = self.shard(chain).filter(|_| !self.shards_lost);
         let matches = self.matches(node, shard, chain);
-        let believed = self.believed(node, reachable);
+        let available_engines = self.available_engines(node, reachable);
         let candidates = RouteCandidates {
-            eligible: believed
+            eligible: available_engines
                 .iter()
                 .map(|engine| EngineIndex(*engine as u32))
                 .collect(),
@@ -282,7 +282,7 @@
         let decision = input.decide(&mut self.random)?;
         let chosen = decision.engine.0 as usize;
         let uncached = chain.tokens.saturating_sub(decision.cached_tokens);
-        self.note_sent(node, chosen, uncached, now);
+        self.count_sent(node, chosen, uncached, now);
         for holder in [Some(node), shard].into_iter().flatten() {
             let directory = &mut self.nodes[holder].directory;
             directory.record(&chain.blocks, decision.key, decision.incarnation, now);
--- a/crates/lab/src/experiment/run.rs
+++ b/crates/lab/src/experiment/run.rs
@@ -60,20 +60,20 @@
 /// When the cut ends, in microseconds.
 const CUT_ENDS_US: u64 = 60_000_000;
 /// Time between two crashes, and time an engine is down, in microseconds.
-const CRASH_EVERY_US: u64 = 2_000_000;
-const DOWN_US: u64 = 3_000_000;
+const CRASH_INTERVAL_US: u64 = 2_000_000;
+const ENGINE_DOWN_US: u64 = 3_000_000;
 /// Time until a lost request is sent again, in microseconds.
 const RETRY_US: u64 = 50_000;
 /// The first part of a run fills caches and is not counted, in microseconds.
 const WARM_UP_US: u64 = 20_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
+enum RunEvent {
     Arrive(usize),
-    PrefillEnd(usize, u64),
-    DecodeEnd(usize, u64),
+    PrefillEnded(usize, u64),
+    DecodeEnded(usize, u64),
     Report(usize),
-    Learn(usize),
+    DeliverReport(usize),
     Crash(usize),
     Restart(usize),
 }
@@ -85,10 +85,10 @@
     faults: &'a [ExperimentFault],
     policy: Policy,
     engines: Vec<EmulatedEngine>,
-    entry: Vec<usize>,
+    entry_nodes: Vec<usize>,
     placed_by: Vec<usize>,
     reports: Vec<(u64, Health, LoadReport)>,
-    queue: BinaryHeap<Reverse<(u64, u64, Happening)>>,
+    queue: BinaryHeap<Reverse<(u64, u64, RunEvent)>>,
     next: u64,
     now: u64,
     tally: Tally,
@@ -157,7 +157,7 @@
         engines: (0..model.engines)
             .map(|_| EmulatedEngine::new(model))
             .collect(),
-        entry: trace.iter().map(|_| random.usize(..model.nodes)).collect(),
+        entry_nodes: trace.iter().map(|_| random.usize(..model.nodes)).collect(),
         placed_by: vec![0; trace.len()],
         reports: vec![(1, Health::Ready, LoadReport::default()); model.engines],
         queue: BinaryHeap::new(),
@@ -173,61 +173,63 @@
 impl Run<'_> {
     fn schedule(&mut self) {
         for index in 0..self.trace.len() {
-            self.at(self.trace[index].at_us, Happening::Arrive(index));
+            self.at(self.trace[index].at_us, RunEvent::Arrive(index));
         }
         let period = self.model.report_period_ms * 1_000;
         for engine in 0..self.engines.len() {
             let offset = period * engine as u64 / self.engines.len() as u64;
-            self.at(offset, Happening::Report(engine));
+            self.at(offset, RunEvent::Report(engine));
         }
         if self.faults.contains(&ExperimentFault::CrashWave) {
             for crash in 0..self.engines.len() / 3 {
-                let at = FAULT_BEGINS_US + crash as u64 * CRASH_EVERY_US;
-                self.at(at, Happening::Crash(crash));
-                self.at(at + DOWN_US, Happening::Restart(crash));
+                let at = FAULT_BEGINS_US + crash as u64 * CRASH_INTERVAL_US;
+                self.at(at, RunEvent::Crash(crash));
+                self.at(at + ENGINE_DOWN_US, RunEvent::Restart(crash));
             }
         }
     }
 
-    fn at(&mut self, at: u64, happening: Happening) {
+    fn at(&mut self, at: u64, event: RunEvent) {
         self.next += 1;
-        self.queue.push(Reverse((at, self.next, happening)));
+        self.queue.push(Reverse((at, self.next, event)));
     }
 
     fn drain(&mut self) {
         let last = self.trace.last().map_or(0, |request| request.at_us);
         let limit = last + DRAIN_US;
-        while let Some(Reverse((at, _, happening))) = self.queue.pop() {
+        while let Some(Reverse((at, _, event))) = self.queue.pop() {
             if at > limit {
                 return;
             }
             self.now = at;
-            self.happen(happening);
+            self.dispatch(event);
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrive(index) => self.arrive(index),
-            Happening::PrefillEnd(engine, life) => self.prefill_end(engine, life),
-            Happening::DecodeEnd(engine, life) => {
-                if self.engines[engine].incarnation == life {
+    fn dispatch(&mut self, event: RunEvent) {
+        match event {
+            RunEvent::Arrive(index) => self.arrive(index),
+            RunEvent::PrefillEnded(engine, event_incarnation) => {
+                self.prefill_end(engine, event_incarnation)
+            }
+            RunEvent::DecodeEnded(engine, event_incarnation) => {
+                if self.engines[engine].incarnation == event_incarnation {
                     self.engines[engine].decoding -= 1;
                     self.begin(engine);
                 }
             }
-            Happening::Report(engine) => self.report(engine),
-            Happening::Learn(engine) => {
+            RunEvent::Report(engine) => self.report(engine),
+            RunEvent::DeliverReport(engine) => {
                 let (incarnation, health, load) = self.reports[engine];
                 let now = Millis(self.now / 1_000);
                 self.policy.report(engine, incarnation, health, load, now);
             }
-            Happening::Crash(engine) => {
+            RunEvent::Crash(engine) => {
                 for request in self.engines[engine].crash() {
-                    self.at(self.now + RETRY_US, Happening::Arrive(request.index));
+                    self.at(self.now + RETRY_US, RunEvent::Arrive(request.index));
                 }
             }
-            Happening::Restart(engine) => self.engines[engine].alive = true,
+            RunEvent::Restart(engine) => self.engines[engine].alive = true,
         }
     }
 
@@ -245,7 +247,7 @@
     }
 
     fn arrive(&mut self, index: usize) {
-        let node = self.entry[index];
+        let node = self.entry_nodes[index];
         let reachable = self.reachable(node);
         let chain = &self.chains[index];
         let chosen = self
@@ -257,7 +259,7 @@
         };
         if !self.engines[engine].alive {
             // The connection is refused: the node tries again.
-            self.at(self.now + RETRY_US, Happening::Arrive(index));
+            self.at(self.now + RETRY_US, RunEvent::Arrive(index));
             return;
         }
         self.placed_by[index] = node;
@@ -276,8 +278,8 @@
         let Some(end) = self.engines[engine].begin_prefill(self.now) else {
             return;
         };
-        let life = self.engines[engine].incarnation;
-        self.at(end, Happening::PrefillEnd(engine, life));
+        let event_incarnation = self.engines[engine].incarnation;
+        self.at(end, RunEvent::PrefillEnded(engine, event_incarnation));
         self.count_prefill(engine);
     }
 
@@ -302,8 +304,8 @@
         self.tally.wasted_tokens += u64::from(wasted);
     }
 
-    fn prefill_end(&mut self, engine: usize, life: u64) {
-        if self.engines[engine].incarnation != life {
+    fn prefill_end(&mut self, engine: usize, event_incarnation: u64) {
+        if self.engines[engine].incarnation != event_incarnation {
             return;
         }
         let Some(request) = self.engines[engine].end_prefill(self.now) else {
@@ -313,12 +315,12 @@
         let node = self.placed_by[index];
         let zones = self.model.zones;
         let crosses = node % zones != engine % zones;
-        let travel = if crosses {
+        let round_trip_us = if crosses {
             (2_000.0 * self.model.zone_distance_ms) as u64
         } else {
             0
         };
-        let first_token = self.now + self.model.decode_ms * 1_000 + travel;
+        let first_token = self.now + self.model.decode_ms * 1_000 + round_trip_us;
         if self.trace[index].at_us >= WARM_UP_US {
             self.tally
                 .ttft_us
@@ -326,7 +328,7 @@
             self.tally.completed += 1;
         }
         let end = self.now + request.answer_tokens * self.model.decode_ms * 1_000;
-        self.at(end, Happening::DecodeEnd(engine, life));
+        self.at(end, RunEvent::DecodeEnded(engine, event_incarnation));
         self.begin(engine);
     }
 
@@ -339,9 +341,9 @@
         };
         self.reports[engine] = (known.incarnation, health, known.load());
         let lag = self.model.report_lag_ms * 1_000;
-        self.at(self.now + lag, Happening::Learn(engine));
+        self.at(self.now + lag, RunEvent::DeliverReport(engine));
         let period = self.model.report_period_ms * 1_000;
-        self.at(self.now + period, Happening::Report(engine));
+        self.at(self.now + period, RunEvent::Report(engine));
     }
 }
 
--- a/crates/lab/src/losses.rs
+++ b/crates/lab/src/losses.rs
@@ -11,7 +11,7 @@
 use std::io::{self, BufRead};
 
 /// Terms of the cost of a choice below this, in milliseconds, held nothing up.
-const NOTABLE_MS: f64 = 40.0;
+const MIN_DELAY_MS: f64 = 40.0;
 
 /// A request's log line, as far as it is needed.
 #[derive(Deserialize)]
@@ -32,11 +32,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
     /// Answered without a notable delay.
-    Prompt,
+    NoDelay,
     /// Prompts in front of it.
-    Waiting,
+    Queueing,
     /// Shared parts were moved to the engine.
-    Moving,
+    Transfer,
     /// Shared parts were read again, or for the first time.
     Prefill,
     /// Its engine's weights were behind the newest.
@@ -48,7 +48,7 @@
     /// It was refused so that others are answered in time.
     Overload,
     /// No engine could begin to answer within its time.
-    Hopeless,
+    NoEngineInTime,
     /// The node could not prove its configuration, or knew none yet.
     ConfigurationUnproven,
     /// It was refused otherwise and has not run.
@@ -56,7 +56,7 @@
     /// Its time was up.
     TimedOut,
     /// Its engine was found to take no connection any more.
-    EngineDead,
+    EngineUnreachable,
     /// Its engine failed or was lost otherwise, and it ended so.
     EngineLost,
     /// Its caller left.
@@ -64,21 +64,21 @@
 }
 
 impl Reason {
-    fn in_words(self) -> &'static str {
+    fn label(self) -> &'static str {
         match self {
-            Reason::Prompt => "answered promptly",
-            Reason::Waiting => "waited behind prompts",
-            Reason::Moving => "KV cache was moved",
+            Reason::NoDelay => "answered promptly",
+            Reason::Queueing => "waited behind prompts",
+            Reason::Transfer => "KV cache was moved",
             Reason::Prefill => "shared parts were read",
             Reason::StaleVersion => "stale model version",
             Reason::SecondEngine => "a second engine answered",
             Reason::OverLimit => "over its tenant's limit",
             Reason::Overload => "engines overloaded",
-            Reason::Hopeless => "no engine in time",
+            Reason::NoEngineInTime => "no engine in time",
             Reason::ConfigurationUnproven => "configuration unproven",
             Reason::Refused => "refused, not run",
             Reason::TimedOut => "time was up",
-            Reason::EngineDead => "engine takes no connection",
+            Reason::EngineUnreachable => "engine takes no connection",
             Reason::EngineLost => "engine failed or lost",
             Reason::CallerLeft => "caller left",
         }
@@ -126,7 +126,7 @@
             self.other_lines += 1;
             return;
         };
-        let reason = reason(&request);
+        let reason = classify(&request);
         let group = self.groups.entry((request.route, reason)).or_default();
         group.requests += 1;
         if let Some(first_byte_ms) = request.first_byte_ms {
@@ -151,7 +151,7 @@
             let _ = writeln!(
                 text,
                 "{route:<24} {:<26} {:>9} {mean:>15}",
-                reason.in_words(),
+                reason.label(),
                 group.requests
             );
         }
@@ -160,10 +160,10 @@
 }
 
 /// What the gateway's words for the reason of a refusal begin with.
-const REFUSALS: [(&str, Reason); 6] = [
+const REFUSAL_PREFIXES: [(&str, Reason); 6] = [
     ("the tenant is over its limit", Reason::OverLimit),
     ("the engines are overloaded", Reason::Overload),
-    ("no engine can begin to answer", Reason::Hopeless),
+    ("no engine can begin to answer", Reason::NoEngineInTime),
     ("the configuration", Reason::ConfigurationUnproven),
     (
         "keys may have been taken away",
@@ -173,13 +173,13 @@
 ];
 
 /// What the gateway says of an engine that takes no connection any more.
-const ENGINE_DEAD: &str = "the engine is lost";
+const ENGINE_UNREACHABLE: &str = "the engine is lost";
 
-fn reason(request: &RequestLine) -> Reason {
+fn classify(request: &RequestLine) -> Reason {
     match request.outcome.as_str() {
-        "refused" | "not_admitted" => refusal(&request.reason),
+        "refused" | "not_admitted" => classify_refusal(&request.reason),
         "timed_out" => Reason::TimedOut,
-        "engine_lost" if request.reason == ENGINE_DEAD => Reason::EngineDead,
+        "engine_lost" if request.reason == ENGINE_UNREACHABLE => Reason::EngineUnreachable,
         "engine_lost" | "engine_failure" | "broken_off" => Reason::EngineLost,
         "caller_left" => Reason::CallerLeft,
         _ if request.attempts.contains("; ") => Reason::SecondEngine,
@@ -187,8 +187,8 @@
     }
 }
 
-fn refusal(reason: &str) -> Reason {
-    let mut known = REFUSALS.iter();
+fn classify_refusal(reason: &str) -> Reason {
+    let mut known = REFUSAL_PREFIXES.iter();
     let known = known.find(|(start, _)| reason.starts_with(start));
     known.map_or(Reason::Refused, |(_, reason)| *reason)
 }
@@ -196,16 +196,16 @@
 /// The term of the cost that held an answered request up most.
 fn largest_term(attempts: &str) -> Reason {
     let terms = [
-        ("queue=", Reason::Waiting),
-        ("transfer=", Reason::Moving),
+        ("queue=", Reason::Queueing),
+        ("transfer=", Reason::Transfer),
         ("prefill=", Reason::Prefill),
         ("stale=", Reason::StaleVersion),
     ];
     let costs = terms.map(|(name, reason)| (term_ms(attempts, name), reason));
     let largest = costs.into_iter().max_by(|a, b| a.0.total_cmp(&b.0));
     largest
-        .filter(|(cost_ms, _)| *cost_ms >= NOTABLE_MS)
-        .map_or(Reason::Prompt, |(_, reason)| reason)
+        .filter(|(cost_ms, _)| *cost_ms >= MIN_DELAY_MS)
+        .map_or(Reason::NoDelay, |(_, reason)| reason)
 }
 
 fn term_ms(attempts: &str, name: &str) -> f64 {
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -225,7 +225,7 @@
 
 fn open_watch(platform: &Platform, conn: Conn, kind: Kind, version: u64) -> Conn {
     let (sender, body) = body_channel();
-    let _ = sender.try_send(BodyChunk::Bytes(opening_blank()));
+    let _ = sender.try_send(BodyChunk::Bytes(flush_padding()));
     if platform.table().watch(kind, version, sender).is_err() {
         return conn.with_status(Status::Gone).halt();
     }
@@ -235,7 +235,7 @@
 }
 
 /// A blank line long enough that the server sends it, and what follows, at once.
-fn opening_blank() -> Vec<u8> {
+fn flush_padding() -> Vec<u8> {
     let mut blank = vec![b' '; 1_024];
     blank.push(b'\n');
     blank
--- a/crates/lab/src/platform_store.rs
+++ b/crates/lab/src/platform_store.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Changes that are kept for watches that begin in the past.
-const HISTORY: usize = 10_000;
+const MAX_HISTORY: usize = 10_000;
 
 /// All objects, a log of changes and the open watches.
 #[derive(Default)]
@@ -16,7 +16,7 @@
     objects: BTreeMap<ObjectKey, Object>,
     version: u64,
     history: VecDeque<WatchEvent>,
-    dropped_up_to: u64,
+    evicted_up_to: u64,
     watchers: Vec<Watcher>,
 }
 
@@ -39,14 +39,14 @@
 
 /// A watch asked for changes that are no longer kept.
 #[derive(Debug, PartialEq, Eq)]
-pub struct TooOld;
+pub struct HistoryExpired;
 
 impl ObjectTable {
     /// Goes on from `version`, as after a restart from a store.
     pub fn starting_at(version: u64) -> Self {
         Self {
             version,
-            dropped_up_to: version,
+            evicted_up_to: version,
             ..Self::default()
         }
     }
@@ -128,9 +128,9 @@
             watcher.sender.try_send(chunk).is_ok()
         });
         self.history.push_back(event);
-        if self.history.len() > HISTORY {
+        if self.history.len() > MAX_HISTORY {
             if let Some(oldest) = self.history.pop_front() {
-                self.dropped_up_to = oldest.object.metadata.resource_version.0;
+                self.evicted_up_to = oldest.object.metadata.resource_version.0;
             }
         }
     }
@@ -144,15 +144,15 @@
         kind: Kind,
         version: u64,
         sender: Sender<BodyChunk>,
-    ) -> Result<(), TooOld> {
-        if version < self.dropped_up_to {
-            return Err(TooOld);
+    ) -> Result<(), HistoryExpired> {
+        if version < self.evicted_up_to {
+            return Err(HistoryExpired);
         }
         for event in &self.history {
             let newer = event.object.metadata.resource_version.0 > version;
             if event.object.kind == kind && newer {
                 let chunk = BodyChunk::Bytes(watch_line(event));
-                sender.try_send(chunk).map_err(|_| TooOld)?;
+                sender.try_send(chunk).map_err(|_| HistoryExpired)?;
             }
         }
         self.watchers.push(Watcher { kind, sender });
--- a/crates/lab/tests/losses.rs
+++ b/crates/lab/tests/losses.rs
@@ -19,7 +19,7 @@
 );
 
 #[test]
-fn requests_are_counted_by_route_and_by_what_held_them_up() {
+fn requests_are_counted_by_route_and_largest_delay() {
     let losses = Losses::of(LOG.as_bytes()).expect("a log");
     let group = |route: &str, reason| losses.groups.get(&(route.to_owned(), reason)).copied();
     let one = |first_byte_ms| {
@@ -29,7 +29,7 @@
             first_byte_ms,
         })
     };
-    assert_eq!(group("r", Reason::Prompt), one(30));
+    assert_eq!(group("r", Reason::NoDelay), one(30));
     assert_eq!(group("r", Reason::Prefill), one(130));
     assert_eq!(group("r", Reason::SecondEngine), one(900));
     assert_eq!(
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn refusals_and_lost_engines_are_told_apart_by_their_reasons() {
+fn refusals_and_lost_engines_are_distinguished_by_reason() {
     let reasons = [
         (
             "not_admitted",
@@ -68,7 +68,7 @@
         (
             "refused",
             "no engine can begin to answer before 9 ms",
-            Reason::Hopeless,
+            Reason::NoEngineInTime,
         ),
         (
             "not_admitted",
@@ -81,7 +81,11 @@
             Reason::ConfigurationUnproven,
         ),
         ("refused", "the engine refused", Reason::Refused),
-        ("engine_lost", "the engine is lost", Reason::EngineDead),
+        (
+            "engine_lost",
+            "the engine is lost",
+            Reason::EngineUnreachable,
+        ),
         ("engine_lost", "no event in time", Reason::EngineLost),
     ];
     for (outcome, reason, expected) in reasons {
--- a/crates/lab/tests/stand_ins.rs
+++ b/crates/lab/tests/stand_ins.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 
 #[test]
-fn the_block_cache_lets_leaves_go_before_their_prefix() {
+fn the_block_cache_evicts_leaves_before_their_prefix() {
     let mut cache = BlockCache::new(3);
     let chain = [BlockHash(1), BlockHash(2), BlockHash(3)];
     cache.store(&chain, Millis(0));
