--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -1,5 +1,5 @@
-//! Measures what a node adds to the path: caller→node→engine against
-//! caller→engine, in the same run, turn by turn.
+//! Measures the latency that a node adds: the paths caller→node→engine and
+//! caller→engine are measured alternately in the same run.
 
 use crate::http_call::client;
 use futures_lite::AsyncReadExt;
@@ -15,16 +15,16 @@
 use trillium_http::transport::BoxedTransport;
 use trillium_http::ReceivedBody;
 
-/// What to measure.
+/// Settings of a measurement.
 #[derive(Clone, Debug)]
 pub struct BenchSettings {
-    /// Callers' listener of a node.
+    /// Address of the node's listener for callers.
     pub node: SocketAddr,
-    /// Listener of an engine behind it.
+    /// Address of an engine behind the node.
     pub engine: SocketAddr,
     /// Bearer key of a tenant.
     pub key: String,
-    /// Model that is asked for.
+    /// Model named in the requests.
     pub model: String,
     /// Streams that are open at the same time.
     pub streams: usize,
@@ -32,20 +32,20 @@
     pub requests: usize,
     /// Bytes of the prompt.
     pub prompt_bytes: usize,
-    /// Process id of the node, for its processor time and memory.
+    /// Process id of the node, to measure its processor time and memory.
     pub pid: Option<u32>,
 }
 
 /// Times of one path, in milliseconds.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct PathTimes {
-    /// Half were sooner.
+    /// Median.
     pub p50: f64,
-    /// 99 of 100 were sooner.
+    /// 99th percentile.
     pub p99: f64,
 }
 
-/// What was measured.
+/// Results of a measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct BenchReport {
     /// Streams that were open at the same time.
@@ -56,34 +56,34 @@
     pub direct_ms: PathTimes,
     /// Time to first token through the node.
     pub through_node_ms: PathTimes,
-    /// What the node adds to the median and to the 99th percentile.
+    /// Difference of the two paths' median and 99th percentile.
     pub added_ms: PathTimes,
     /// Requests that failed.
     pub failed: usize,
-    /// Processor time of the node a request, in milliseconds.
+    /// Processor time of the node per request, in milliseconds.
     pub node_cpu_ms_per_request: Option<f64>,
-    /// Requests a second that one core of the node would carry by that time.
+    /// Requests per second that one core of the node could serve at that processor time.
     pub requests_per_second_per_core: Option<f64>,
-    /// Resident memory of the node a stream that is open, in kilobytes.
+    /// Resident memory of the node per open stream, in kilobytes.
     pub memory_kb_per_stream: Option<f64>,
 }
 
 /// Highest time that is recorded, in microseconds.
 const HIGHEST_MICROS: u64 = 60_000_000;
-/// Tokens of an answer while times are measured.
+/// Tokens per answer while times are measured.
 const ANSWER_TOKENS: u64 = 4;
-/// Streams that are held open for the memory of one.
+/// Streams that are kept open to measure the memory per stream.
 const MEMORY_STREAMS: usize = 1_000;
-/// Tokens of a stream that is held open.
+/// Tokens requested for a stream that is kept open.
 const OPEN_STREAM_TOKENS: u64 = 1_000_000;
-/// Clock ticks a second of `/proc/<pid>/stat`, fixed on Linux.
+/// Clock ticks per second in `/proc/<pid>/stat`, fixed on Linux.
 const TICKS_PER_SECOND: f64 = 100.0;
 
 /// Runs the measurement.
 pub async fn run(settings: BenchSettings) -> BenchReport {
     let settings = Arc::new(settings);
     let failed = Arc::new(AtomicUsize::new(0));
-    // A first round that is not counted opens files and fills caches.
+    // The warm-up opens files and fills caches; its results are discarded.
     let warm_up = settings.requests / 10 + 1;
     measure(&settings, true, warm_up, &failed).await;
     measure(&settings, false, warm_up, &failed).await;
@@ -126,7 +126,7 @@
     }
 }
 
-/// Turns by which the two paths are measured.
+/// Number of alternations between the two paths.
 const ROUNDS: usize = 5;
 
 fn new_histogram() -> Histogram<u64> {
@@ -141,7 +141,7 @@
     }
 }
 
-/// Sends requests on one path with the configured number of open streams.
+/// Sends requests on one path with the configured number of concurrent streams.
 async fn measure(
     settings: &Arc<BenchSettings>,
     via_node: bool,
@@ -200,7 +200,8 @@
         .with_body(body.to_string())
 }
 
-/// Time from sending a request to its first token; the rest is read, not timed.
+/// Time from sending a request to its first token. The rest of the answer is read
+/// but not timed. `None` when the request fails.
 async fn first_token(settings: &BenchSettings, via_node: bool) -> Option<Duration> {
     let began = Instant::now();
     let conn = request(settings, via_node, ANSWER_TOKENS, false)
@@ -223,13 +224,14 @@
     }
 }
 
-/// Opens streams through the node, holds them and looks at its memory.
+/// Opens streams through the node, keeps them open and returns the growth of the
+/// node's resident memory per stream, in kilobytes.
 async fn memory_per_stream(settings: &BenchSettings, pid: u32) -> f64 {
     let before = resident_kb(pid);
     let mut open = Vec::new();
     for _ in 0..MEMORY_STREAMS {
-        // The engine holds its tokens, so the answer's head does not come;
-        // the request is under way as soon as it was sent.
+        // The engine withholds the tokens, so the head of the response does not
+        // arrive. The request is in progress as soon as it is sent.
         let conn = request(settings, true, OPEN_STREAM_TOKENS, true);
         open.push(smol::spawn(async move {
             let _held = conn.await;
--- a/crates/lab/src/engine.rs
+++ b/crates/lab/src/engine.rs
@@ -1,5 +1,6 @@
 //! A stand-in engine over HTTP: the OpenAI API with streams, resumption by
-//! position and cancellation by closing, and plain requests that are counted.
+//! position and cancellation by closing the connection, and plain requests,
+//! which are counted.
 
 use crate::engine_state::{EngineSettings, EngineState, EngineTables};
 use crate::engine_tokens::{piece, token_text, Run};
@@ -23,22 +24,22 @@
 use std::time::Duration;
 use trillium::{Body, Conn, KnownHeaderName, Method, Status};
 
-/// Tokens of an answer when the request does not say.
+/// Tokens of an answer when the request does not set `max_tokens`.
 const DEFAULT_ANSWER_TOKENS: u64 = 16;
-/// Seconds that a full engine asks its callers to wait.
+/// `retry-after` of requests that are refused as not run, in seconds.
 const FULL_RETRY_SECONDS: u64 = 1;
-/// Time between two comments in a stream.
+/// Period of the keep-alive comments in a stream.
 const KEEP_ALIVE_PERIOD: Duration = Duration::from_millis(200);
-/// Connections that a stand-in accepts.
+/// Largest number of connections.
 const MAX_CONNECTIONS: usize = 20_000;
-/// Largest head that a stand-in accepts, in bytes.
+/// Largest request head, in bytes.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Field of a request that makes its tokens wait for `/admin/release`.
+/// Field of a request whose tokens each wait for a call of `/admin/release`.
 const HOLD_FIELD: &str = "lab_hold";
 
 /// A running stand-in engine.
 pub struct EngineServer {
-    /// What it knows; tests read the record of runs here.
+    /// The engine's state; tests read the record of runs from it.
     pub state: Arc<EngineState>,
     listener: HttpListener,
 }
@@ -54,9 +55,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct LoadOrder {
-    /// Token of the lease under which the order was given.
+    /// Fencing token of the lease under which the order was sent.
     pub fencing_token: u64,
-    /// Weights to load; 0, or those already served, only makes the token known.
+    /// Weights to load; 0 or the weights already served only registers the token.
     pub weights_version: u64,
 }
 
@@ -83,12 +84,12 @@
         Ok(Self { state, listener })
     }
 
-    /// Where it listens.
+    /// Address of the listener.
     pub fn address(&self) -> SocketAddr {
         self.listener.address
     }
 
-    /// Stops accepting and finishes what is under way.
+    /// Stops accepting connections and finishes the running requests.
     pub async fn stop(self) {
         self.listener.stop().await;
     }
@@ -247,7 +248,7 @@
     respond_complete(engine, conn, run).await
 }
 
-/// Whether the request relies on a cache of another life or other weights.
+/// Whether the request expects another incarnation or other weights.
 fn expects_other_state(engine: &Engine, conn: &Conn) -> bool {
     let number = |name: &'static str| conn.request_headers().get_str(name)?.parse::<u64>().ok();
     let incarnation = number(EXPECTED_INCARNATION_HEADER);
@@ -292,7 +293,7 @@
     }
 }
 
-/// Counts a request in the batch until it is dropped.
+/// Counts a request in the batch until this guard is dropped.
 struct Running {
     engine: Arc<Engine>,
     _slot: SemaphoreGuardArc,
@@ -304,7 +305,7 @@
     }
 }
 
-/// Counts a request and its prompt as waiting until it is dropped.
+/// Counts a request and its prompt tokens as waiting until this guard is dropped.
 struct Waiting<'a> {
     engine: &'a Engine,
     tokens: u32,
@@ -318,8 +319,8 @@
     }
 }
 
-/// Waits for a slot, prefills what is not cached and returns the slot and the
-/// number of prompt tokens that were cached.
+/// Waits for a slot and prefills the uncached part of the prompt. Returns the slot
+/// and the number of cached prompt tokens.
 async fn prefill(engine: &Arc<Engine>, run: &Run) -> (Running, u32) {
     let chain = engine.state.chain(&run.scope, &run.prompt);
     let waiting = {
@@ -391,8 +392,8 @@
     }
 }
 
-/// Sends comments again and again; ends when the caller is found to be gone.
-/// A closed connection shows only when something is written to it.
+/// Sends keep-alive comments until the caller has closed the connection. A closed
+/// connection is detected only by writing to it.
 async fn send_keep_alives(sender: &Sender<BodyChunk>) -> Option<()> {
     loop {
         Timer::after(KEEP_ALIVE_PERIOD).await;
--- a/crates/lab/src/engine_cache.rs
+++ b/crates/lab/src/engine_cache.rs
@@ -1,9 +1,9 @@
-//! An engine's cache of prompt blocks: bounded, least recently used first out.
+//! An engine's bounded LRU cache of prompt blocks.
 
 use ploverlift_policy::ids::{BlockHash, Millis};
 use std::collections::{BTreeMap, HashMap};
 
-/// A bounded set of blocks in order of use.
+/// A bounded set of blocks, ordered by last use.
 #[derive(Clone, Debug)]
 pub struct BlockCache {
     capacity: usize,
@@ -12,7 +12,7 @@
     tick: u64,
 }
 
-/// A block that gave way, and how long ago it was last used.
+/// An evicted block and the time since its last use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Evicted {
     /// The block.
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Blocks of the longest cached prefix.
+    /// Number of blocks in the longest cached prefix of a chain.
     pub fn cached_prefix(&self, blocks: &[BlockHash]) -> usize {
         let cached = blocks
             .iter()
@@ -40,8 +40,8 @@
         cached.count()
     }
 
-    /// Stores or refreshes a chain; returns what gave way. The chain's front is
-    /// refreshed last, so that leaves give way before the prefixes they need.
+    /// Stores or refreshes a chain and returns the evicted blocks. The first block is
+    /// refreshed last, so that leaves are evicted before the prefixes they need.
     pub fn store(&mut self, blocks: &[BlockHash], now: Millis) -> Vec<Evicted> {
         for block in blocks.iter().rev() {
             self.touch(*block, now);
@@ -72,13 +72,13 @@
         self.used.contains_key(&block)
     }
 
-    /// Drops everything.
+    /// Removes all blocks.
     pub fn clear(&mut self) {
         self.used.clear();
         self.order.clear();
     }
 
-    /// Blocks in the cache.
+    /// Number of blocks in the cache.
     pub fn len(&self) -> usize {
         self.used.len()
     }
--- a/crates/lab/src/engine_state.rs
+++ b/crates/lab/src/engine_state.rs
@@ -1,5 +1,5 @@
-//! What a stand-in engine knows and keeps: its settings, cache, batch and the
-//! record of everything it ran, which tests use as the truth.
+//! State of a stand-in engine: settings, cache, batch, and the record of all runs,
+//! which tests compare with the node's behaviour.
 
 use crate::engine_cache::BlockCache;
 use ploverlift_clock::{unix_ms, Clock};
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard};
 
-/// Constants of a stand-in engine.
+/// Settings of a stand-in engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
     /// Name in the machine list.
@@ -18,7 +18,7 @@
     pub model: String,
     /// Requests that decode at the same time.
     pub slots: u32,
-    /// Requests that may wait for a slot; one more is refused as not run.
+    /// Requests that may wait for a slot; further ones are refused as not run.
     pub max_waiting: u32,
     /// Time to prefill one uncached token, in microseconds.
     pub prefill_micros_per_token: u64,
@@ -26,18 +26,18 @@
     pub decode_ms: u64,
     /// Time to load weights, in milliseconds.
     pub load_ms: u64,
-    /// Blocks that the cache holds.
+    /// Capacity of the cache, in blocks.
     pub cache_blocks: usize,
     /// Tokens in a block.
     pub block_tokens: u32,
-    /// Assumed bytes in a token.
+    /// Assumed bytes per token.
     pub bytes_per_token: u32,
-    /// The engine's life; a restart has a higher one.
+    /// Incarnation of the process; higher after each restart.
     pub incarnation: u64,
 }
 
 impl EngineSettings {
-    /// Settings of a small, quick engine.
+    /// Settings of a small, fast engine.
     pub fn named(name: &str, model: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -55,34 +55,35 @@
     }
 }
 
-/// What the engine did for one request id.
+/// Counters of one request id.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRecord {
     /// Times the request was run from its start.
     pub runs: u32,
-    /// Times a stream was taken up again.
+    /// Times a stream was resumed.
     pub resumes: u32,
     /// Times the caller closed the connection before the end.
     pub cancelled: u32,
-    /// Times the answer was sent whole.
+    /// Times the answer was sent completely.
     pub completed: u32,
     /// Cache scope of the request.
     pub scope: String,
 }
 
-/// The changing part of an engine.
+/// Mutable state of an engine.
 pub struct EngineTables {
     /// Cached blocks.
     pub cache: BlockCache,
-    /// How long the block that gave way last had not been used, in milliseconds.
+    /// Time since the last use of the most recently evicted block, at its eviction, in
+    /// milliseconds.
     pub eviction_age_ms: u64,
     /// Weights it serves.
     pub weights: WeightsVersion,
-    /// Whether it is leaving and refuses new work.
+    /// Whether the engine is leaving and refuses new requests.
     pub leaving: bool,
-    /// Whether it loads weights.
+    /// Whether the engine is loading weights.
     pub loading: bool,
-    /// Highest fencing token of any order.
+    /// Highest fencing token of any accepted order.
     pub fencing_token: u64,
     /// Requests in the batch.
     pub running: u32,
@@ -90,15 +91,15 @@
     pub waiting: u32,
     /// Prompt tokens not yet prefilled.
     pub queued_tokens: u32,
-    /// What was run, by request id.
+    /// Record of runs by request id.
     pub runs: BTreeMap<String, RunRecord>,
 }
 
 /// One stand-in engine.
 pub struct EngineState {
-    /// Constants.
+    /// Settings, fixed at the start.
     pub settings: EngineSettings,
-    /// Monotonic time.
+    /// Monotonic clock.
     pub clock: Clock,
     tables: Mutex<EngineTables>,
 }
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Locks the changing part.
+    /// Locks the mutable state.
     pub fn tables(&self) -> MutexGuard<'_, EngineTables> {
         self.tables
             .lock()
@@ -153,7 +154,7 @@
         }
     }
 
-    /// The engine's page of Prometheus metrics.
+    /// The engine's metrics in Prometheus text format.
     pub fn metrics_page(&self) -> String {
         let tables = self.tables();
         let rows = [
--- a/crates/lab/src/engine_tokens.rs
+++ b/crates/lab/src/engine_tokens.rs
@@ -1,8 +1,8 @@
-//! The tokens that the stand-in engine makes: the same ones for the same prompt.
+//! The tokens that the stand-in engine generates, a function of prompt and position.
 
 use serde_json::{json, Value};
 
-/// One completion that the engine runs.
+/// One run of a completion.
 pub(crate) struct Run {
     pub(crate) id: String,
     pub(crate) prompt: Vec<u8>,
--- a/crates/lab/src/experiment/engine.rs
+++ b/crates/lab/src/experiment/engine.rs
@@ -1,5 +1,5 @@
-//! One emulated engine: a batch of limited size, prefill of one prompt after
-//! the other, and a cache of blocks.
+//! One emulated engine: a batch of limited size, sequential prefill of prompts, and
+//! a cache of blocks.
 
 use crate::engine_cache::BlockCache;
 use crate::experiment::model::FleetModel;
@@ -8,7 +8,7 @@
 use ploverlift_policy::ids::Millis;
 use std::collections::VecDeque;
 
-/// A request that an engine has.
+/// A request on an engine.
 #[derive(Clone, Debug)]
 pub struct EngineRequest {
     /// Position in the trace.
@@ -28,15 +28,15 @@
     pub cache: BlockCache,
     /// Whether the process runs.
     pub alive: bool,
-    /// Its life.
+    /// Incarnation of the process.
     pub incarnation: u64,
     /// Requests that wait for their prefill.
     pub waiting: VecDeque<EngineRequest>,
-    /// The request whose prompt is prefilled now, and until when.
+    /// The request in prefill, and the end of its prefill in microseconds.
     pub prefilling: Option<(EngineRequest, u64)>,
     /// Requests that decode.
     pub decoding: usize,
-    /// How long the block that gave way last had not been used, in milliseconds.
+    /// Time since the last use of the most recently evicted block, in milliseconds.
     pub eviction_age_ms: u64,
     slots: usize,
     prefill_micros: u64,
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Begins the next prefill when there is one and a slot; returns its end.
+    /// Begins the next prefill if a request waits and a slot is free. Returns its end
+    /// in microseconds.
     pub fn begin_prefill(&mut self, now_us: u64) -> Option<u64> {
         if self.prefilling.is_some() || self.decoding >= self.slots {
             return None;
@@ -72,7 +73,7 @@
         Some(end)
     }
 
-    /// Ends the present prefill: its blocks are cached and it decodes.
+    /// Ends the present prefill: caches the prompt's blocks and begins to decode.
     pub fn end_prefill(&mut self, now_us: u64) -> Option<EngineRequest> {
         let (request, _) = self.prefilling.take()?;
         self.cache
@@ -81,12 +82,12 @@
         Some(request)
     }
 
-    /// Requests that the engine has.
+    /// Number of requests that wait, are in prefill or decode.
     pub fn request_count(&self) -> usize {
         self.waiting.len() + self.decoding + usize::from(self.prefilling.is_some())
     }
 
-    /// What the engine reports of its load.
+    /// The engine's load report.
     pub fn load(&self) -> LoadReport {
         let waiting: u32 = self
             .waiting
@@ -117,7 +118,8 @@
     }
 
     /// The true time to first token of a request that arrives now, in
-    /// microseconds; slots are taken as free.
+    /// microseconds. Slots are assumed free, but each request beyond their number
+    /// adds 50 ms.
     pub fn true_ttft_us(&self, chain: &PromptChain, now_us: u64) -> u64 {
         let prefill_left = self
             .prefilling
@@ -132,7 +134,7 @@
         prefill_left + waiting + self.prefill_us(chain) + full * 50_000
     }
 
-    /// Ends the process; returns what is lost.
+    /// Ends the process; returns the requests that waited or were in prefill.
     pub fn crash(&mut self) -> Vec<EngineRequest> {
         self.alive = false;
         self.incarnation += 1;
--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/lab/src/experiment/mod.rs
@@ -1,16 +1,16 @@
-//! Routing policies on an emulated fleet in virtual time: the same trace, the
-//! same seed, one policy after the other.
+//! Routing policies on an emulated fleet in virtual time. All policies run on the
+//! same trace and seed.
 //!
 //! | module | job |
 //! | --- | --- |
 //! | [`model`] | constants of the emulated fleet and site |
 //! | [`workload`] | traces shaped like the users' traffic |
-//! | [`engine`] | one engine: slots, prefill in turn, a cache of blocks |
+//! | [`engine`] | one engine: slots, sequential prefill, a cache of blocks |
 //! | [`policies`] | round robin, least load, bounded hash, ploverlift, oracle |
 //! | [`run`] | the event loop |
-//! | [`results`] | what is reported |
+//! | [`results`] | the report |
 //!
-//! docs/design/experiment-model.md says what the emulation leaves out.
+//! docs/design/experiment-model.md lists the simplifications of the emulation.
 
 pub mod engine;
 pub mod model;
--- a/crates/lab/src/experiment/model.rs
+++ b/crates/lab/src/experiment/model.rs
@@ -6,13 +6,13 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetModel {
-    /// Engines, spread over the zones in turn.
+    /// Number of engines, spread over the zones in turn.
     pub engines: usize,
-    /// Nodes, spread over the zones in turn.
+    /// Number of nodes, spread over the zones in turn.
     pub nodes: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Travel between zones, one way, in milliseconds.
+    /// One-way delay between zones, in milliseconds.
     pub zone_distance_ms: f64,
     /// Requests that an engine decodes at the same time.
     pub slots: usize,
@@ -22,7 +22,7 @@
     pub decode_ms: u64,
     /// Tokens in a block.
     pub block_tokens: u32,
-    /// Blocks that an engine caches.
+    /// Capacity of an engine's cache, in blocks.
     pub cache_blocks: usize,
     /// Time between two load reports, in milliseconds.
     pub report_period_ms: u64,
@@ -33,7 +33,7 @@
 }
 
 impl FleetModel {
-    /// Bula Fixit: 18 engines, three zones, 1.5 ms.
+    /// The fleet of the `bula` workload: 18 engines, three zones, 1.5 ms between zones.
     pub fn bula() -> Self {
         Self {
             engines: 18,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// City Print: 12 engines, three zones, 1 ms.
+    /// The fleet of the `city` workload: 12 engines, three zones, 1 ms between zones.
     pub fn city() -> Self {
         Self {
             engines: 12,
--- a/crates/lab/src/experiment/policies.rs
+++ b/crates/lab/src/experiment/policies.rs
@@ -1,6 +1,6 @@
-//! The routing policies that are compared. Each sees what its kind can know:
-//! the baselines and ploverlift see load reports that lag and what their own
-//! node sent; the oracle sees the present truth.
+//! The routing policies that are compared. The baselines and ploverlift use delayed
+//! load reports and the requests that their own node sent; the oracle uses the
+//! present state of the engines.
 
 use crate::experiment::engine::EmulatedEngine;
 use crate::experiment::model::FleetModel;
@@ -20,11 +20,11 @@
 /// The policies by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyKind {
-    /// One engine after the other.
+    /// The engines in turn.
     RoundRobin,
     /// The engine with the fewest requests, as last reported.
     LeastLoad,
-    /// Hash of the prompt's beginning, bounded by load.
+    /// Consistent hash of the prompt's beginning, bounded by load.
     BoundedHash,
     /// The router's own decision.
     Ploverlift,
@@ -59,15 +59,15 @@
     }
 }
 
-/// Blocks from the prompt's start by which the bounded hash places it: the
-/// instructions, and the beginning of the document.
+/// Blocks at the start of a prompt that determine its bounded hash: the
+/// instructions and the beginning of the document.
 const HASHED_BLOCKS: usize = 4;
-/// An engine is passed over when it has more than this times the mean load.
+/// The bounded hash skips an engine whose load reaches this multiple of the mean.
 const LOAD_BOUND: f64 = 1.25;
-/// Blocks that a directory of the emulation remembers.
+/// Capacity of a node's directory, in blocks.
 const DIRECTORY_BLOCKS: usize = 200_000;
 
-/// What one node knows and counts.
+/// State of one node.
 struct NodeView {
     zone: ZoneName,
     fleet: Fleet,
@@ -82,7 +82,7 @@
     engines: Vec<EngineKey>,
     model: CostModel,
     random: fastrand::Rng,
-    /// Directory shards of each zone that are lost.
+    /// Whether all directory shards are lost.
     pub shards_lost: bool,
 }
 
@@ -91,7 +91,7 @@
 }
 
 impl Policy {
-    /// A policy that knows nothing yet.
+    /// Creates a policy without load reports or directory entries.
     pub fn new(kind: PolicyKind, model: &FleetModel, seed: u64) -> Self {
         let names = (0..model.engines).map(|number| EngineName(format!("engine-{number}")));
         let engines: Vec<EngineKey> = names.map(|name| EngineKey::of(&name)).collect();
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Takes in a load report on every node.
+    /// Applies a load report on every node.
     pub fn report(
         &mut self,
         engine: usize,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Chooses an engine for a request that came to `node`.
+    /// Chooses an engine for a request that arrived at `node`.
     pub fn choose(
         &mut self,
         node: usize,
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Engines that the node believes to take work.
+    /// Reachable engines that accept requests, by the node's latest reports.
     fn available_engines(&self, node: usize, reachable: &[bool]) -> Vec<usize> {
         let fleet = &self.nodes[node].fleet;
         (0..self.engines.len())
@@ -165,8 +165,8 @@
             .collect()
     }
 
-    /// The router's own cost with perfect present knowledge. Without the weight
-    /// of recomputation the oracle itself collapses on the city workload.
+    /// Minimizes the router's cost with exact knowledge of the present state. Without
+    /// the weight of recomputation the oracle collapses on the city workload.
     fn oracle(
         &self,
         chain: &PromptChain,
@@ -241,8 +241,8 @@
         fleet.record_sent(EngineIndex(engine as u32), uncached, now);
     }
 
-    /// The node that has the directory's shard of a prompt: as in a node of a
-    /// small fleet, the shards are spread over all nodes.
+    /// The node that holds the directory shard of a prompt. The shards are spread over
+    /// all nodes, as in a real small fleet.
     fn shard(&self, chain: &PromptChain) -> Option<usize> {
         let anchor = chain.blocks.first()?;
         let keys = (0..self.nodes.len()).map(|number| NodeKey(number as u64));
--- a/crates/lab/src/experiment/results.rs
+++ b/crates/lab/src/experiment/results.rs
@@ -1,30 +1,31 @@
-//! What an experiment reports.
+//! The report of an experiment.
 
 use serde::Serialize;
 
 /// Times to first token, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct TtftMs {
-    /// Half were sooner.
+    /// Median.
     pub p50: f64,
-    /// 95 of 100 were sooner.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 of 100 were sooner.
+    /// 99th percentile.
     pub p99: f64,
 }
 
-/// One policy on one trace.
+/// Result of one policy on one trace.
 #[derive(Clone, Debug, Serialize)]
 pub struct PolicyResult {
     /// Name of the policy.
     pub policy: String,
-    /// Cached prompt tokens of all prompt tokens.
+    /// Share of prompt tokens that were cached.
     pub hit_rate: f64,
     /// Times to first token.
     pub ttft_ms: TtftMs,
-    /// Tokens prefilled that another eligible live engine held, of all prompt tokens.
+    /// Share of prompt tokens that were prefilled although another live engine had them
+    /// cached.
     pub wasted_recomputation: f64,
-    /// Most requests that any engine had waiting.
+    /// Longest queue of any engine, in requests.
     pub max_queue: usize,
     /// Requests refused.
     pub refused: usize,
@@ -32,20 +33,20 @@
     pub completed: usize,
 }
 
-/// All policies on one trace.
+/// Results of all policies on one trace.
 #[derive(Clone, Debug, Serialize)]
 pub struct ExperimentReport {
     /// Name of the workload.
     pub workload: String,
     /// Seed of the trace.
     pub seed: u64,
-    /// What failed.
+    /// Names of the injected faults.
     pub faults: Vec<String>,
-    /// One row a policy.
+    /// One result per policy.
     pub results: Vec<PolicyResult>,
 }
 
-/// What is counted while a policy runs.
+/// Counters of one policy's run.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     /// Times to first token, in microseconds.
@@ -54,9 +55,9 @@
     pub prompt_tokens: u64,
     /// Prompt tokens that were cached.
     pub cached_tokens: u64,
-    /// Prompt tokens prefilled that another engine held.
+    /// Prompt tokens that were prefilled although another engine had them cached.
     pub wasted_tokens: u64,
-    /// Most requests waiting at one engine.
+    /// Longest queue of any engine, in requests.
     pub max_queue: usize,
     /// Requests refused.
     pub refused: usize,
@@ -65,7 +66,7 @@
 }
 
 impl Tally {
-    /// The row of a policy.
+    /// The result of a policy from its counters.
     pub fn result(mut self, policy: &str) -> PolicyResult {
         self.ttft_us.sort_unstable();
         let at = |share: f64| {
--- a/crates/lab/src/experiment/run.rs
+++ b/crates/lab/src/experiment/run.rs
@@ -11,18 +11,18 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What fails while a policy runs.
+/// A fault injected into a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExperimentFault {
-    /// A third of the engines crash, one after the other, and come back empty.
+    /// A third of the engines crash, one after the other, and restart with empty caches.
     CrashWave,
-    /// Load reports lag twice as long and come half as often.
+    /// Load reports are delayed twice as long and sent half as often.
     LoadLag,
-    /// Other prefixes are hot every five seconds.
+    /// The popular prefixes change every five seconds.
     HotShift,
     /// The nodes of the first zone reach only its engines for 20 s.
     ZoneCut,
-    /// Every directory shard is lost: nodes know only what they placed themselves.
+    /// All directory shards are lost: nodes know only their own placements.
     ShardLost,
 }
 
@@ -55,16 +55,17 @@
 
 /// Seconds between two shifts under [`ExperimentFault::HotShift`].
 const HOT_SHIFT_SECONDS: u64 = 5;
-/// When faults begin, in microseconds.
+/// Start of crashes and cuts, in microseconds.
 const FAULT_BEGINS_US: u64 = 40_000_000;
-/// When the cut ends, in microseconds.
+/// End of the cut, in microseconds.
 const CUT_ENDS_US: u64 = 60_000_000;
 /// Time between two crashes, and time an engine is down, in microseconds.
 const CRASH_INTERVAL_US: u64 = 2_000_000;
 const ENGINE_DOWN_US: u64 = 3_000_000;
-/// Time until a lost request is sent again, in microseconds.
+/// Time until a lost or unconnected request is retried, in microseconds.
 const RETRY_US: u64 = 50_000;
-/// The first part of a run fills caches and is not counted, in microseconds.
+/// Length of the first part of a run, which fills caches and is not counted, in
+/// microseconds.
 const WARM_UP_US: u64 = 20_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -258,7 +259,7 @@
             return;
         };
         if !self.engines[engine].alive {
-            // The connection is refused: the node tries again.
+            // The connection is refused: the node retries.
             self.at(self.now + RETRY_US, RunEvent::Arrive(index));
             return;
         }
@@ -283,7 +284,8 @@
         self.count_prefill(engine);
     }
 
-    /// Counts what the prefill that has just begun reuses and wastes.
+    /// Counts the cached and the needlessly recomputed tokens of the prefill that has
+    /// just begun.
     fn count_prefill(&mut self, engine: usize) {
         let Some((request, _)) = &self.engines[engine].prefilling else {
             return;
@@ -347,5 +349,5 @@
     }
 }
 
-/// Time after the last arrival in which requests still end, in microseconds.
+/// Time after the last arrival until the run ends, in microseconds.
 const DRAIN_US: u64 = 60_000_000;
--- a/crates/lab/src/experiment/workload.rs
+++ b/crates/lab/src/experiment/workload.rs
@@ -1,15 +1,15 @@
-//! Traces shaped like the users' traffic: deep nested shared prefixes, a few
-//! very hot ones that shift without warning, short queries among long ones,
-//! eight tenants of which a few are large.
+//! Traces shaped like the users' traffic: deeply nested shared prefixes, of which a
+//! few are very popular and change without warning; short queries among long ones;
+//! eight tenants, of which a few are large.
 
 use serde::{Deserialize, Serialize};
 
 /// One request of a trace.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TraceRequest {
-    /// Arrival, in microseconds since the trace's start.
+    /// Time of arrival, in microseconds since the start of the trace.
     pub at_us: u64,
-    /// Tenant.
+    /// Number of the tenant.
     pub tenant: usize,
     /// Identities of the prompt's blocks.
     pub blocks: Vec<u64>,
@@ -22,19 +22,19 @@
 pub struct WorkloadShape {
     /// Name in reports.
     pub name: &'static str,
-    /// Length, in seconds.
+    /// Length of the trace, in seconds.
     pub seconds: u64,
-    /// Requests a second.
+    /// Mean requests per second.
     pub rate: f64,
     /// Share of long requests.
     pub long_share: f64,
-    /// Documents of each tenant.
+    /// Number of documents per tenant.
     pub documents: usize,
-    /// Blocks of a document, at least and at most.
+    /// Smallest and largest number of blocks in a document.
     pub document_blocks: (u64, u64),
-    /// Mean number of requests of one session; each adds to the prompt.
+    /// Mean number of requests per session; each extends the prompt.
     pub session_requests: f64,
-    /// Exponent of the popularity of documents.
+    /// Exponent of the power law of the documents' popularity.
     pub skew: f64,
     /// Time between two shifts of popularity, in seconds.
     pub shift_seconds: u64,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Shares of the eight tenants: a few are large.
+/// Shares of requests of the eight tenants; a few tenants are large.
 const TENANT_SHARES: [f64; 8] = [0.34, 0.24, 0.14, 0.09, 0.07, 0.05, 0.04, 0.03];
 /// Blocks of the instructions that all prompts of a tenant begin with.
 const INSTRUCTION_BLOCKS: u64 = 2;
@@ -100,7 +100,7 @@
 struct Generator<'a> {
     shape: &'a WorkloadShape,
     random: fastrand::Rng,
-    /// For each tenant the order of popularity of its documents.
+    /// The documents of each tenant in order of popularity.
     popularity: Vec<Vec<usize>>,
     sessions: Vec<Session>,
     next_unique: u64,
@@ -144,7 +144,7 @@
         -mean * (1.0 - self.random.f64()).ln()
     }
 
-    /// Another few documents are hot from now on.
+    /// Shuffles the popularity of the documents.
     fn shift(&mut self) {
         for order in &mut self.popularity {
             self.random.shuffle(order);
@@ -190,7 +190,7 @@
         (tenant, blocks)
     }
 
-    /// A document read to some depth of its sections, and one block of its own.
+    /// A prefix of a document of random length, and one unique block.
     fn new_session(&mut self) -> (usize, Vec<u64>) {
         let tenant = self.tenant();
         let document = self.document(tenant);
--- a/crates/lab/src/http_call.rs
+++ b/crates/lab/src/http_call.rs
@@ -1,4 +1,4 @@
-//! Small HTTP calls of the laboratory's tools and tests.
+//! HTTP calls of the lab's tools and tests.
 
 use futures_lite::AsyncReadExt;
 use std::io;
@@ -7,10 +7,10 @@
 use trillium_http::{ReceivedBody, Status};
 use trillium_smol::ClientConfig;
 
-/// An answer that was read whole.
+/// A response with its complete body.
 #[derive(Clone, Debug)]
 pub struct WholeAnswer {
-    /// HTTP status as a number.
+    /// HTTP status code.
     pub status: u16,
     /// Body as text.
     pub text: String,
@@ -23,7 +23,7 @@
     Client::new(ClientConfig::new().with_nodelay(true))
 }
 
-/// Sends a request and reads the whole answer.
+/// Sends a request and reads the complete response.
 ///
 /// # Errors
 /// When the connection fails or breaks before the end.
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,12 +1,12 @@
-//! Stand-ins of the systems around the router, and the tools that measure it.
+//! Stand-ins for the systems around the router, and tools that measure the router.
 //!
 //! | module | job |
 //! | --- | --- |
 //! | [`platform`] | object API and machine list over HTTP |
 //! | [`engine`] | a model engine or plain service over HTTP |
-//! | [`bench`] | what a node adds to the path |
+//! | [`bench`] | the latency that a node adds |
 //! | [`experiment`] | routing policies on an emulated fleet |
-//! | [`losses`] | where requests lost worth, from nodes' logs |
+//! | [`losses`] | causes of delays and failures, from nodes' logs |
 //! | [`engine_cache`] | the engine's bounded cache of prompt blocks |
 
 pub mod bench;
--- a/crates/lab/src/losses.rs
+++ b/crates/lab/src/losses.rs
@@ -1,19 +1,19 @@
-//! Where requests lost worth, from the JSON log lines of nodes alone.
+//! Causes of delays and failures of requests, from the JSON log lines of nodes.
 //!
-//! Reads lines as `ploverlift gateway` writes them on standard output and counts
-//! requests by route and by what held them up most, with the time to the first
-//! byte. Lines of successes are written up to a rate, so counts of successes are
-//! of those that were logged.
+//! Reads lines as `ploverlift gateway` writes them to standard output and counts
+//! requests by route and main cause of delay, with the mean time to the first
+//! byte. Log lines of successful requests are rate-limited, so only the logged
+//! ones are counted.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::io::{self, BufRead};
 
-/// Terms of the cost of a choice below this, in milliseconds, held nothing up.
+/// Smallest term of the routing cost that counts as a delay, in milliseconds.
 const MIN_DELAY_MS: f64 = 40.0;
 
-/// A request's log line, as far as it is needed.
+/// The fields of a request's log line that are needed here.
 #[derive(Deserialize)]
 struct RequestLine {
     msg: String,
@@ -28,38 +28,38 @@
     first_byte_ms: Option<u64>,
 }
 
-/// What held a request up, or ended it.
+/// The main cause of a request's delay, or the cause of its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
     /// Answered without a notable delay.
     NoDelay,
-    /// Prompts in front of it.
+    /// Waited for queued prompts.
     Queueing,
-    /// Shared parts were moved to the engine.
+    /// Cached blocks were transferred to the engine.
     Transfer,
-    /// Shared parts were read again, or for the first time.
+    /// Shared parts of the prompt were prefilled again, or for the first time.
     Prefill,
-    /// Its engine's weights were behind the newest.
+    /// The engine's weights were older than the newest.
     StaleVersion,
-    /// An engine failed, was lost or refused, and another one answered.
+    /// Answered by another engine after one had failed, was lost or refused.
     SecondEngine,
-    /// Its tenant was over its limit.
+    /// The tenant was over its limit.
     OverLimit,
-    /// It was refused so that others are answered in time.
+    /// Refused by overload protection, so that other requests are answered in time.
     Overload,
-    /// No engine could begin to answer within its time.
+    /// No engine could begin to answer within the request's time.
     NoEngineInTime,
-    /// The node could not prove its configuration, or knew none yet.
+    /// The node could not prove that its configuration is current, or had none yet.
     ConfigurationUnproven,
-    /// It was refused otherwise and has not run.
+    /// Refused for another reason; not run.
     Refused,
-    /// Its time was up.
+    /// The request timed out.
     TimedOut,
-    /// Its engine was found to take no connection any more.
+    /// The engine no longer accepted connections.
     EngineUnreachable,
-    /// Its engine failed or was lost otherwise, and it ended so.
+    /// The engine failed or was lost in another way, which ended the request.
     EngineLost,
-    /// Its caller left.
+    /// The caller closed the connection.
     CallerLeft,
 }
 
@@ -85,12 +85,12 @@
     }
 }
 
-/// Requests of one route with one reason.
+/// Totals of the requests with one route and reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Group {
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Those of which the time to the first byte is known.
+    /// Number of requests whose time to the first byte is known.
     pub timed: u64,
     /// The sum of those times, in milliseconds.
     pub first_byte_ms: u64,
@@ -99,9 +99,9 @@
 /// Groups by route and reason.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Losses {
-    /// Groups.
+    /// Totals by route and reason.
     pub groups: BTreeMap<(String, Reason), Group>,
-    /// Lines that are not a request's.
+    /// Number of lines that are not log lines of a request.
     pub other_lines: u64,
 }
 
@@ -119,7 +119,7 @@
     }
 
     fn add(&mut self, line: &str) {
-        // What collects logs may write something in front of each line.
+        // A log collector may put a prefix in front of each line.
         let json = line.find('{').map_or("", |start| &line[start..]);
         let request = serde_json::from_str::<RequestLine>(json).ok();
         let Some(request) = request.filter(|request| request.msg == "request") else {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// The table for a person.
+    /// The totals as a text table.
     pub fn table(&self) -> String {
         let mut text = format!(
             "{:<24} {:<26} {:>9} {:>15}\n",
@@ -159,7 +159,7 @@
     }
 }
 
-/// What the gateway's words for the reason of a refusal begin with.
+/// Beginnings of the gateway's `reason` of a refusal.
 const REFUSAL_PREFIXES: [(&str, Reason); 6] = [
     ("the tenant is over its limit", Reason::OverLimit),
     ("the engines are overloaded", Reason::Overload),
@@ -172,7 +172,7 @@
     ("what the tenant has used", Reason::ConfigurationUnproven),
 ];
 
-/// What the gateway says of an engine that takes no connection any more.
+/// The gateway's `reason` when an engine no longer accepts connections.
 const ENGINE_UNREACHABLE: &str = "the engine is lost";
 
 fn classify(request: &RequestLine) -> Reason {
@@ -193,7 +193,7 @@
     known.map_or(Reason::Refused, |(_, reason)| *reason)
 }
 
-/// The term of the cost that held an answered request up most.
+/// The largest term of the routing cost of an answered request.
 fn largest_term(attempts: &str) -> Reason {
     let terms = [
         ("queue=", Reason::Queueing),
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's object API and machine list over HTTP.
+//! A stand-in for the platform's object API and machine list over HTTP.
 
 use crate::platform_store::{ObjectTable, WriteError};
 use futures_lite::AsyncReadExt;
@@ -12,27 +12,27 @@
 use std::time::Duration;
 use trillium::{Body, Conn, KnownHeaderName, Method, Status};
 
-/// Connections that the stand-in accepts.
+/// Largest number of connections.
 const MAX_CONNECTIONS: usize = 4_096;
-/// Largest head that the stand-in accepts, in bytes.
+/// Largest request head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// A fault that the stand-in shows until it is told otherwise.
+/// A fault of the stand-in, which lasts until another one is set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlatformFault {
-    /// Works as it should.
+    /// Works normally.
     #[default]
     None,
     /// Refuses every call and ends every watch.
     Down,
     /// Answers every call two seconds late.
     Slow,
-    /// Takes changes and then closes the connection without an answer.
+    /// Stores changes, then closes the connection without a reply.
     LoseReplies,
 }
 
-/// How late a slow platform answers.
+/// Delay of each reply under [`PlatformFault::Slow`].
 const SLOW_DELAY: Duration = Duration::from_secs(2);
 
 #[derive(Default)]
@@ -67,12 +67,12 @@
         Ok(Self { listener, platform })
     }
 
-    /// Where it listens.
+    /// Address of the listener.
     pub fn address(&self) -> SocketAddr {
         self.listener.address
     }
 
-    /// Stores an object without its version being checked, for set-up.
+    /// Stores an object without a check of its version, for set-up.
     pub fn seed(&self, mut object: Object) {
         let mut table = self.platform.table();
         let stored = table.read(object.kind, &object.metadata.name);
@@ -86,7 +86,7 @@
         self.platform.table().watchers()
     }
 
-    /// Shows a fault from now on.
+    /// Sets the fault; [`PlatformFault::None`] ends it.
     pub fn set_fault(&self, fault: PlatformFault) {
         self.platform.set_fault(fault);
     }
@@ -234,7 +234,8 @@
         .with_body(Body::new_streaming(body, None))
 }
 
-/// A blank line long enough that the server sends it, and what follows, at once.
+/// A blank line, long enough that the server sends it and the following events
+/// without buffering.
 fn flush_padding() -> Vec<u8> {
     let mut blank = vec![b' '; 1_024];
     blank.push(b'\n');
--- a/crates/lab/src/platform_store.rs
+++ b/crates/lab/src/platform_store.rs
@@ -7,7 +7,7 @@
 use ploverlift_policy::objects::{Kind, Object, ObjectKey};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Changes that are kept for watches that begin in the past.
+/// Number of past changes that are kept for watches that begin at an older version.
 const MAX_HISTORY: usize = 10_000;
 
 /// All objects, a log of changes and the open watches.
@@ -28,7 +28,7 @@
 /// Why a write was refused.
 #[derive(Debug, PartialEq, Eq)]
 pub enum WriteError {
-    /// The stored version is another one.
+    /// The stored version differs from the given one.
     Conflict {
         /// The stored version; 0 when there is no object.
         stored: u64,
@@ -37,12 +37,12 @@
     NotFound,
 }
 
-/// A watch asked for changes that are no longer kept.
+/// The changes that a watch requested are no longer kept.
 #[derive(Debug, PartialEq, Eq)]
 pub struct HistoryExpired;
 
 impl ObjectTable {
-    /// Goes on from `version`, as after a restart from a store.
+    /// Creates an empty table whose versions continue after `version`, as after a restart.
     pub fn starting_at(version: u64) -> Self {
         Self {
             version,
@@ -119,7 +119,7 @@
             object,
         };
         let line = watch_line(&event);
-        // A watcher that does not keep up is dropped: it lists again.
+        // A watcher that does not keep up is dropped; its client lists the objects again.
         self.watchers.retain(|watcher| {
             if watcher.kind != event.object.kind {
                 return !watcher.sender.is_closed();
--- a/crates/lab/tests/losses.rs
+++ b/crates/lab/tests/losses.rs
@@ -1,4 +1,4 @@
-//! The table of where requests lost worth, from log lines.
+//! Tests the table of delays and failures by cause, from log lines.
 
 use ploverlift_lab::losses::{Group, Losses, Reason};
 
--- a/crates/lab/tests/stand_ins.rs
+++ b/crates/lab/tests/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins show what the systems they stand for would show.
+//! The stand-ins behave like the systems that they replace.
 
 use ploverlift_lab::engine_cache::BlockCache;
 use ploverlift_lab::platform_store::{ObjectTable, WriteError};
