--- a/crates/simulation/src/oracle.rs
+++ b/crates/simulation/src/oracle.rs
@@ -71,7 +71,8 @@
 /// The promises that the simulation checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Promise {
-    /// No request relies on a cache of an earlier incarnation, another tenant or other weights.
+    /// No request relies on a cache of an earlier incarnation, another tenant or
+    /// other weights.
     CacheReliance,
     /// Streams are complete and in order, and every try gets an outcome.
     WholeStreams,
@@ -87,7 +88,8 @@
     LeavingGetsNothing,
     /// Accepted configuration reaches every node, and no node returns to an older version.
     Configuration,
-    /// Orders with an outdated fencing token are refused, and the number of concurrent loads is bounded.
+    /// Orders with an outdated fencing token are refused, and the number of
+    /// concurrent loads is bounded.
     Orders,
 }
 
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -100,7 +100,8 @@
 const ORDER_DELAY_MS: u64 = 40;
 /// Time that an engine needs to load weights, in milliseconds.
 const LOAD_MS: u64 = 600;
-/// Time between a change of an engine's state and the machine list's update, in milliseconds.
+/// Time between a change of an engine's state and the machine list's update, in
+/// milliseconds.
 const MACHINE_LIST_LAG_MS: u64 = 5_000;
 /// Time after which a leaving engine must get no new requests, in milliseconds.
 pub const MAX_LEAVING_DELAY_MS: u64 = 3_000;
--- a/crates/simulation/tests/support/mod.rs
+++ b/crates/simulation/tests/support/mod.rs
@@ -178,7 +178,8 @@
     ])
 }
 
-/// Leaving engines under constant requests, with faults of the object API and lost messages.
+/// Leaving engines under constant requests, with faults of the object API and lost
+/// messages.
 pub fn leaving_schedules() -> impl Strategy<Value = (u64, Vec<Operation>)> {
     schedule_of(prop_oneof![
         6 => request(),
