--- a/crates/simulation/src/oracle.rs
+++ b/crates/simulation/src/oracle.rs
@@ -102,7 +102,7 @@
     pub runs: Vec<Run>,
     /// All violations found.
     pub violations: Vec<Violation>,
-    highest_seen: BTreeMap<(String, u64), ResourceVersion>,
+    highest_versions: BTreeMap<(String, u64), ResourceVersion>,
 }
 
 /// Number of pieces in every simulated answer.
@@ -141,11 +141,11 @@
             let what = format!("request {} ran {} times", run.request, count + 1);
             self.record_violation(Promise::AtMostOnce, what);
         }
-        let was_told_not_run = self
+        let was_reported_not_run = self
             .tries
             .get(&run.try_id)
             .is_some_and(|caller_try| caller_try.outcome == TryOutcome::Refused(RunState::NotRun));
-        if was_told_not_run {
+        if was_reported_not_run {
             let what = format!("{:?} was reported as not run and ran later", run.try_id);
             self.record_violation(Promise::NotRunIsTrue, what);
         }
@@ -208,7 +208,7 @@
     /// violation when it is older than an earlier one.
     pub fn record_version_in_force(&mut self, node: &str, life: u64, version: ResourceVersion) {
         let key = (node.to_owned(), life);
-        let highest = self.highest_seen.entry(key).or_default();
+        let highest = self.highest_versions.entry(key).or_default();
         if version < *highest {
             let what = format!("{node} returned from version {highest} to {version}");
             self.record_violation(Promise::Configuration, what);
--- a/crates/simulation/src/world/engine_side.rs
+++ b/crates/simulation/src/world/engine_side.rs
@@ -4,7 +4,7 @@
 
 impl World {
     pub(super) fn observe_engines(&mut self, node: usize, life: u64) {
-        if !self.is_life(node, life) {
+        if !self.is_current_life(node, life) {
             return;
         }
         self.at(POLL_PERIOD_MS, SimEvent::ObserveEngines { node, life });
@@ -82,21 +82,22 @@
         if !engine.alive {
             return self.send_report(&call, AttemptReport::Unsent);
         }
-        let up = self.now - self.nodes[call.node].started_at;
-        if call.from == 0 && up > UNINFORMED_AFTER_START_MS {
+        let uptime_ms = self.now - self.nodes[call.node].started_at;
+        if call.from == 0 && uptime_ms > UNINFORMED_AFTER_START_MS {
             self.check_leaving(number);
         }
         let engine = &self.engines[number];
-        let other_life = engine.incarnation != call.incarnation || engine.weights != call.weights;
+        let has_other_state =
+            engine.incarnation != call.incarnation || engine.weights != call.weights;
         let expects = call.incarnation != Incarnation(0);
-        if expects && other_life && !self.mutations.engines_ignore_expectations {
+        if expects && has_other_state && !self.mutations.engines_ignore_expectations {
             let correction = Some((engine.incarnation.0, engine.weights.0));
             return self.send_report(&call, AttemptReport::Refused(correction));
         }
         if (engine.leaving && call.from == 0) || engine.loading_until > self.now {
             return self.send_report(&call, AttemptReport::Refused(None));
         }
-        self.check_reliance(number, &call, expects && other_life);
+        self.check_reliance(number, &call, expects && has_other_state);
         self.log_event(|| {
             format!(
                 "engine-{number} runs request {} for node-{}",
@@ -142,9 +143,9 @@
         &mut self,
         number: usize,
         call: &Call,
-        relies_on_other_life: bool,
+        relies_on_other_state: bool,
     ) {
-        if relies_on_other_life && call.believed_cached {
+        if relies_on_other_state && call.believed_cached {
             let what = format!(
                 "{:?} relied on a cache of another incarnation or other weights",
                 call.try_id
@@ -179,8 +180,8 @@
         position: u64,
     ) {
         let engine = &self.engines[number];
-        let same_life = engine.alive && self.engine_generations[number] == engine_generation;
-        if !same_life {
+        let is_same_process = engine.alive && self.engine_generations[number] == engine_generation;
+        if !is_same_process {
             return self.send_report(&call, AttemptReport::Broken);
         }
         let zone = self.nodes[call.node].zone.clone();
@@ -207,8 +208,8 @@
             self.send_piece(&call, position);
         }
         // An engine may skip a piece; the node must detect the gap.
-        let skips = self.network.jitter_ms > 0 && self.random.u8(..) < 8;
-        let next = position + if skips { 2 } else { 1 };
+        let skips_piece = self.network.jitter_ms > 0 && self.random.u8(..) < 8;
+        let next = position + if skips_piece { 2 } else { 1 };
         self.at(
             PIECE_MS,
             SimEvent::EngineStep {
@@ -222,8 +223,8 @@
     }
 
     pub(super) fn send_piece(&mut self, call: &Call, position: u64) {
-        let crossed = self.mutations.answers_crossed && self.random.u8(..) < 32;
-        let request = if crossed {
+        let is_crossed = self.mutations.answers_crossed && self.random.u8(..) < 32;
+        let request = if is_crossed {
             call.request + 1
         } else {
             call.request
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -294,7 +294,7 @@
                 engine,
                 observed_state,
             } => {
-                if self.is_life(node, life) {
+                if self.is_current_life(node, life) {
                     self.engine_observed(node, observed_at, engine, observed_state);
                 }
             }
@@ -333,7 +333,7 @@
                 order,
                 answer,
             } => {
-                if self.is_life(node, life) {
+                if self.is_current_life(node, life) {
                     let now = self.node_now(node);
                     let rollout = &mut self.nodes[node].rollout;
                     rollout.on_answer(order.engine, order.fencing_token, answer, now);
@@ -346,7 +346,9 @@
                 answer,
             } => self.lease_stored(node, life, began, answer),
             SimEvent::GroupStored { node, life, answer } => {
-                if let (true, WriteAnswer::Stored(object)) = (self.is_life(node, life), answer) {
+                if let (true, WriteAnswer::Stored(object)) =
+                    (self.is_current_life(node, life), answer)
+                {
                     self.learn(node, object);
                 }
             }
@@ -357,7 +359,7 @@
 /// Time for which [`World::settled`] lets a new site run, in milliseconds.
 const SETTLE_MS: u64 = 6_000;
 
-fn routed(
+fn route_request(
     snapshot: &Arc<Snapshot>,
     try_id: TryId,
     tenant: &TenantName,
--- a/crates/simulation/src/world/nodes.rs
+++ b/crates/simulation/src/world/nodes.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    pub(super) fn is_life(&self, node: usize, life: u64) -> bool {
+    pub(super) fn is_current_life(&self, node: usize, life: u64) -> bool {
         let node = &self.nodes[node];
         node.core.is_some() && node.life == life
     }
@@ -159,7 +159,7 @@
     }
 
     pub(super) fn tick(&mut self, node: usize, life: u64) {
-        if !self.is_life(node, life) {
+        if !self.is_current_life(node, life) {
             return;
         }
         self.with_core(node, |core, now| core.tick(now));
--- a/crates/simulation/src/world/object_api.rs
+++ b/crates/simulation/src/world/object_api.rs
@@ -4,7 +4,7 @@
 
 impl World {
     pub(super) fn poll_object_api(&mut self, node: usize, life: u64) {
-        if !self.is_life(node, life) {
+        if !self.is_current_life(node, life) {
             return;
         }
         self.at(READ_PERIOD_MS, SimEvent::PollObjectApi { node, life });
--- a/crates/simulation/src/world/operations.rs
+++ b/crates/simulation/src/world/operations.rs
@@ -37,7 +37,7 @@
             Operation::KillEngine(engine) => self.kill_engine(engine % engines),
             Operation::RestartEngine(engine) => self.restart_engine(engine % engines),
             Operation::LeaveEngine(engine) => self.leave_engine(engine % engines),
-            Operation::WantWeights(version) => self.want_weights(*version),
+            Operation::WantWeights(version) => self.set_target_weights(*version),
             Operation::EngineWeights(engine, version) => {
                 self.engines[engine % engines].change_weights(*version);
             }
@@ -108,7 +108,7 @@
         self.network.heal_cuts();
     }
 
-    pub(super) fn want_weights(&mut self, version: u64) {
+    pub(super) fn set_target_weights(&mut self, version: u64) {
         let mut object = site::pool("fixit", site::MODEL, version);
         let stored = self.platform.read(Kind::Pool, "fixit");
         let base = stored.map(|stored| stored.metadata.resource_version);
--- a/crates/simulation/src/world/orders.rs
+++ b/crates/simulation/src/world/orders.rs
@@ -6,8 +6,8 @@
     pub(super) fn step_lease(&mut self, node: usize) {
         let now = self.node_now(node);
         let unix = self.now;
-        let wants = self.wanted_weights(node) != 0;
-        let step = self.nodes[node].lease.step(wants, unix, now);
+        let wants_lease = self.target_weights(node) != 0;
+        let step = self.nodes[node].lease.step(wants_lease, unix, now);
         if let LeaseStep::Write(write) = step {
             let (spec, began) = (write.lease.spec, write.began);
             let mut object = Object::new(Kind::Lease, ORDERS_LEASE, Labels::default(), spec);
@@ -34,7 +34,7 @@
         began: Millis,
         answer: WriteAnswer,
     ) {
-        if !self.is_life(node, life) {
+        if !self.is_current_life(node, life) {
             return;
         }
         let now = self.node_now(node);
@@ -55,7 +55,7 @@
         }
     }
 
-    pub(super) fn wanted_weights(&self, node: usize) -> u64 {
+    pub(super) fn target_weights(&self, node: usize) -> u64 {
         let core = self.nodes[node].core.as_ref();
         let snapshot = core.map(|core| Arc::clone(&core.router.snapshot));
         let pool = snapshot
--- a/crates/simulation/src/world/request_side.rs
+++ b/crates/simulation/src/world/request_side.rs
@@ -93,7 +93,7 @@
         let snapshot = Arc::clone(&core.router.snapshot);
         let tenant = TenantName::from(site::TENANTS[tenant % site::TENANTS.len()]);
         let model = if once { site::BOOKINGS } else { site::MODEL };
-        let Some(routed) = routed(&snapshot, try_id, &tenant, model, prompt) else {
+        let Some(routed) = route_request(&snapshot, try_id, &tenant, model, prompt) else {
             return self.end_try(try_id, TryOutcome::Refused(RunState::NotRun));
         };
         let deadline = now.plus(site::DEADLINE_MS);
@@ -318,7 +318,7 @@
 
     pub(super) fn handle_report(&mut self, call: &Call, report: AttemptReport) {
         let node = call.node;
-        if !self.is_life(node, call.life) {
+        if !self.is_current_life(node, call.life) {
             return;
         }
         let Some(request) = self.nodes[node].requests.get_mut(&call.try_id) else {
@@ -392,7 +392,7 @@
     }
 
     pub(super) fn continuation_due(&mut self, call: &Call) {
-        if !self.is_life(call.node, call.life) {
+        if !self.is_current_life(call.node, call.life) {
             return;
         }
         let request = self.nodes[call.node].requests.get_mut(&call.try_id);
@@ -406,7 +406,7 @@
     }
 
     pub(super) fn deadline(&mut self, node: usize, life: u64, try_id: TryId) {
-        if !self.is_life(node, life) {
+        if !self.is_current_life(node, life) {
             return;
         }
         let Some(request) = self.nodes[node].requests.get(&try_id) else {
