--- a/crates/simulation/src/oracle.rs
+++ b/crates/simulation/src/oracle.rs
@@ -39,7 +39,7 @@
     /// World time at which the try ended, in milliseconds.
     pub ended_at: Option<u64>,
     /// Outcome as the caller received it.
-    pub outcome: TryOutcome,
+    pub try_outcome: TryOutcome,
     /// Pieces that the caller received, in order of arrival.
     pub pieces: Vec<u64>,
 }
@@ -141,10 +141,9 @@
             let what = format!("request {} ran {} times", run.request, count + 1);
             self.record_violation(Promise::AtMostOnce, what);
         }
-        let was_reported_not_run = self
-            .tries
-            .get(&run.try_id)
-            .is_some_and(|caller_try| caller_try.outcome == TryOutcome::Refused(RunState::NotRun));
+        let was_reported_not_run = self.tries.get(&run.try_id).is_some_and(|caller_try| {
+            caller_try.try_outcome == TryOutcome::Refused(RunState::NotRun)
+        });
         if was_reported_not_run {
             let what = format!("{:?} was reported as not run and ran later", run.try_id);
             self.record_violation(Promise::NotRunIsTrue, what);
@@ -176,18 +175,18 @@
 
     /// Records the outcome of a try at world time `at`, and violations of the promises
     /// on outcomes. Only the first outcome of a try counts.
-    pub fn record_outcome(&mut self, try_id: TryId, outcome: TryOutcome, at: u64) {
+    pub fn record_outcome(&mut self, try_id: TryId, try_outcome: TryOutcome, at: u64) {
         let has_run = self.runs.iter().any(|run| run.try_id == try_id);
         let Some(known) = self.tries.get_mut(&try_id) else {
             return;
         };
-        if known.outcome != TryOutcome::Waiting {
+        if known.try_outcome != TryOutcome::Waiting {
             return;
         }
-        known.outcome = outcome.clone();
+        known.try_outcome = try_outcome.clone();
         known.ended_at = Some(at);
         let request = known.request;
-        match outcome {
+        match try_outcome {
             TryOutcome::Whole(pieces) if pieces != answer_of(request) => {
                 let what = format!("{try_id:?} ended as complete with pieces {pieces:?}");
                 self.record_violation(Promise::WholeStreams, what);
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -320,7 +320,10 @@
             SimEvent::Deadline { node, life, try_id } => self.deadline(node, life, try_id),
             SimEvent::ContinuationDue { call } => self.continuation_due(&call),
             SimEvent::CallerPiece { try_id, content } => self.oracle.record_piece(try_id, content),
-            SimEvent::CallerEnd { try_id, outcome } => self.caller_end(try_id, outcome),
+            SimEvent::CallerEnd {
+                try_id,
+                try_outcome,
+            } => self.caller_end(try_id, try_outcome),
             SimEvent::UpdateMachineList { engine } => self.update_machine_list(engine),
             SimEvent::OrderSent { node, life, order } => {
                 let delay = 1 + self.random.u64(..3);
--- a/crates/simulation/src/world/nodes.rs
+++ b/crates/simulation/src/world/nodes.rs
@@ -60,8 +60,14 @@
         }
         node.requests.clear();
         for try_id in lost {
-            let outcome = TryOutcome::ConnectionLost;
-            self.at(1, SimEvent::CallerEnd { try_id, outcome });
+            let try_outcome = TryOutcome::ConnectionLost;
+            self.at(
+                1,
+                SimEvent::CallerEnd {
+                    try_id,
+                    try_outcome,
+                },
+            );
         }
     }
 
--- a/crates/simulation/src/world/operations.rs
+++ b/crates/simulation/src/world/operations.rs
@@ -161,7 +161,7 @@
             .oracle
             .tries
             .iter()
-            .filter(|(_, known)| known.outcome == TryOutcome::Waiting)
+            .filter(|(_, known)| known.try_outcome == TryOutcome::Waiting)
             .map(|(try_id, _)| *try_id)
             .collect();
         for try_id in unanswered {
--- a/crates/simulation/src/world/request_side.rs
+++ b/crates/simulation/src/world/request_side.rs
@@ -13,7 +13,7 @@
                 at_most_once,
                 began_at: self.now,
                 ended_at: None,
-                outcome: TryOutcome::Waiting,
+                try_outcome: TryOutcome::Waiting,
                 pieces: Vec::new(),
             },
         );
@@ -51,19 +51,25 @@
         try_id
     }
 
-    pub(super) fn end_try(&mut self, try_id: TryId, outcome: TryOutcome) {
-        self.at(1, SimEvent::CallerEnd { try_id, outcome });
+    pub(super) fn end_try(&mut self, try_id: TryId, try_outcome: TryOutcome) {
+        self.at(
+            1,
+            SimEvent::CallerEnd {
+                try_id,
+                try_outcome,
+            },
+        );
     }
 
-    pub(super) fn caller_end(&mut self, try_id: TryId, outcome: TryOutcome) {
-        let outcome = match outcome {
+    pub(super) fn caller_end(&mut self, try_id: TryId, try_outcome: TryOutcome) {
+        let try_outcome = match try_outcome {
             TryOutcome::Whole(_) => {
                 let known = self.oracle.tries.get(&try_id);
                 TryOutcome::Whole(known.map_or_else(Vec::new, |known| known.pieces.clone()))
             }
-            outcome => outcome,
+            try_outcome => try_outcome,
         };
-        self.oracle.record_outcome(try_id, outcome, self.now);
+        self.oracle.record_outcome(try_id, try_outcome, self.now);
     }
 
     pub(super) fn request_arrives(
--- a/crates/simulation/src/world/sim_event.rs
+++ b/crates/simulation/src/world/sim_event.rs
@@ -66,7 +66,7 @@
     },
     CallerEnd {
         try_id: TryId,
-        outcome: TryOutcome,
+        try_outcome: TryOutcome,
     },
     UpdateMachineList {
         engine: usize,
--- a/crates/simulation/tests/bounds.rs
+++ b/crates/simulation/tests/bounds.rs
@@ -87,7 +87,7 @@
         world.advance(ANSWER_MS);
         for (node, try_id) in tries {
             let known = &world.oracle.tries[&try_id];
-            if let (TryOutcome::Whole(_), Some(at)) = (&known.outcome, known.ended_at) {
+            if let (TryOutcome::Whole(_), Some(at)) = (&known.try_outcome, known.ended_at) {
                 waiting.retain(|other| *other != node);
                 slowest = slowest.max(Some(at - began));
             }
@@ -193,7 +193,7 @@
         let first = world.request_once(0, 1);
         world.advance(500);
         assert!(matches!(
-            world.oracle.tries[&first].outcome,
+            world.oracle.tries[&first].try_outcome,
             TryOutcome::Whole(_)
         ));
         let voters = world.voters();
@@ -202,7 +202,10 @@
         assert_eq!(world.voters(), voters);
         let again = world.request_once(5, 1);
         world.advance(500);
-        assert_eq!(world.oracle.tries[&again].outcome, TryOutcome::Replayed(1));
+        assert_eq!(
+            world.oracle.tries[&again].try_outcome,
+            TryOutcome::Replayed(1)
+        );
     }
 }
 
@@ -212,7 +215,7 @@
     let first = world.request_once(0, 1);
     world.advance(500);
     assert!(matches!(
-        world.oracle.tries[&first].outcome,
+        world.oracle.tries[&first].try_outcome,
         TryOutcome::Whole(_)
     ));
     for node in 0..6 {
@@ -221,14 +224,14 @@
     world.advance(5_000);
     let again = world.request_once(2, 1);
     world.advance(300);
-    let outcome = &world.oracle.tries[&again].outcome;
-    assert_eq!(*outcome, TryOutcome::Refused(RunState::NotRun));
+    let try_outcome = &world.oracle.tries[&again].try_outcome;
+    assert_eq!(*try_outcome, TryOutcome::Refused(RunState::NotRun));
     // After the retention period of claims, new requests run again.
     world.advance(CLAIM_RETENTION_MS);
     let fresh = world.request_once(2, 2);
     world.advance(500);
     assert!(matches!(
-        world.oracle.tries[&fresh].outcome,
+        world.oracle.tries[&fresh].try_outcome,
         TryOutcome::Whole(_)
     ));
 }
@@ -249,14 +252,14 @@
     world.advance(CLAIM_RETENTION_MS);
     let refused = world.request_once(left, 1);
     world.advance(2_000);
-    let outcome = &world.oracle.tries[&refused].outcome;
-    assert_eq!(*outcome, TryOutcome::Refused(RunState::NotRun));
+    let try_outcome = &world.oracle.tries[&refused].try_outcome;
+    assert_eq!(*try_outcome, TryOutcome::Refused(RunState::NotRun));
     world.delete_object(Kind::ClaimGroup, CLAIM_GROUP);
     world.advance(6_000);
     let again = world.request_once(left, 1);
     world.advance(500);
     assert!(matches!(
-        world.oracle.tries[&again].outcome,
+        world.oracle.tries[&again].try_outcome,
         TryOutcome::Whole(_)
     ));
 }
@@ -297,11 +300,11 @@
     let once = world.request_once(0, 9);
     world.advance(500);
     assert!(matches!(
-        world.oracle.tries[&repeatable].outcome,
+        world.oracle.tries[&repeatable].try_outcome,
         TryOutcome::Whole(_)
     ));
     assert!(matches!(
-        world.oracle.tries[&once].outcome,
+        world.oracle.tries[&once].try_outcome,
         TryOutcome::Whole(_)
     ));
 }
