--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -31,9 +31,9 @@
 /// Messages on what was done to an engine, from any node.
 const ENGINE_MESSAGES: [&str; 2] = ["order", "weights loaded"];
 /// Fields that are told first, in this order.
-const FIRST_FIELDS: [&str; 4] = ["ts", "node", "msg", "outcome"];
+const LEADING_FIELDS: [&str; 4] = ["ts", "node", "msg", "outcome"];
 /// Fields that say nothing more.
-const LEFT_OUT: [&str; 2] = ["level", "id"];
+const OMITTED_FIELDS: [&str; 2] = ["level", "id"];
 
 /// Why the story cannot be told.
 #[derive(Debug, Snafu)]
@@ -68,8 +68,8 @@
         source.context(LogSnafu { file: "-" })?;
     }
     lines.sort_by(|a, b| text(a, "ts").cmp(text(b, "ts")));
-    for line in story(&lines, &arguments.request)? {
-        println!("{}", told(line));
+    for line in related_lines(&lines, &arguments.request)? {
+        println!("{}", format_line(line));
     }
     Ok(())
 }
@@ -98,7 +98,7 @@
     line.get(field).and_then(Value::as_str).unwrap_or_default()
 }
 
-fn story<'a>(lines: &'a [Line], request: &str) -> Result<Vec<&'a Line>, TraceError> {
+fn related_lines<'a>(lines: &'a [Line], request: &str) -> Result<Vec<&'a Line>, TraceError> {
     let is_own = |line: &&Line| text(line, "id") == request;
     let own: Vec<&Line> = lines.iter().filter(is_own).collect();
     let Some(last) = own.last() else {
@@ -113,32 +113,33 @@
         let of_node = NODE_MESSAGES.contains(&message) && nodes.contains(text(line, "node"));
         let of_engine = ENGINE_MESSAGES.contains(&message);
         // A line that names no engine concerns the whole node.
-        let concerns = engine.is_empty() && of_node || is_tried && (of_node || of_engine);
-        concerns && text(line, "ts") <= text(last, "ts")
+        let is_relevant = engine.is_empty() && of_node || is_tried && (of_node || of_engine);
+        is_relevant && text(line, "ts") <= text(last, "ts")
     };
     let context: Vec<&Line> = lines.iter().filter(is_context).collect();
     let first = context.len().saturating_sub(MAX_CONTEXT_LINES);
-    let mut story = context[first..].to_vec();
-    story.extend(own);
-    story.sort_by(|a, b| text(a, "ts").cmp(text(b, "ts")));
-    Ok(story)
+    let mut related = context[first..].to_vec();
+    related.extend(own);
+    related.sort_by(|a, b| text(a, "ts").cmp(text(b, "ts")));
+    Ok(related)
 }
 
-fn told(line: &Line) -> String {
-    let first = FIRST_FIELDS
+fn format_line(line: &Line) -> String {
+    let first = LEADING_FIELDS
         .iter()
         .map(|field| text(line, field).to_owned());
     let rest = line.iter().filter(|(field, value)| {
-        let known = FIRST_FIELDS.contains(&field.as_str()) || LEFT_OUT.contains(&field.as_str());
+        let known =
+            LEADING_FIELDS.contains(&field.as_str()) || OMITTED_FIELDS.contains(&field.as_str());
         !known && !value.is_null()
     });
     let rest = rest.map(|(field, value)| match value {
         Value::String(value) => format!("{field}={value}"),
         other => format!("{field}={other}"),
     });
-    let told: Vec<String> = first
+    let fields: Vec<String> = first
         .filter(|value| !value.is_empty())
         .chain(rest)
         .collect();
-    told.join("  ")
+    fields.join("  ")
 }
--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -95,7 +95,7 @@
 "#;
 
 #[test]
-fn trace_tells_a_requests_story_in_order_from_many_logs() {
+fn trace_prints_the_lines_of_a_request_in_order_from_many_logs() {
     let log = file("nodes.log", LOG);
     let output = ploverlift(&["trace", "r1", &log]);
     assert_eq!(output.status.code(), Some(0));
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn limits_lists_what_engines_take_beside_what_they_get() {
+fn limits_lists_advertised_and_granted_rates_of_engines() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address").to_string();
     std::thread::spawn(move || {
--- a/crates/cli/tests/failures.rs
+++ b/crates/cli/tests/failures.rs
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_stream_goes_on_at_another_engine_when_its_own_is_killed() {
+fn a_stream_continues_at_another_engine_after_its_engine_is_killed() {
     let mut site = Site::start();
     let expected = expected_text(&site, 6);
     smol::block_on(async {
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn a_caller_goes_on_at_another_node_when_its_own_is_killed() {
+fn a_caller_resumes_at_another_node_after_its_node_is_killed() {
     let mut site = Site::start();
     let expected = expected_text(&site, 5);
     smol::block_on(async {
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn a_booking_stays_single_without_the_platform_and_with_a_restarted_replica() {
+fn a_booking_runs_once_without_the_platform_and_with_a_restarted_replica() {
     let mut site = Site::start();
     let first = first_booking(&site, 0, "booking-2");
     assert_eq!(first.status, 200, "{}", first.text);
@@ -365,7 +365,7 @@
 }
 
 #[test]
-fn a_leaving_engine_gets_nothing_new_although_the_platform_is_gone() {
+fn a_leaving_engine_gets_no_new_requests_while_the_platform_is_down() {
     let mut site = Site::start();
     site.platform.kill();
     post(site.engines[0].address("listening"), "/admin/leaving", "");
@@ -386,7 +386,7 @@
 }
 
 #[test]
-fn explain_answers_from_a_node_that_did_not_decide() {
+fn explain_answers_at_a_node_that_did_not_route_the_request() {
     let site = Site::start();
     let conn = chat(site.node(0), "explained", json!({"max_tokens": 1}));
     assert_eq!(smol::block_on(call(conn)).expect("answer").status, 200);
--- a/crates/cli/tests/rollouts.rs
+++ b/crates/cli/tests/rollouts.rs
@@ -19,11 +19,11 @@
 const SERVICE: &str = "app";
 const KIND: &str = "rollouts";
 /// Longest wait for an end of a rollout.
-const LIMIT: Duration = Duration::from_secs(60);
+const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time after an end in which what was on its way arrives.
-const SETTLE: Duration = Duration::from_millis(500);
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 /// Threads that send requests to each node.
-const CALLERS: usize = 2;
+const CALLERS_PER_NODE: usize = 2;
 
 /// A process of the gateway, with its log.
 struct Gateway {
@@ -142,7 +142,7 @@
             threads: Vec::new(),
         };
         for gateway in gateways {
-            for caller in 0..CALLERS {
+            for caller in 0..CALLERS_PER_NODE {
                 let (is_over, good) = (Arc::clone(&traffic.is_over), Arc::clone(&traffic.good));
                 let bad = Arc::clone(&traffic.bad);
                 let address = gateway.callers;
@@ -217,19 +217,19 @@
     let traffic = Traffic::start(&gateways);
     order(&store, &new, 30.0);
     let is_over = |status: &Value| status["state"] == json!("rolled_back");
-    let status = store.wait_for_status(KIND, SERVICE, LIMIT, is_over);
+    let status = store.wait_for_status(KIND, SERVICE, ROLLOUT_TIMEOUT, is_over);
     assert_eq!(status["targetVersion"], json!("v2"));
-    thread::sleep(SETTLE);
+    thread::sleep(SETTLE_TIME);
     let at_the_end = arrivals(&new);
     assert!(at_the_end > 0);
-    thread::sleep(2 * SETTLE);
+    thread::sleep(2 * SETTLE_TIME);
     assert_eq!(arrivals(&new), at_the_end);
     let (good, bad) = traffic.stop();
     assert!(good > 100);
     assert!(bad * 10 < good, "{bad} of {good}");
     for gateway in &gateways {
-        let is_told = gateway.has_logged("rollout stage", "stage", "rolled_back");
-        assert!(is_told, "{}", gateway.decisions());
+        let is_rolled_back = gateway.has_logged("rollout stage", "stage", "rolled_back");
+        assert!(is_rolled_back, "{}", gateway.decisions());
     }
 }
 
@@ -239,7 +239,7 @@
     let new = ["new-1", "new-2"].map(|name| Engine::start(name, "v2", 1));
     let traffic = Traffic::start(&gateways);
     order(&store, &new, 5.0);
-    store.wait_for_status(KIND, SERVICE, LIMIT, |status| {
+    store.wait_for_status(KIND, SERVICE, ROLLOUT_TIMEOUT, |status| {
         status["state"] == json!("running")
     });
     let lease = store.spec("ploverlift-leases", "rollouts");
@@ -250,9 +250,9 @@
     let index = gateways.iter().position(|gateway| gateway.name == holder);
     drop(gateways.remove(index.expect("one of the processes")));
     let is_over = |status: &Value| status["state"] == json!("completed");
-    store.wait_for_status(KIND, SERVICE, LIMIT, is_over);
+    store.wait_for_status(KIND, SERVICE, ROLLOUT_TIMEOUT, is_over);
     let at_the_end = arrivals(&old);
-    thread::sleep(2 * SETTLE);
+    thread::sleep(2 * SETTLE_TIME);
     assert_eq!(arrivals(&old), at_the_end);
     let (good, bad) = traffic.stop();
     assert!(good > 100);
