--- a/crates/balancing/src/engine_notices/exchange.rs
+++ b/crates/balancing/src/engine_notices/exchange.rs
@@ -45,7 +45,7 @@
         for engine in &reported {
             let leaving = self.notices.get_mut(engine);
             if let Some(leaving) = leaving.and_then(|known| known.leaving.as_mut()) {
-                leaving.telling.record_broadcast(now);
+                leaving.broadcast.record_broadcast(now);
             }
         }
         if round.is_period {
@@ -69,7 +69,7 @@
 
     fn due(&self, now: Millis) -> Vec<EngineTag> {
         let leaving = self.leaving_engines();
-        let due = leaving.filter(|(_, leaving)| leaving.telling.is_due(now));
+        let due = leaving.filter(|(_, leaving)| leaving.broadcast.is_due(now));
         due.map(|(engine, _)| engine).take(MAX_DUE).collect()
     }
 
@@ -119,7 +119,7 @@
         let notice = LeavingNotice {
             since: now.before(reported.age_ms),
             source: NoticeSource::Node,
-            telling: match passes_on {
+            broadcast: match passes_on {
                 true => UpdateBroadcast::begin(now),
                 false => UpdateBroadcast::default(),
             },
--- a/crates/balancing/src/engine_notices/mod.rs
+++ b/crates/balancing/src/engine_notices/mod.rs
@@ -62,7 +62,7 @@
     pub since: Millis,
     /// The source from which this node has the notice.
     pub source: NoticeSource,
-    telling: UpdateBroadcast,
+    broadcast: UpdateBroadcast,
 }
 
 /// A backoff that an engine asked for: this node sends it no requests during that time.
@@ -151,7 +151,7 @@
         let notice = LeavingNotice {
             since: now,
             source: NoticeSource::Answer,
-            telling: UpdateBroadcast::begin(now),
+            broadcast: UpdateBroadcast::begin(now),
         };
         self.take_leaving(life, notice, now)
     }
--- a/crates/enginelimit/src/exchange.rs
+++ b/crates/enginelimit/src/exchange.rs
@@ -16,15 +16,15 @@
     pub fn updates_due(&mut self, is_period: bool, now: Millis) -> Vec<GroupUpdate> {
         let mut selected: BTreeMap<GroupTag, Vec<EngineTag>> = BTreeMap::new();
         for (tag, group) in &mut self.groups {
-            let is_due = group.telling.is_due(now);
-            group.telling.record_broadcast(now);
+            let is_due = group.broadcast.is_due(now);
+            group.broadcast.record_broadcast(now);
             if is_due || (is_period && group.is_held) {
                 selected.insert(*tag, Vec::new());
             }
         }
         for (engine, known) in &mut self.known {
-            if known.telling.is_due(now) {
-                known.telling.record_broadcast(now);
+            if known.broadcast.is_due(now) {
+                known.broadcast.record_broadcast(now);
                 selected.entry(known.group).or_default().push(*engine);
             }
         }
@@ -121,7 +121,7 @@
         rooms: &mut EngineRateLimits,
         now: Millis,
     ) -> bool {
-        let telling = match passes_on {
+        let broadcast = match passes_on {
             true => UpdateBroadcast::begin(now),
             false => UpdateBroadcast::default(),
         };
@@ -131,31 +131,31 @@
             Some(group) if !update.holder.supersedes(&group.holder, update.group) => {
                 // The sender does not know of the later term yet.
                 if group.is_held || passes_on {
-                    group.telling = UpdateBroadcast::begin(now);
+                    group.broadcast = UpdateBroadcast::begin(now);
                 }
                 return false;
             }
             _ => true,
         };
         if is_new_holder {
-            self.follow_holder(update, telling, now);
+            self.follow_holder(update, broadcast, now);
         }
         let is_held = self.groups[&update.group].is_held;
         if update.holder.at.node == self.own.node && !is_held {
             // This node held the group before a restart. The tokens that it granted then
             // are unknown.
-            self.apply_limits(update, telling, rooms, now);
+            self.apply_limits(update, broadcast, rooms, now);
             self.take_over(update.group, now);
             return true;
         }
-        let is_changed = !is_held && self.apply_limits(update, telling, rooms, now);
+        let is_changed = !is_held && self.apply_limits(update, broadcast, rooms, now);
         is_new_holder || is_changed
     }
 
     /// Records that another node holds the group.
-    fn follow_holder(&mut self, update: &GroupUpdate, telling: UpdateBroadcast, now: Millis) {
+    fn follow_holder(&mut self, update: &GroupUpdate, broadcast: UpdateBroadcast, now: Millis) {
         let followed = Group {
-            telling,
+            broadcast,
             ..Group::held_by(update.holder, now)
         };
         self.groups.insert(update.group, followed);
@@ -169,7 +169,7 @@
     fn apply_limits(
         &mut self,
         update: &GroupUpdate,
-        telling: UpdateBroadcast,
+        broadcast: UpdateBroadcast,
         rooms: &mut EngineRateLimits,
         now: Millis,
     ) -> bool {
@@ -190,7 +190,7 @@
                 group: update.group,
                 standing,
                 sequence: updated.sequence,
-                telling,
+                broadcast,
                 account: None,
             };
             self.known.insert(updated.engine, known);
--- a/crates/enginelimit/src/limits.rs
+++ b/crates/enginelimit/src/limits.rs
@@ -36,7 +36,7 @@
     /// Sequence number of the holder's change that announced the limit; 0 if this node
     /// observed it itself.
     pub(crate) sequence: u64,
-    pub(crate) telling: UpdateBroadcast,
+    pub(crate) broadcast: UpdateBroadcast,
     /// The token account; only at the holder.
     pub(crate) account: Option<Account>,
 }
@@ -48,7 +48,7 @@
     /// Whether this node holds the group, since its current start.
     pub(crate) is_held: bool,
     pub(crate) sequence: u64,
-    pub(crate) telling: UpdateBroadcast,
+    pub(crate) broadcast: UpdateBroadcast,
     pub(crate) requesting_nodes: RequestingNodes,
     /// Recent answers, kept for retransmitted requests.
     pub(crate) answered: HashMap<(PeerId, u64), (Millis, TokenAnswer)>,
@@ -68,7 +68,7 @@
             holder,
             is_held: false,
             sequence: 0,
-            telling: UpdateBroadcast::begin(now),
+            broadcast: UpdateBroadcast::begin(now),
             requesting_nodes: RequestingNodes::default(),
             answered: HashMap::new(),
             unanswered: None,
@@ -227,7 +227,7 @@
             group,
             standing,
             sequence: 0,
-            telling: UpdateBroadcast::default(),
+            broadcast: UpdateBroadcast::default(),
             account: None,
         };
         self.known.insert(observed.engine, known);
@@ -271,7 +271,7 @@
         if let Some(group) = self.groups.get_mut(&known.group) {
             group.sequence += 1;
             known.sequence = group.sequence;
-            known.telling = UpdateBroadcast::begin(now);
+            known.broadcast = UpdateBroadcast::begin(now);
         }
     }
 
--- a/crates/quarantine/src/exchange.rs
+++ b/crates/quarantine/src/exchange.rs
@@ -75,7 +75,7 @@
         let mut reports = Vec::new();
         for request in selected {
             if let Some(suspect) = self.suspects.get_mut(&request) {
-                suspect.telling.record_broadcast(now);
+                suspect.broadcast.record_broadcast(now);
                 if let Some(claim) = suspect.claim.as_mut().filter(|claim| claim.node == own) {
                     claim.reported_at = now;
                 }
@@ -83,9 +83,9 @@
             reports.push(self.reported(request, now));
         }
         let cleared = self.cleared.iter_mut();
-        let due = cleared.filter(|cleared| cleared.telling.is_due(now));
+        let due = cleared.filter(|cleared| cleared.broadcast.is_due(now));
         reports.extend(due.take(MAX_REPORTED).map(|cleared| {
-            cleared.telling.record_broadcast(now);
+            cleared.broadcast.record_broadcast(now);
             cleared.reported(now)
         }));
         reports
@@ -102,7 +102,7 @@
             claim.is_some_and(|claim| claim.node == own || options.passes_on)
         };
         let is_due = |suspect: &Suspect| {
-            suspect.telling.is_due(now) || (options.is_period && is_claimed(suspect))
+            suspect.broadcast.is_due(now) || (options.is_period && is_claimed(suspect))
         };
         let due = self.suspects.iter().filter(|(_, suspect)| is_due(suspect));
         let mut due: Vec<RequestFingerprint> = due.map(|(request, _)| *request).collect();
@@ -168,7 +168,7 @@
         }
         let known = self.suspects.contains_key(&request);
         let known_before = known.then(|| self.reported(request, now));
-        let telling = self.suspects.get(&request).map(|suspect| suspect.telling);
+        let broadcast = self.suspects.get(&request).map(|suspect| suspect.broadcast);
         let was_refused = self.is_refused(request);
         for end in &report.ends {
             let end = EngineEnd {
@@ -191,9 +191,9 @@
         let is_known = self.suspects.contains_key(&request);
         let known_now = is_known.then(|| self.reported(request, now));
         if let Some(suspect) = self.suspects.get_mut(&request) {
-            suspect.telling = match passes_on && known_before != known_now {
+            suspect.broadcast = match passes_on && known_before != known_now {
                 true => UpdateBroadcast::begin(now),
-                false => telling.unwrap_or_default(),
+                false => broadcast.unwrap_or_default(),
             };
         }
         match (was_refused, self.is_refused(request)) {
@@ -221,7 +221,7 @@
         }
         let is_changed = self.clear_and_report(request, report.is_answer, cleared_at);
         if let Some(cleared) = self.cleared.last_mut().filter(|_| is_changed) {
-            cleared.telling = match passes_on {
+            cleared.broadcast = match passes_on {
                 true => UpdateBroadcast::begin(now),
                 false => UpdateBroadcast::default(),
             };
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -280,7 +280,7 @@
             tenant: suspect.tenant,
             is_answer,
             at,
-            telling: UpdateBroadcast::begin(at),
+            broadcast: UpdateBroadcast::begin(at),
         });
         self.clear(request, at);
         true
--- a/crates/quarantine/src/suspect.rs
+++ b/crates/quarantine/src/suspect.rs
@@ -44,7 +44,7 @@
     pub(crate) tenant: TenantTag,
     pub(crate) is_answer: bool,
     pub(crate) at: Millis,
-    pub(crate) telling: UpdateBroadcast,
+    pub(crate) broadcast: UpdateBroadcast,
 }
 
 #[derive(Clone, Debug)]
@@ -57,7 +57,7 @@
     /// Number of copies sent by this node whose engine may have ended.
     pub(crate) undetermined: u32,
     pub(crate) changed_at: Millis,
-    pub(crate) telling: UpdateBroadcast,
+    pub(crate) broadcast: UpdateBroadcast,
 }
 
 impl Suspect {
@@ -70,14 +70,14 @@
             refusal: None,
             undetermined: 0,
             changed_at: now,
-            telling: UpdateBroadcast::default(),
+            broadcast: UpdateBroadcast::default(),
         }
     }
 
     /// Records a change that the other nodes should be notified of.
     pub(crate) fn change(&mut self, now: Millis) {
         self.changed_at = now;
-        self.telling = UpdateBroadcast::begin(now);
+        self.broadcast = UpdateBroadcast::begin(now);
     }
 
     pub(crate) fn live_claim(&self, now: Millis) -> Option<Claim> {
