--- a/crates/balancing/src/eligibility.rs
+++ b/crates/balancing/src/eligibility.rs
@@ -45,11 +45,11 @@
         let takes_requests = |engine: &&Engine| catalogue.backoff(engine, now).is_none();
         apply_filter(&mut engines, takes_requests, NoChoice::BackingOff)?;
     }
-    let rooms = &catalogue.rate_limits;
-    if !rooms.is_empty() {
+    let rate_limits = &catalogue.rate_limits;
+    if !rate_limits.is_empty() {
         let is_below_limit = |engine: &&Engine| {
-            let is_avoided = criteria.avoids_limited && rooms.is_limited(engine.tag);
-            !is_avoided && rooms.has_token(engine.tag, now)
+            let is_avoided = criteria.avoids_limited && rate_limits.is_limited(engine.tag);
+            !is_avoided && rate_limits.has_token(engine.tag, now)
         };
         apply_filter(&mut engines, is_below_limit, NoChoice::RateLimited)?;
     }
--- a/crates/enginelimit/src/exchange.rs
+++ b/crates/enginelimit/src/exchange.rs
@@ -118,7 +118,7 @@
         &mut self,
         update: &GroupUpdate,
         passes_on: bool,
-        rooms: &mut EngineRateLimits,
+        rate_limits: &mut EngineRateLimits,
         now: Millis,
     ) -> bool {
         let broadcast = match passes_on {
@@ -144,11 +144,11 @@
         if update.holder.at.node == self.own.node && !is_held {
             // This node held the group before a restart. The tokens that it granted then
             // are unknown.
-            self.apply_limits(update, broadcast, rooms, now);
+            self.apply_limits(update, broadcast, rate_limits, now);
             self.take_over(update.group, now);
             return true;
         }
-        let is_changed = !is_held && self.apply_limits(update, broadcast, rooms, now);
+        let is_changed = !is_held && self.apply_limits(update, broadcast, rate_limits, now);
         is_new_holder || is_changed
     }
 
@@ -170,7 +170,7 @@
         &mut self,
         update: &GroupUpdate,
         broadcast: UpdateBroadcast,
-        rooms: &mut EngineRateLimits,
+        rate_limits: &mut EngineRateLimits,
         now: Millis,
     ) -> bool {
         let mut is_changed = false;
@@ -196,7 +196,7 @@
             self.known.insert(updated.engine, known);
             is_changed = true;
             if before != updated.limit {
-                self.apply_limit(updated.engine, rooms, now);
+                self.apply_limit(updated.engine, rate_limits, now);
             }
         }
         is_changed
--- a/crates/enginelimit/src/limits.rs
+++ b/crates/enginelimit/src/limits.rs
@@ -153,7 +153,7 @@
         &mut self,
         observed: &Observation,
         group: GroupTag,
-        rooms: &mut EngineRateLimits,
+        rate_limits: &mut EngineRateLimits,
         now: Millis,
     ) -> ObservationOutcome {
         let limit_before = self.limit_of(observed.engine);
@@ -166,7 +166,7 @@
         }
         let known = &self.groups[&group];
         if known.is_held {
-            return match self.apply_as_holder(observed, group, rooms, now) {
+            return match self.apply_as_holder(observed, group, rate_limits, now) {
                 true => ObservationOutcome::Changed,
                 false => ObservationOutcome::Unchanged,
             };
@@ -176,7 +176,7 @@
             // From now on tokens are requested from the holder, even if it has yet to learn
             // of the limit.
             self.record_limit(observed, group);
-            self.apply_limit(observed.engine, rooms, now);
+            self.apply_limit(observed.engine, rate_limits, now);
         }
         ObservationOutcome::ForwardToHolder(holder)
     }
@@ -187,11 +187,11 @@
         &mut self,
         observed: &Observation,
         group: GroupTag,
-        rooms: &mut EngineRateLimits,
+        rate_limits: &mut EngineRateLimits,
         now: Millis,
     ) -> bool {
         let is_held = self.groups.get(&group).is_some_and(|known| known.is_held);
-        is_held && self.apply_as_holder(observed, group, rooms, now)
+        is_held && self.apply_as_holder(observed, group, rate_limits, now)
     }
 
     /// Applies an observation as the holder of the group. Returns whether the limit
@@ -200,7 +200,7 @@
         &mut self,
         observed: &Observation,
         group: GroupTag,
-        rooms: &mut EngineRateLimits,
+        rate_limits: &mut EngineRateLimits,
         now: Millis,
     ) -> bool {
         let is_changed = match self.known.get_mut(&observed.engine) {
@@ -212,7 +212,7 @@
             }
         };
         if is_changed {
-            self.apply_limit(observed.engine, rooms, now);
+            self.apply_limit(observed.engine, rate_limits, now);
             self.announce(observed.engine, now);
         }
         is_changed
@@ -237,7 +237,7 @@
     pub(crate) fn apply_limit(
         &mut self,
         engine: EngineTag,
-        rooms: &mut EngineRateLimits,
+        rate_limits: &mut EngineRateLimits,
         now: Millis,
     ) {
         let lift_delay_ms = (self.own.node.0 ^ u64::from(engine.0)) % LIFT_SPREAD_MS;
@@ -248,7 +248,7 @@
         let is_held = is_held.is_some_and(|group| group.is_held);
         match known.standing.limit {
             Some(limit) => {
-                rooms.limit(engine, limit, now);
+                rate_limits.limit(engine, limit, now);
                 match &mut known.account {
                     Some(account) => account.set_limit(limit, now),
                     None if is_held => {
@@ -258,7 +258,7 @@
                 }
             }
             None => {
-                rooms.lift(engine, now.plus(lift_delay_ms), now);
+                rate_limits.lift(engine, now.plus(lift_delay_ms), now);
                 known.account = None;
             }
         }
@@ -306,13 +306,13 @@
     pub fn note_unanswered(
         &mut self,
         group: GroupTag,
-        rooms: &mut EngineRateLimits,
+        rate_limits: &mut EngineRateLimits,
         now: Millis,
     ) -> bool {
         let retry_at = now.plus(UNANSWERED_BACKOFF_MS);
         for (engine, known) in &self.known {
             if known.group == group {
-                rooms.back_off(*engine, retry_at);
+                rate_limits.back_off(*engine, retry_at);
             }
         }
         let Some(known) = self.groups.get_mut(&group).filter(|known| !known.is_held) else {
@@ -333,14 +333,14 @@
     pub fn expire(
         &mut self,
         is_known: impl Fn(EngineTag) -> bool,
-        rooms: &mut EngineRateLimits,
+        rate_limits: &mut EngineRateLimits,
         now: Millis,
     ) {
         self.known.retain(|engine, known| {
             let is_recent = now.since(known.standing.observed_at) < ENDED_LIMIT_RETENTION_MS;
             let stays = is_recent || (known.standing.limit.is_some() && is_known(*engine));
             if !stays {
-                rooms.lift(*engine, now, now);
+                rate_limits.lift(*engine, now, now);
             }
             stays
         });
--- a/crates/enginelimit/src/tokens.rs
+++ b/crates/enginelimit/src/tokens.rs
@@ -140,7 +140,7 @@
         &mut self,
         request: &TokenRequest,
         answer: TokenAnswer,
-        rooms: &mut EngineRateLimits,
+        rate_limits: &mut EngineRateLimits,
         draw: f64,
         now: Millis,
     ) -> Option<EngineTag> {
@@ -150,23 +150,23 @@
         }
         match answer {
             TokenAnswer::Granted { engine, left } => {
-                rooms.note_tokens(engine, left, now, now);
+                rate_limits.note_tokens(engine, left, now, now);
                 Some(engine)
             }
             TokenAnswer::Denied(denial) => {
                 let backoff_ms = denial.wait_ms + (denial.spread_ms as f64 * draw) as u64;
-                self.back_off(request, denial, now.plus(backoff_ms), rooms, now);
+                self.back_off(request, denial, now.plus(backoff_ms), rate_limits, now);
                 None
             }
             TokenAnswer::Unlimited => {
-                self.forget_requested(request, rooms, now);
+                self.forget_requested(request, rate_limits, now);
                 None
             }
             TokenAnswer::NotHolder => {
                 // An update that names another holder is on its way to this node or to the
                 // other one. Taking the group over at once would cause repeated takeovers
                 // in a large fleet.
-                self.note_unanswered(request.group, rooms, now);
+                self.note_unanswered(request.group, rate_limits, now);
                 None
             }
         }
@@ -177,7 +177,7 @@
         request: &TokenRequest,
         denial: Denial,
         until: Millis,
-        rooms: &mut EngineRateLimits,
+        rate_limits: &mut EngineRateLimits,
         now: Millis,
     ) {
         if let Some(group) = self.groups.get_mut(&request.group) {
@@ -187,7 +187,7 @@
             }
         }
         if let Wanted::Engine(engine) = request.wanted {
-            rooms.note_tokens(engine, 0.0, until, now);
+            rate_limits.note_tokens(engine, 0.0, until, now);
         }
     }
 
@@ -196,7 +196,7 @@
     fn forget_requested(
         &mut self,
         request: &TokenRequest,
-        rooms: &mut EngineRateLimits,
+        rate_limits: &mut EngineRateLimits,
         now: Millis,
     ) {
         let group = request.group;
@@ -206,7 +206,7 @@
                 Wanted::AnyBut(excluded) => known.group == group && !excluded.contains(engine),
             };
             if is_requested {
-                rooms.lift(*engine, now, now);
+                rate_limits.lift(*engine, now, now);
             }
             !is_requested
         });
--- a/crates/enginelimit/tests/fleets/tokens.rs
+++ b/crates/enginelimit/tests/fleets/tokens.rs
@@ -68,13 +68,13 @@
         node: PeerId(3),
         ..NodeAddress::UNREACHABLE
     });
-    let mut rooms = EngineRateLimits::default();
+    let mut rate_limits = EngineRateLimits::default();
     for news in holder().all_updates(Millis(0)) {
-        limits.apply_update(&news, false, &mut rooms, Millis(0));
+        limits.apply_update(&news, false, &mut rate_limits, Millis(0));
     }
-    assert!(rooms.has_token(ENGINE, Millis(1_000)));
-    limits.note_unanswered(GROUP, &mut rooms, Millis(1_000));
-    assert!(!rooms.has_token(ENGINE, Millis(1_010)));
+    assert!(rate_limits.has_token(ENGINE, Millis(1_000)));
+    limits.note_unanswered(GROUP, &mut rate_limits, Millis(1_000));
+    assert!(!rate_limits.has_token(ENGINE, Millis(1_010)));
     assert!(!limits.may_have_token(GROUP, Millis(1_010)));
-    assert!(rooms.has_token(ENGINE, Millis(1_200)));
+    assert!(rate_limits.has_token(ENGINE, Millis(1_200)));
 }
--- a/crates/enginelimit/tests/fleets/world.rs
+++ b/crates/enginelimit/tests/fleets/world.rs
@@ -33,7 +33,7 @@
 /// A node.
 struct Node {
     limits: EngineLimits,
-    rooms: EngineRateLimits,
+    rate_limits: EngineRateLimits,
     is_up: bool,
     /// The side of a partition. Nodes on different sides cannot exchange messages.
     side: u8,
@@ -134,7 +134,7 @@
         for node in 0..nodes {
             world.nodes.push(Node {
                 limits: EngineLimits::new(address_of(node)),
-                rooms: EngineRateLimits::default(),
+                rate_limits: EngineRateLimits::default(),
                 is_up: true,
                 side: 0,
                 last_period_at: 0,
@@ -179,11 +179,11 @@
         let now = self.millis();
         let started = &mut self.nodes[node];
         started.limits = EngineLimits::new(address_of(node));
-        started.rooms = EngineRateLimits::default();
+        started.rate_limits = EngineRateLimits::default();
         for news in told {
             started
                 .limits
-                .apply_update(&news, false, &mut started.rooms, now);
+                .apply_update(&news, false, &mut started.rate_limits, now);
         }
         started.is_up = true;
     }
@@ -277,7 +277,8 @@
                 let now = self.millis();
                 let node = &mut self.nodes[node];
                 if node.is_up {
-                    node.limits.apply_update(&news, false, &mut node.rooms, now);
+                    node.limits
+                        .apply_update(&news, false, &mut node.rate_limits, now);
                 }
             }
             Event::RequestToken { to, from, request } => {
@@ -318,7 +319,7 @@
                 let node = &mut self.nodes[node];
                 if node.is_up {
                     let limits = &mut node.limits;
-                    limits.apply_observation(&seen, group, &mut node.rooms, now);
+                    limits.apply_observation(&seen, group, &mut node.rate_limits, now);
                 }
             }
             Event::Answered {
@@ -338,7 +339,7 @@
         let first = self.random.usize(0..engines);
         let known = &self.nodes[node];
         let mut order = (0..engines.min(64)).map(|step| (first + step) % engines);
-        let has_room = |engine: &usize| known.rooms.has_token(tag(*engine), now);
+        let has_room = |engine: &usize| known.rate_limits.has_token(tag(*engine), now);
         let is_limited = |engine: &usize| known.limits.limit_of(tag(*engine)).is_some();
         let limited = order
             .clone()
@@ -429,7 +430,7 @@
         let known = &mut self.nodes[node];
         known
             .limits
-            .note_unanswered(request.group, &mut known.rooms, now);
+            .note_unanswered(request.group, &mut known.rate_limits, now);
         self.reject();
     }
 
@@ -445,10 +446,10 @@
         let known = &mut self.nodes[node];
         let granted = known
             .limits
-            .take_answer(request, answer, &mut known.rooms, draw, now);
+            .take_answer(request, answer, &mut known.rate_limits, draw, now);
         match granted {
             Some(engine) => {
-                known.rooms.note_spent(engine, now);
+                known.rate_limits.note_spent(engine, now);
                 self.arrive(node, engine.0 as usize);
             }
             None if matches!(request.wanted, Wanted::Engine(_)) => self.choose(node, denials + 1),
@@ -485,7 +486,9 @@
         };
         let group = self.group(engine);
         let known = &mut self.nodes[node];
-        let heard = known.limits.observe(&seen, group, &mut known.rooms, now);
+        let heard = known
+            .limits
+            .observe(&seen, group, &mut known.rate_limits, now);
         if let ObservationOutcome::ForwardToHolder(holder) = heard {
             let holder = index_of(holder);
             let delay = self.network_delay_ms();
