--- a/crates/gateway/tests/leaving_engines.rs
+++ b/crates/gateway/tests/leaving_engines.rs
@@ -11,8 +11,9 @@
 //!   sent 29 requests to engines that had left, and none since each engine numbers its
 //!   heartbeats.
 //!
-//! Each test reproduces one cause on running nodes. Simulated days with refused nodes, but
-//! without the times to retry after, had no late request from these causes.
+//! Each test reproduces one cause on running nodes. Without the grace period in which an
+//! engine whose record is gone may return, simulated days with nodes that the store refuses
+//! had no late request from this cause.
 
 mod support;
 
