--- a/crates/balancing/src/engine_notices/mod.rs
+++ b/crates/balancing/src/engine_notices/mod.rs
@@ -20,12 +20,12 @@
 /// Maximum number of engines with notices: more than a fleet has engines.
 const MAX_NOTICES: usize = 16_384;
 /// Maximum backoff, in milliseconds; longer ones are cut to it.
-const LONGEST_BACKOFF_MS: u64 = 24 * 60 * 60 * 1_000;
+const MAX_BACKOFF_MS: u64 = 24 * 60 * 60 * 1_000;
 /// Divisor of the backoff that gives the ramp after it. Nodes resume at random times within
 /// the ramp, because the engine would be overloaded if all resumed at once.
 const RAMP_SHARE: u64 = 4;
 /// Maximum length of that ramp, in milliseconds.
-const LONGEST_RAMP_MS: u64 = 500;
+const MAX_RAMP_MS: u64 = 500;
 
 /// The source of a notice that an engine leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -176,9 +176,9 @@
     /// Of several backoffs the latest end counts. `draw` is a random number that determines
     /// this node's resumption time within the ramp.
     pub fn note_backoff(&mut self, life: EngineLife, duration_ms: u64, draw: u64, now: Millis) {
-        let duration_ms = duration_ms.min(LONGEST_BACKOFF_MS);
+        let duration_ms = duration_ms.min(MAX_BACKOFF_MS);
         let until = now.plus(duration_ms);
-        let ramp_ms = (duration_ms / RAMP_SHARE).min(LONGEST_RAMP_MS);
+        let ramp_ms = (duration_ms / RAMP_SHARE).min(MAX_RAMP_MS);
         let Some(known) = self.entry(life, now) else {
             return;
         };
--- a/crates/gateway/src/beliefs.rs
+++ b/crates/gateway/src/beliefs.rs
@@ -264,7 +264,7 @@
         now: Millis,
     ) -> Option<OrderUpdate> {
         let service = order.service.clone();
-        let news = self.rollouts.apply_order(order, settings, now)?;
+        let update = self.rollouts.apply_order(order, settings, now)?;
         let is_complete = self.rollouts.of_service(&service)?.is_complete();
         if is_complete {
             let records = self.engines.of_service(&service);
@@ -273,7 +273,7 @@
                 self.remove_engine(&instance, revision, now);
             }
         }
-        Some(news)
+        Some(update)
     }
 
     /// Records the outcome of an attempt at an engine in everything that depends on it: the
--- a/crates/gateway/src/engine_checks.rs
+++ b/crates/gateway/src/engine_checks.rs
@@ -16,7 +16,7 @@
 /// Time before the first check and between the first few checks, in milliseconds.
 const FIRST_PAUSE_MS: u64 = 250;
 /// Maximum time between two checks, in milliseconds.
-const LONGEST_PAUSE_MS: u64 = 2_000;
+const MAX_PAUSE_MS: u64 = 2_000;
 /// Number of checks at the first pause; after them, the pause doubles each time.
 const CHECKS_AT_FIRST_PAUSE: u32 = 3;
 /// Maximum checks of an engine after its record was removed.
@@ -114,7 +114,7 @@
 
 fn pause_ms(number: u32) -> u64 {
     let doublings = number.saturating_sub(CHECKS_AT_FIRST_PAUSE - 1).min(8);
-    (FIRST_PAUSE_MS << doublings).min(LONGEST_PAUSE_MS)
+    (FIRST_PAUSE_MS << doublings).min(MAX_PAUSE_MS)
 }
 
 fn record_reached(gateway: &Gateway, check: &DueCheck, began: Millis, now: Millis) {
--- a/crates/gateway/src/engine_ends.rs
+++ b/crates/gateway/src/engine_ends.rs
@@ -98,9 +98,9 @@
         at: cut.ended,
     };
     let quarantine = &mut beliefs.quarantine;
-    let news = quarantine.note_end(cut.fingerprint, cut.tenant, end, software, now);
+    let outcome = quarantine.note_end(cut.fingerprint, cut.tenant, end, software, now);
     drop(beliefs);
-    match news {
+    match outcome {
         EndOutcome::Cleared | EndOutcome::Known => {}
         EndOutcome::Suspected { moments } => {
             slog::info!(gateway.log, "request suspected";
--- a/crates/gateway/src/forward/answer_head.rs
+++ b/crates/gateway/src/forward/answer_head.rs
@@ -1,7 +1,7 @@
 //! Processing of the head of an engine's answer.
 
 use super::attempt::AttemptEnd;
-use super::broken::Broken;
+use super::broken::BrokenAttempt;
 use super::choice::ChosenEngine;
 use super::in_flight::InFlight;
 use super::Forwarding;
@@ -42,7 +42,7 @@
             }
             AnswerMeaning::Foreign { reason } => {
                 in_flight.note_outcome(Outcome::Broken);
-                Ok(AttemptEnd::Broken(Broken::other(reason)))
+                Ok(AttemptEnd::Broken(BrokenAttempt::other(reason)))
             }
             AnswerMeaning::Failure => self.read_failure(answer, chosen, in_flight).await,
             AnswerMeaning::Success if self.received.admission.route.delivery.is_stream() => {
--- a/crates/gateway/src/forward/attempt.rs
+++ b/crates/gateway/src/forward/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt: sends the request to the chosen engine, processes its answer and records
 //! the outcome.
 
-use super::broken::{BreakCause, Broken};
+use super::broken::{BreakCause, BrokenAttempt};
 use super::choice::ChosenEngine;
 use super::in_flight::{AttemptSubject, InFlight};
 use super::{AfterAnswer, Forwarding};
@@ -52,7 +52,7 @@
         body: Vec<u8>,
     },
     /// The request may have run, and there is no complete answer.
-    Broken(Broken),
+    Broken(BrokenAttempt),
 }
 
 impl AttemptEnd {
@@ -118,7 +118,7 @@
     /// Records a broken attempt. If the connection ended, the engine itself may have ended.
     pub(super) fn note_broken_attempt(
         &self,
-        broken: &Broken,
+        broken: &BrokenAttempt,
         chosen: &ChosenEngine,
         at: &InFlight,
     ) {
--- a/crates/gateway/src/forward/broken.rs
+++ b/crates/gateway/src/forward/broken.rs
@@ -16,12 +16,12 @@
 
 /// A request was sent and got no complete answer.
 #[derive(Clone, Debug)]
-pub(super) struct Broken {
+pub(super) struct BrokenAttempt {
     pub(super) reason: String,
     pub(super) cause: BreakCause,
 }
 
-impl Broken {
+impl BrokenAttempt {
     /// The wait was given up, or the answer is invalid.
     pub(super) fn other(reason: impl Into<String>) -> Self {
         Self {
--- a/crates/gateway/src/forward/buffered_answer.rs
+++ b/crates/gateway/src/forward/buffered_answer.rs
@@ -1,7 +1,7 @@
 //! Answers that are read completely before any part is sent to the caller.
 
 use super::attempt::AttemptEnd;
-use super::broken::Broken;
+use super::broken::BrokenAttempt;
 use super::choice::ChosenEngine;
 use super::engine_watch::EngineWatch;
 use super::in_flight::InFlight;
@@ -21,7 +21,7 @@
 enum ReadEnd {
     Whole(Vec<u8>),
     TooLarge(Vec<u8>),
-    Broken(Broken),
+    Broken(BrokenAttempt),
 }
 
 impl Forwarding {
@@ -88,7 +88,9 @@
         let watch = self.watch_engine(&chosen.instance);
         let reading = pin!(self.read_buffered(answer, Some(&watch)));
         let read = watch.unless_lost(reading).await;
-        read.unwrap_or_else(|| ReadEnd::Broken(Broken::due_to(&FailureReason::EngineLost, false)))
+        read.unwrap_or_else(|| {
+            ReadEnd::Broken(BrokenAttempt::due_to(&FailureReason::EngineLost, false))
+        })
     }
 
     async fn read_buffered(
@@ -113,10 +115,10 @@
         match within(attempt_timeout_ms, reading).await {
             Some(Ok(true)) => ReadEnd::Whole(body),
             Some(Ok(false)) => ReadEnd::TooLarge(body),
-            Some(Err(error)) => ReadEnd::Broken(Broken::in_answer(&error)),
+            Some(Err(error)) => ReadEnd::Broken(BrokenAttempt::in_answer(&error)),
             None => {
                 let reason = "the answer was not whole in time";
-                ReadEnd::Broken(Broken::timed_out(reason, !self.has_time()))
+                ReadEnd::Broken(BrokenAttempt::timed_out(reason, !self.has_time()))
             }
         }
     }
@@ -141,7 +143,11 @@
                 Some(Ok(false)) => break,
                 failed => {
                     if let Some(Err(error)) = failed {
-                        self.note_broken_attempt(&Broken::in_answer(&error), chosen, in_flight);
+                        self.note_broken_attempt(
+                            &BrokenAttempt::in_answer(&error),
+                            chosen,
+                            in_flight,
+                        );
                     }
                     in_flight.note_outcome(Outcome::Broken);
                     return Ok(AttemptEnd::Done {
--- a/crates/gateway/src/forward/engine_tokens.rs
+++ b/crates/gateway/src/forward/engine_tokens.rs
@@ -179,7 +179,7 @@
             Granter::At(holder) => {
                 let questions = &gateway.token_questions;
                 questions
-                    .ask(&gateway.outbox, holder.address, &request)
+                    .request_token(&gateway.outbox, holder.address, &request)
                     .await
             }
         };
--- a/crates/gateway/src/forward/sending.rs
+++ b/crates/gateway/src/forward/sending.rs
@@ -1,7 +1,7 @@
 //! Sending of a request to the chosen engine, on a kept connection or a new one.
 
 use super::attempt::AttemptEnd;
-use super::broken::Broken;
+use super::broken::BrokenAttempt;
 use super::choice::ChosenEngine;
 use super::Forwarding;
 use crate::engine_connection::{
@@ -154,7 +154,7 @@
     }
 
     fn broken(&self, failure: &ExchangeFailure) -> AttemptEnd {
-        AttemptEnd::Broken(Broken::due_to(&failure.reason, !self.has_time()))
+        AttemptEnd::Broken(BrokenAttempt::due_to(&failure.reason, !self.has_time()))
     }
 
     /// Records a send that was lost. The request may have run: no later refusal of it may state
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -4,7 +4,7 @@
 //! engine continues after the last event that was forwarded, within the same answer.
 
 use super::attempt::AttemptEnd;
-use super::broken::Broken;
+use super::broken::BrokenAttempt;
 use super::buffered_answer::forwarded_head;
 use super::choice::ChosenEngine;
 use super::events::{is_after, EventSplitter};
@@ -25,7 +25,7 @@
 enum StreamStep {
     Events(Vec<u8>),
     End(Vec<u8>),
-    Broken(Broken),
+    Broken(BrokenAttempt),
 }
 
 impl Forwarding {
@@ -45,7 +45,7 @@
                 watch.unless_lost(step).await
             };
             match step.unwrap_or_else(|| {
-                StreamStep::Broken(Broken::due_to(&FailureReason::EngineLost, false))
+                StreamStep::Broken(BrokenAttempt::due_to(&FailureReason::EngineLost, false))
             }) {
                 StreamStep::Events(bytes) => {
                     watch.record_activity();
@@ -179,11 +179,14 @@
                     if !events.is_empty() {
                         return StreamStep::Events(events);
                     }
-                    return StreamStep::Broken(Broken::in_answer(&error));
+                    return StreamStep::Broken(BrokenAttempt::in_answer(&error));
                 }
                 None => {
                     let time_is_up = !self.has_time();
-                    return StreamStep::Broken(Broken::timed_out("no event in time", time_is_up));
+                    return StreamStep::Broken(BrokenAttempt::timed_out(
+                        "no event in time",
+                        time_is_up,
+                    ));
                 }
             }
         }
--- a/crates/gateway/src/peers/engine_limit_messages.rs
+++ b/crates/gateway/src/peers/engine_limit_messages.rs
@@ -32,18 +32,18 @@
     pub answer: TokenAnswer,
 }
 
-pub(super) fn group_message(news: &GroupUpdate) -> peers::EngineLimitGroup {
-    let limits = news.limits.iter().map(|reported| peers::EngineLimit {
+pub(super) fn group_message(update: &GroupUpdate) -> peers::EngineLimitGroup {
+    let limits = update.limits.iter().map(|reported| peers::EngineLimit {
         engine: reported.engine.0,
         per_second: reported.limit,
         sequence: reported.sequence,
         age_ms: reported.age_ms,
     });
     peers::EngineLimitGroup {
-        group: news.group.0,
-        holder: news.holder.at.node.0,
-        address: news.holder.at.address.to_string(),
-        term: news.holder.term,
+        group: update.group.0,
+        holder: update.holder.at.node.0,
+        address: update.holder.at.address.to_string(),
+        term: update.holder.term,
         limits: limits.collect(),
     }
 }
--- a/crates/gateway/src/peers/engine_limits.rs
+++ b/crates/gateway/src/peers/engine_limits.rs
@@ -36,33 +36,33 @@
 /// Applies the report of another node on one group; returns whether it changed anything.
 pub(super) fn apply_limit_group(
     gateway: &Gateway,
-    news: &GroupUpdate,
+    update: &GroupUpdate,
     passes_on: bool,
     now: Millis,
 ) -> bool {
     let beliefs = &mut *gateway.beliefs();
     let limits_of = |beliefs: &Beliefs| -> Vec<Option<f64>> {
-        let reported = news.limits.iter();
+        let reported = update.limits.iter();
         reported
             .map(|reported| beliefs.engine_limits.limit_of(reported.engine))
             .collect()
     };
     let before = limits_of(beliefs);
-    let holder_before = beliefs.engine_limits.holder(news.group);
+    let holder_before = beliefs.engine_limits.holder(update.group);
     let engine_rate_limits = &mut beliefs.engines.rate_limits;
     let is_new = beliefs
         .engine_limits
-        .apply_update(news, passes_on, engine_rate_limits, now);
+        .apply_update(update, passes_on, engine_rate_limits, now);
     let after = limits_of(beliefs);
-    for ((reported, before), after) in news.limits.iter().zip(before).zip(after) {
+    for ((reported, before), after) in update.limits.iter().zip(before).zip(after) {
         if before != after {
             log_limit(gateway, beliefs, reported.engine, before, "holder");
         }
     }
-    let holder = beliefs.engine_limits.holder(news.group);
+    let holder = beliefs.engine_limits.holder(update.group);
     if holder != holder_before {
         slog::info!(gateway.log, "holder of engine limits";
-            "group" => format!("{:08x}", news.group.0),
+            "group" => format!("{:08x}", update.group.0),
             "node" => holder.map(|holder| format!("{:016x}", holder.at.node.0)),
             "term" => holder.map(|holder| holder.term));
     }
@@ -99,8 +99,8 @@
     let now = gateway.clock.now();
     let answer = answer_request(gateway, request, now);
     if answer == TokenAnswer::NotHolder {
-        let news = gateway.beliefs().engine_limits.holder_update(request.group);
-        for report in limit_reports(gateway, news) {
+        let update = gateway.beliefs().engine_limits.holder_update(request.group);
+        for report in limit_reports(gateway, update) {
             gateway
                 .outbox
                 .put(from, &PeerMessage::EngineSignals(report));
--- a/crates/gateway/src/peers/engine_signals.rs
+++ b/crates/gateway/src/peers/engine_signals.rs
@@ -68,7 +68,7 @@
         is_period,
         passes_on: role(gateway, now) == Role::Relay,
     };
-    let news = {
+    let changes = {
         let beliefs = &mut *gateway.beliefs();
         SignalChanges {
             groups: beliefs.engine_limits.updates_due(is_period, now),
@@ -76,11 +76,11 @@
         }
     };
     let wants_all = !knows_signals(gateway);
-    if news.is_empty() && !wants_all {
+    if changes.is_empty() && !wants_all {
         return;
     }
     let receivers = broadcast_receivers(gateway, now);
-    for report in reports(gateway, news, wants_all) {
+    for report in reports(gateway, changes, wants_all) {
         let datagram = encode(&PeerMessage::EngineSignals(report));
         for receiver in &receivers {
             // A lost report is repaired by the next ones.
@@ -90,7 +90,7 @@
 }
 
 /// Reports that fit one datagram each, at least one.
-fn reports(gateway: &Gateway, news: SignalChanges, wants_all: bool) -> Vec<EngineSignalReport> {
+fn reports(gateway: &Gateway, changes: SignalChanges, wants_all: bool) -> Vec<EngineSignalReport> {
     let empty = EngineSignalReport {
         sender: PeerId::of(&gateway.settings().node.name),
         groups: Vec::new(),
@@ -105,8 +105,8 @@
         leaving: leaving.to_vec(),
         ..empty.clone()
     };
-    let mut reports: Vec<EngineSignalReport> = news.groups.into_iter().map(of_group).collect();
-    reports.extend(news.leaving.chunks(MAX_REPORTED).map(of_leaving));
+    let mut reports: Vec<EngineSignalReport> = changes.groups.into_iter().map(of_group).collect();
+    reports.extend(changes.leaving.chunks(MAX_REPORTED).map(of_leaving));
     if reports.is_empty() {
         reports.push(empty);
     }
@@ -118,13 +118,13 @@
     gateway: &Gateway,
     groups: impl IntoIterator<Item = GroupUpdate>,
 ) -> Vec<EngineSignalReport> {
-    let news = SignalChanges {
+    let changes = SignalChanges {
         groups: groups.into_iter().collect(),
         leaving: Vec::new(),
     };
-    match news.is_empty() {
+    match changes.is_empty() {
         true => Vec::new(),
-        false => reports(gateway, news, false),
+        false => reports(gateway, changes, false),
     }
 }
 
@@ -147,8 +147,8 @@
     }
     let passes_on = role(gateway, now) == Role::Relay;
     let mut is_new = false;
-    for news in &report.groups {
-        is_new |= apply_limit_group(gateway, news, passes_on, now);
+    for update in &report.groups {
+        is_new |= apply_limit_group(gateway, update, passes_on, now);
     }
     is_new |= apply_leaving(gateway, &report.leaving, passes_on, now);
     // A node that requests the signals itself knows no more than this one.
@@ -159,14 +159,14 @@
 }
 
 fn send_all_signals(gateway: &Gateway, to: SocketAddr, now: Millis) {
-    let news = {
+    let changes = {
         let beliefs = gateway.beliefs();
         SignalChanges {
             groups: beliefs.engine_limits.all_updates(now),
             leaving: beliefs.engines.notices.all_leaving(now),
         }
     };
-    for answer in reports(gateway, news, false) {
+    for answer in reports(gateway, changes, false) {
         gateway.outbox.put(to, &PeerMessage::EngineSignals(answer));
     }
 }
@@ -180,20 +180,20 @@
 ) -> bool {
     let mut beliefs = gateway.beliefs();
     let notices = &mut beliefs.engines.notices;
-    let news: Vec<&ReportedLeaving> = reported
+    let new_reports: Vec<&ReportedLeaving> = reported
         .iter()
         .filter(|reported| notices.apply_reported(reported, passes_on, now))
         .collect();
     let engines = &beliefs.engines;
-    let known = news
+    let known = new_reports
         .iter()
         .filter_map(|reported| engines.by_tag(reported.life.engine));
     let names = known.map(|engine| engine.record.instance.0.as_str());
     let names: Vec<&str> = names.take(MAX_LOGGED_ENGINES).collect();
-    if let Some(first) = news.first() {
+    if let Some(first) = new_reports.first() {
         slog::info!(gateway.log, "engine leaves";
-            "engine" => names.join(" "), "engines" => news.len(),
+            "engine" => names.join(" "), "engines" => new_reports.len(),
             "age_ms" => first.age_ms, "from" => NoticeSource::Node.name());
     }
-    !news.is_empty()
+    !new_reports.is_empty()
 }
--- a/crates/gateway/src/peers/follower.rs
+++ b/crates/gateway/src/peers/follower.rs
@@ -68,9 +68,9 @@
         beliefs.engines_proof.note_relay_proof(proven_at);
     }
     let answers = included.zip(sent_at);
-    let news = report.rollouts.as_ref();
-    let order_news = news.map_or_else(Vec::new, |news| {
-        apply_rollout_news(&mut beliefs, news, answers, settings, now)
+    let broadcast = report.rollouts.as_ref();
+    let order_news = broadcast.map_or_else(Vec::new, |broadcast| {
+        apply_rollout_news(&mut beliefs, broadcast, answers, settings, now)
     });
     let configuration = beliefs.configuration_version();
     let missing = beliefs.followed.snapshot_need(configuration, limit_ms, now);
@@ -91,18 +91,18 @@
 /// [`crate::rollouts::RolloutBeliefs::apply_sums`].
 pub(super) fn apply_rollout_news(
     beliefs: &mut Beliefs,
-    news: &RolloutNews,
+    broadcast: &RolloutNews,
     answers: Option<(u64, Millis)>,
     settings: RolloutSettings,
     now: Millis,
 ) -> Vec<OrderUpdate> {
-    beliefs.rollouts.remove_missing(news, now);
+    beliefs.rollouts.remove_missing(broadcast, now);
     let mut taken = Vec::new();
-    for order in &news.orders {
+    for order in &broadcast.orders {
         taken.extend(beliefs.apply_rollout_order(order.clone(), settings, now));
     }
     let (rollouts, engines) = (&mut beliefs.rollouts, &beliefs.engines);
-    rollouts.apply_sums(news, answers, engines, now);
+    rollouts.apply_sums(broadcast, answers, engines, now);
     taken
 }
 
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -113,7 +113,9 @@
             Some(PeerMessage::Quarantine(report)) => handle_quarantine_report(&gateway, &report),
             Some(PeerMessage::EngineSignals(report)) => handle_signals(&gateway, &report, from),
             Some(PeerMessage::EngineLimitObserved(seen)) => handle_observation(&gateway, &seen),
-            Some(PeerMessage::TokenRequest(asked)) => answer_token_request(&gateway, &asked, from),
+            Some(PeerMessage::TokenRequest(request)) => {
+                answer_token_request(&gateway, &request, from)
+            }
             Some(PeerMessage::TokenAnswer(numbered)) => {
                 gateway
                     .token_questions
--- a/crates/gateway/src/peers/quarantine_reports.rs
+++ b/crates/gateway/src/peers/quarantine_reports.rs
@@ -54,15 +54,15 @@
 
 async fn report(gateway: &Gateway, socket: &UdpSocket, occasion: ReportOptions, now: Millis) {
     let own = PeerId::of(&gateway.settings().node.name);
-    let news = {
+    let due_reports = {
         let quarantine = &mut gateway.beliefs().quarantine;
         quarantine.reports_due(own, occasion, now)
     };
-    if news.is_empty() {
+    if due_reports.is_empty() {
         return;
     }
     let receivers = broadcast_receivers(gateway, now);
-    for requests in news.chunks(REQUESTS_PER_DATAGRAM) {
+    for requests in due_reports.chunks(REQUESTS_PER_DATAGRAM) {
         let datagram = encode(&PeerMessage::Quarantine(QuarantineReport {
             sender: own,
             requests: requests.to_vec(),
--- a/crates/gateway/src/peers/relay_messages.rs
+++ b/crates/gateway/src/peers/relay_messages.rs
@@ -108,7 +108,7 @@
     pub fn in_era(mut self, era: StoreEra) -> Self {
         let changes = self.changes.into_iter();
         self.changes = changes.map(|change| change.in_era(era)).collect();
-        self.rollouts = self.rollouts.map(|news| news.in_era(era));
+        self.rollouts = self.rollouts.map(|broadcast| broadcast.in_era(era));
         self
     }
 }
--- a/crates/gateway/src/peers/roles.rs
+++ b/crates/gateway/src/peers/roles.rs
@@ -99,8 +99,8 @@
     let own = PeerId::of(&gateway.settings().node.name);
     let listed = gateway.address_book().other_relays(own, now);
     let beliefs = gateway.beliefs();
-    let heard = beliefs.weights_exchange.live_peers();
-    listed.into_iter().chain(heard).collect()
+    let reporting = beliefs.weights_exchange.live_peers();
+    listed.into_iter().chain(reporting).collect()
 }
 
 /// How this node takes part in the accounting of the fleet.
--- a/crates/gateway/src/peers/rollout_messages.rs
+++ b/crates/gateway/src/peers/rollout_messages.rs
@@ -186,14 +186,14 @@
 }
 
 /// The message for the rollout data of a relay.
-pub fn news_message(news: &RolloutNews) -> peers::RolloutNews {
-    let (known_through, known_through_era) = revision_fields(news.known_through);
+pub fn news_message(broadcast: &RolloutNews) -> peers::RolloutNews {
+    let (known_through, known_through_era) = revision_fields(broadcast.known_through);
     peers::RolloutNews {
         known_through,
         known_through_era,
-        age_ms: news.age_ms,
-        orders: news.orders.iter().map(order_message).collect(),
-        sums: news.sums.iter().map(counts_message).collect(),
+        age_ms: broadcast.age_ms,
+        orders: broadcast.orders.iter().map(order_message).collect(),
+        sums: broadcast.sums.iter().map(counts_message).collect(),
     }
 }
 
--- a/crates/gateway/src/peers/snapshot.rs
+++ b/crates/gateway/src/peers/snapshot.rs
@@ -186,9 +186,9 @@
     for change in &mut snapshot.engines {
         change.revision_era = era.0;
     }
-    if let Some(news) = &mut snapshot.rollouts {
-        news.known_through_era = era.0;
-        for order in &mut news.orders {
+    if let Some(broadcast) = &mut snapshot.rollouts {
+        broadcast.known_through_era = era.0;
+        for order in &mut broadcast.orders {
             order.revision_era = era.0;
         }
     }
@@ -234,7 +234,7 @@
     let order_news = apply_orders(&mut beliefs, snapshot, settings, now);
     let was_listed = beliefs.has_listed_engines;
     let revision = read_revision(snapshot.engines_revision, snapshot.engines_revision_era);
-    let news = beliefs.replace_engines(records, revision, now);
+    let updates = beliefs.replace_engines(records, revision, now);
     for placed in &snapshot.placed_versions {
         let service = ServiceName(placed.service.clone());
         let version = SoftwareVersion(placed.version.clone());
@@ -249,7 +249,7 @@
     drop(beliefs);
     publish_order_updates(gateway, &order_news);
     if was_listed {
-        log_engine_updates(gateway, &news, UpdateSource::Snapshot);
+        log_engine_updates(gateway, &updates, UpdateSource::Snapshot);
     }
     gateway.engine_check_due.notify(usize::MAX);
     gateway.site_updated.notify(usize::MAX);
@@ -267,10 +267,10 @@
     settings: RolloutSettings,
     now: Millis,
 ) -> Vec<OrderUpdate> {
-    let Some(news) = snapshot.rollouts.as_ref().map(read_news) else {
+    let Some(broadcast) = snapshot.rollouts.as_ref().map(read_news) else {
         return Vec::new();
     };
-    apply_rollout_news(beliefs, &news, None, settings, now)
+    apply_rollout_news(beliefs, &broadcast, None, settings, now)
 }
 
 /// Answers requests of other nodes until the task is dropped.
@@ -360,7 +360,7 @@
     let engines = request
         .wants_engines
         .then(|| encoding.present(&beliefs, now));
-    let news = beliefs.rollouts.relay_broadcast(own, true, now);
+    let broadcast = beliefs.rollouts.relay_broadcast(own, true, now);
     let is_newer = beliefs.configuration_version() > Some(request.configuration);
     let stored = beliefs.stored_configuration.as_deref();
     let configuration = stored.filter(|_| is_newer).cloned();
@@ -384,7 +384,7 @@
         engines_revision_era,
         store_era_plus_one: era_plus_one(gateway.store_era.get()),
         engines: Vec::new(),
-        rollouts: news.as_ref().map(news_message),
+        rollouts: broadcast.as_ref().map(news_message),
         placed_versions: placed.filter(|_| request.wants_engines).collect(),
     };
     EncodedSnapshot {
--- a/crates/gateway/src/peers/token_requests.rs
+++ b/crates/gateway/src/peers/token_requests.rs
@@ -55,7 +55,7 @@
     }
 
     /// Requests a token from a node; `None` when it does not answer in time.
-    pub async fn ask(
+    pub async fn request_token(
         &self,
         outbox: &Outbox,
         to: SocketAddr,
--- a/crates/gateway/src/peers/weights_messages.rs
+++ b/crates/gateway/src/peers/weights_messages.rs
@@ -46,8 +46,8 @@
     }
 }
 
-pub(super) fn weights_message(news: &WeightsNews) -> peers::WeightsNews {
-    let versions = news.versions.iter().map(|reported| peers::ProvenVersion {
+pub(super) fn weights_message(report: &WeightsNews) -> peers::WeightsNews {
+    let versions = report.versions.iter().map(|reported| peers::ProvenVersion {
         model: reported.model.clone(),
         version: reported.version,
         named_age_plus_one: encode_age(reported.named_age_ms),
@@ -55,9 +55,9 @@
     });
     peers::WeightsNews {
         versions: versions.collect(),
-        proof_age_plus_one: encode_age(news.proof_age_ms),
-        known_for_plus_one: encode_age(news.known_for_ms),
-        all_models_age_plus_one: encode_age(news.all_models_age_ms),
+        proof_age_plus_one: encode_age(report.proof_age_ms),
+        known_for_plus_one: encode_age(report.known_for_ms),
+        all_models_age_plus_one: encode_age(report.all_models_age_ms),
     }
 }
 
--- a/crates/gateway/src/peers/weights_reports.rs
+++ b/crates/gateway/src/peers/weights_reports.rs
@@ -49,18 +49,18 @@
     // Both under one lock, and the time is read last: a report that arrived after the ages
     // were computed must not be named as included.
     let now = gateway.clock.now();
-    let news = beliefs
+    let current = beliefs
         .weights
         .current_report(&gateway.weights_bounds(0), now);
     let sequence = beliefs.weights_exchange.next_sequence(now);
-    let parts = news.parts(MAX_REPORTED_VERSIONS);
+    let parts = current.parts(MAX_REPORTED_VERSIONS);
     let reports = receivers.into_iter().flat_map(|receiver| {
         let included = beliefs.weights_exchange.last_received(&receiver);
-        parts.iter().map(move |news| {
+        parts.iter().map(move |part| {
             let report = WeightsReport {
                 life: gateway.life,
                 sequence,
-                news: news.clone(),
+                news: part.clone(),
                 included,
             };
             (receiver, report)
--- a/crates/gateway/src/rollouts/exchange.rs
+++ b/crates/gateway/src/rollouts/exchange.rs
@@ -270,11 +270,11 @@
 
     /// Records the time of a relay's broadcast, and removes the orders that it lacks unless this
     /// node knows later revisions.
-    pub fn remove_missing(&mut self, news: &RolloutNews, now: Millis) {
+    pub fn remove_missing(&mut self, broadcast: &RolloutNews, now: Millis) {
         self.orders.note_relay_report(now);
-        if self.orders.known_through() <= Some(news.known_through) {
-            for service in self.orders.missing_in(&news.orders) {
-                self.remove_order(&service, news.known_through, now);
+        if self.orders.known_through() <= Some(broadcast.known_through) {
+            for service in self.orders.missing_in(&broadcast.orders) {
+                self.remove_order(&service, broadcast.known_through, now);
             }
         }
     }
@@ -284,16 +284,16 @@
     /// it was sent.
     pub fn apply_sums(
         &mut self,
-        news: &RolloutNews,
+        broadcast: &RolloutNews,
         answers: Option<(u64, Millis)>,
         engines: &EngineCatalogue,
         now: Millis,
     ) {
         // Counted from the report that it answers, less the age that the relay gives: so
         // the proof is never taken for newer than it is, however long the answer took.
-        let proven_at = answers.map(|(_, sent_at)| sent_at.0.saturating_sub(news.age_ms));
-        self.note_orders_known(news.known_through, proven_at.map(Millis), engines, now);
-        for counted in &news.sums {
+        let proven_at = answers.map(|(_, sent_at)| sent_at.0.saturating_sub(broadcast.age_ms));
+        self.note_orders_known(broadcast.known_through, proven_at.map(Millis), engines, now);
+        for counted in &broadcast.sums {
             let Some((sequence, _)) = answers else {
                 continue;
             };
--- a/crates/gateway/src/store/backoff.rs
+++ b/crates/gateway/src/store/backoff.rs
@@ -5,7 +5,7 @@
 /// First pause after a failed call, in milliseconds.
 const FIRST_PAUSE_MS: u64 = 60;
 /// Maximum pause after failed calls, in milliseconds.
-const LONGEST_PAUSE_MS: u64 = 250;
+const MAX_PAUSE_MS: u64 = 250;
 
 /// Exponential backoff with jitter, so that nodes that lost the store at the same time do
 /// not retry at the same time.
@@ -30,6 +30,6 @@
     pub(crate) async fn wait(&mut self) {
         let jittered = self.pause_ms / 2 + fastrand::u64(0..=self.pause_ms / 2);
         sleep(jittered).await;
-        self.pause_ms = (self.pause_ms * 2).min(LONGEST_PAUSE_MS);
+        self.pause_ms = (self.pause_ms * 2).min(MAX_PAUSE_MS);
     }
 }
