--- a/crates/rollout/src/transition_context.rs
+++ b/crates/rollout/src/transition_context.rs
@@ -27,10 +27,11 @@
 /// Maximum age of a reported arrival, in milliseconds: two report intervals and the time
 /// of delivery.
 const MAX_REPORT_AGE_MS: u64 = 500;
-/// Silence after which a node counts as unheard, in milliseconds: five reports.
-const UNHEARD_AFTER_MS: u64 = 1_000;
+/// Time since the last report of a node after which its reports count as overdue, in
+/// milliseconds: five reports.
+const OVERDUE_AFTER_MS: u64 = 1_000;
 /// Number of nodes that stopped because of their own answers alone from which the
-/// version counts as bad. In a smaller fleet, all nodes that are heard must have
+/// version counts as bad. In a smaller fleet, all nodes whose reports arrive must have
 /// stopped; after that, no more evidence arrives.
 const STOPPED_NODES_LIMIT: usize = 3;
 /// Time for which a single such node may block a cut-over, in milliseconds.
@@ -172,9 +173,9 @@
         recent.max(since_order)
     }
 
-    /// Upper bound of the target's arrivals: those known, those that nodes which are
-    /// heard may have sent since, and those that the other nodes may have sent within
-    /// their highest credits.
+    /// Upper bound of the target's arrivals: those known, those that nodes whose reports
+    /// arrive may have sent since, and those that nodes whose reports are overdue may have
+    /// sent within their highest credits.
     pub(crate) fn exposure(&self, recent_rate_per_ms: f64) -> Exposure {
         let rate_per_ms = self.rate_per_ms(recent_rate_per_ms);
         let share = match self.progress.stage {
@@ -184,34 +185,34 @@
         let known = self.sums().target_arrivals();
         let since_stage_ms = self.input.now.since(self.input.status_seen_at);
         let unreported = rate_per_ms * MAX_REPORT_AGE_MS.min(since_stage_ms) as f64 * share;
-        let unheard = schedule::node_cap_share(self.settings)
+        let overdue = schedule::node_cap_share(self.settings)
             * self.requests() as f64
-            * self.unheard_fraction();
+            * self.overdue_fraction();
         let arrivals = known.max(self.progress.target_arrivals);
         Exposure {
-            target_arrivals: arrivals + (unreported + unheard).ceil() as u64,
+            target_arrivals: arrivals + (unreported + overdue).ceil() as u64,
             requests: self.requests(),
             rate_per_ms,
             remaining_ms: self.remaining_ms(),
         }
     }
 
-    /// Fraction of the nodes that were not heard recently.
-    fn unheard_fraction(&self) -> f64 {
+    /// Fraction of the nodes whose reports are overdue.
+    fn overdue_fraction(&self) -> f64 {
         let input = self.input;
-        let is_unheard = |member: &&Member| {
+        let is_overdue = |member: &&Member| {
             let last_heard_at = member.last_heard_at.unwrap_or(Millis(0));
-            input.now.since(last_heard_at) > UNHEARD_AFTER_MS
+            input.now.since(last_heard_at) > OVERDUE_AFTER_MS
         };
-        let unheard = input.members.iter().filter(is_unheard).count();
-        unheard as f64 / input.members.len().max(1) as f64
+        let overdue = input.members.iter().filter(is_overdue).count();
+        overdue as f64 / input.members.len().max(1) as f64
     }
 
     /// Number of nodes that must stop before the version counts as bad.
     fn stopped_nodes_threshold(&self) -> usize {
-        let heard = 1.0 - self.unheard_fraction();
-        let heard = (heard * self.input.members.len() as f64).round() as usize;
-        heard.clamp(1, STOPPED_NODES_LIMIT)
+        let reporting = 1.0 - self.overdue_fraction();
+        let reporting = (reporting * self.input.members.len() as f64).round() as usize;
+        reporting.clamp(1, STOPPED_NODES_LIMIT)
     }
 
     /// A finding if the nodes that stopped because of their own answers alone are many
@@ -262,7 +263,7 @@
     }
 
     /// Whether a node has been silent for so long since the cut-over was stored that it
-    /// serves nothing. Silence before that shows nothing: a node that can't be heard may
+    /// serves nothing. Silence before that shows nothing: a node whose reports don't arrive may
     /// still receive the stage.
     fn is_silent(&self, member: &Member, decider_began_at: Millis) -> bool {
         let last_heard_at = member.last_heard_at.unwrap_or(decider_began_at);
