--- a/crates/rollout/src/acceptance.rs
+++ b/crates/rollout/src/acceptance.rs
@@ -21,8 +21,8 @@
 const FALSE_TIMELINESS_CHANCE: f64 = 0.01;
 
 /// Increase of [`MIN_DETECTABLE_DEFECT`] for each unit of the tolerated failure rate:
-/// where many requests fail by themselves, a smaller defect could be told from chance
-/// only by thousands of answers.
+/// where many requests fail by themselves, it would take thousands of answers to
+/// distinguish a smaller defect from chance.
 const DEFECT_PER_TOLERATED_RATE: f64 = 0.5;
 
 /// How strong the evidence must be to accept a version.
--- a/crates/rollout/src/canary_choice.rs
+++ b/crates/rollout/src/canary_choice.rs
@@ -94,8 +94,8 @@
 }
 
 /// Number of the target's engines that serve the canary: each carries as much load as an
-/// established one, but at least two serve, so that a bad engine can be told from a bad
-/// version.
+/// established one, but at least two serve, so that a bad engine can be distinguished from
+/// a bad version.
 pub fn canary_engines(target: usize, established: usize, share_ppm: u32) -> usize {
     let share = f64::from(share_ppm) / MILLION as f64;
     let carrying = (share * established as f64).ceil() as usize;
