--- a/crates/gateway/tests/leaving_engines.rs
+++ b/crates/gateway/tests/leaving_engines.rs
@@ -13,7 +13,7 @@
 //!
 //! Each test reproduces one cause on running nodes. Without the grace period in which an
 //! engine whose record is gone may return, simulated days with nodes that the store refuses
-//! had no late request from this cause.
+//! had no late request from the first cause.
 
 mod support;
 
